--- a/benchmarks/answers.py
+++ b/benchmarks/answers.py
@@ -24,9 +24,9 @@
 import uvloop
 from push import WORKERS, Bench, free_port
 
+from swiftchute.dns.answer_cache import Ready
 from swiftchute.dns.names import Names
 from swiftchute.dns.query import plain
-from swiftchute.dns.ready import Ready
 from swiftchute.dns.records import Records, Shape
 
 ORIGIN = "lots.example."
--- a/benchmarks/proxy.py
+++ b/benchmarks/proxy.py
@@ -19,9 +19,9 @@
 import uvloop
 from push import free_port
 
-from swiftchute.proxy.ads import Client, Table
-from swiftchute.proxy.core import Core, Limits, Operation
-from swiftchute.proxy.wire import Http2, Message
+from swiftchute.proxy.http_framing import Http2, Message
+from swiftchute.proxy.request import Core, Limits, Operation
+from swiftchute.proxy.xds_client import Client, Table
 
 S = 1_000_000_000
 HEADERS = [(b":method", b"POST"), (b":path", b"/svc/read"), (b":scheme", b"http"), (b":authority", b"x"),
--- a/benchmarks/push.py
+++ b/benchmarks/push.py
@@ -25,8 +25,8 @@
 from grpclib.client import Channel
 from grpclib.const import Cardinality
 
-from swiftchute.proxy.ads import Client
-from swiftchute.xds.shell import ADS, Raw
+from swiftchute.proxy.xds_client import Client
+from swiftchute.xds.server import ADS, Raw
 
 WORKERS, PROCESSES = int(os.environ.get("WORKERS", "100")), 4
 SETTINGS = """
--- a/benchmarks/tables.py
+++ b/benchmarks/tables.py
@@ -11,8 +11,8 @@
 import time
 import tracemalloc
 
-from swiftchute.tables.form import apply, decode, decode_delta, diff, encode, table
-from swiftchute.tables.history import History
+from swiftchute.versions.encoding import apply, decode, decode_delta, diff, encode, table
+from swiftchute.versions.history import History
 
 S = 1_000_000_000
 
--- a/benchmarks/taps.py
+++ b/benchmarks/taps.py
@@ -16,11 +16,11 @@
 import sys
 from collections import Counter, defaultdict
 
-from swiftchute.guard.guard import LATE, Rules
-from swiftchute.planner.core import Core
+from swiftchute.controller.controller import Core
+from swiftchute.discovery.endpoint_list import News
 from swiftchute.policy import Planner
-from swiftchute.registry.lists import News
-from swiftchute.wirehost.host import Host
+from swiftchute.safety.validator import LATE, Rules
+from swiftchute.simulator.host import Host
 
 S = 1_000_000_000
 
--- a/swiftchute/control/client.py
+++ b/swiftchute/admin/client.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from swiftchute.control import lines
+from swiftchute.admin import protocol
 
 
 class Unanswered(Exception):
@@ -20,7 +20,7 @@
             way.settimeout(timeout)
             way.connect(path)
             with contextlib.suppress(BrokenPipeError):  # turned away unread: the cause is there to be read
-                way.sendall(lines.ask(command, **arguments))
+                way.sendall(protocol.ask(command, **arguments))
             data = b""
             while not data.endswith(b"\n"):
                 more = way.recv(65_536)
@@ -31,7 +31,7 @@
         raise Unanswered(f"{path}: no reply within {timeout:g} s") from None
     except OSError as why:
         raise Unanswered(f"{path}: {why.strerror or why}") from None
-    answer = msgspec.json.decode(data, type=lines.Reply)
+    answer = msgspec.json.decode(data, type=protocol.Reply)
     if answer.error:
         raise Unanswered(answer.error)
     return answer.result
--- a/swiftchute/control/shell.py
+++ b/swiftchute/admin/server.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from swiftchute.control import lines
+from swiftchute.admin import protocol
 
 CONNECTIONS = 16
 IDLE = 30.0  # seconds without a request
@@ -29,7 +29,7 @@
     """One connection."""
 
     def __init__(self, control: "Control") -> None:
-        self.control, self.session = control, lines.Session()
+        self.control, self.session = control, protocol.Session()
         self.transport: asyncio.Transport | None = None
         self.idle: asyncio.TimerHandle | None = None
 
@@ -51,7 +51,7 @@
 
     def _end(self, cause: str) -> None:
         if self.transport is not None:
-            self.transport.write(lines.fault(cause))
+            self.transport.write(protocol.fault(cause))
             self.transport.close()
 
     def data_received(self, data: bytes) -> None:
@@ -61,7 +61,7 @@
         try:
             for request in self.session.feed(data):
                 self.transport.write(self.control.answer(request))
-        except lines.BadRequest as why:
+        except protocol.BadRequest as why:
             self._end(str(why))
             return
         if self.transport.get_write_buffer_size() > UNREAD:
@@ -82,17 +82,17 @@
         self.callers: set[_Caller] = set()
         self.server: asyncio.AbstractServer | None = None
 
-    def answer(self, request: lines.Request) -> bytes:
+    def answer(self, request: protocol.Request) -> bytes:
         """The reply to one request."""
         command = self.commands.get(request.command)
         if command is None:
-            return lines.fault(
+            return protocol.fault(
                 f"no command {request.command!r}; there are {', '.join(sorted(self.commands))}"
             )
         try:
-            return lines.reply(command(**request.arguments))
+            return protocol.reply(command(**request.arguments))
         except (Denied, TypeError, ValueError) as why:
-            return lines.fault(f"{request.command}: {why}")
+            return protocol.fault(f"{request.command}: {why}")
 
     async def start(self) -> None:
         """Take callers. Raises `OSError` with a plain cause if another planner listens there, or a file that
--- a/swiftchute/cli/main.py
+++ b/swiftchute/cli/main.py
@@ -55,7 +55,7 @@
     import uvloop
 
     from swiftchute.daemon.service import CannotListen, Service
-    from swiftchute.observe.log import setup
+    from swiftchute.observability.logging import setup
     from swiftchute.policy import Planner
 
     found = _load(config)
@@ -81,7 +81,7 @@
 
     from swiftchute.config.proxy import load as load_proxy
     from swiftchute.daemon.proxy import Daemon
-    from swiftchute.observe.log import setup
+    from swiftchute.observability.logging import setup
 
     found = _load(config, load_proxy)
     if check_only:
@@ -121,10 +121,10 @@
     import uvloop
 
     from swiftchute.drill import report
-    from swiftchute.drill.checker import judge
-    from swiftchute.drill.day import DAYS, Runner
-    from swiftchute.drill.troubles import KINDS, drawn, script
-    from swiftchute.drill.troubles import load as load_day
+    from swiftchute.drill.faults import KINDS, drawn, script
+    from swiftchute.drill.faults import load as load_day
+    from swiftchute.drill.invariants import judge
+    from swiftchute.drill.scenario import DAYS, Runner
 
     if listed or day is None:
         for name, known in DAYS.items():
@@ -165,18 +165,18 @@
     import multiprocessing
     from concurrent.futures import ProcessPoolExecutor
 
-    from swiftchute.drill import sabotage
+    from swiftchute.drill import faulty_policies
 
     wrong = 0
     jobs = max((os.cpu_count() or 2) // 2, 1)  # a day is a few processes
     with ProcessPoolExecutor(jobs, multiprocessing.get_context("spawn")) as pool:
-        cases = sabotage.cases(bad_day)
-        for case, result, verdicts in pool.map(sabotage.outcome, cases, [seed] * len(cases)):
+        cases = faulty_policies.cases(bad_day)
+        for case, result, verdicts in pool.map(faulty_policies.outcome, cases, [seed] * len(cases)):
             right = case.right(result, verdicts)
             wrong += not right
             found = [v for v in verdicts if v.broken]
             if case.kind == "broken" and right:
-                found = [v for v in found if v.rule == sabotage.SABOTEURS[case.name][1]]
+                found = [v for v in found if v.rule == faulty_policies.SABOTEURS[case.name][1]]
             told = [f"{v.rule} broken, {v.broken[0]}" for v in found]
             told += [f"replayed orders changed {', '.join(result.changed)}"] if result.changed else []
             said = "; ".join(told) or "all five rules kept"
@@ -194,8 +194,8 @@
 @click.option("--out", type=click.Path(dir_okay=False), help="Write the worst day's script to this file.")
 def search_days(seed: int, days: int, troubles: int, plays: int, out: str | None) -> None:
     """Draw days of troubles, look for a broken rule or the nearest to one, and cut that day down."""
-    from swiftchute.drill.search import search
-    from swiftchute.drill.troubles import script
+    from swiftchute.drill.faults import script
+    from swiftchute.drill.shrink import search
 
     found, small, took = search(seed, days, troubles, plays)
     for played in found:
@@ -227,7 +227,7 @@
     TABLE is JSON: {"lines": {"address:port": weight}, "zones": ["north"]}, perhaps with "level", "local",
     "demand" (invocations a second) and "full" (by kind, good answers a second of a warm server of weight 1).
     """
-    from swiftchute.guard import offline
+    from swiftchute.safety import offline
 
     settings = _load(config).settings
     try:
@@ -245,7 +245,7 @@
 
 def _asked(config: str, command: str, **arguments: Any) -> Any:
     """The running planner's answer; without one the command ends with exit code 2."""
-    from swiftchute.control.client import Unanswered, call
+    from swiftchute.admin.client import Unanswered, call
 
     found = _load(config)
     if found.control is None:
@@ -417,7 +417,7 @@
 @click.option("--bug", help="Put a known bug back in, by name; `list` names them.")
 def model(proxies: int, versions: int, channel: int, most: int, bug: str | None) -> None:
     """Explore how tables are kept in step, every interleaving of loss, doubling, reordering and restarts."""
-    from swiftchute.tables import model as small
+    from swiftchute.versions import model_checker as small
 
     if bug is not None and bug not in small.BUGS:
         click.echo("\n".join(small.BUGS), err=bug != "list")
--- a/swiftchute/config/proxy.py
+++ b/swiftchute/config/proxy.py
@@ -20,7 +20,7 @@
     size,
     span,
 )
-from swiftchute.proxy.core import Limits, Operation
+from swiftchute.proxy.request import Limits, Operation
 
 _MS, _S = 10**6, 10**9
 Fields = dict[str, tuple[Callable[[Any], Any], Any, str | None]]
--- a/swiftchute/config/schema.py
+++ b/swiftchute/config/schema.py
@@ -15,8 +15,8 @@
 
 from swiftchute.config.reader import Block, Problem, read
 from swiftchute.dns.names import BadName, Names, origin
-from swiftchute.guard.guard import RULES
 from swiftchute.interface import Operation, Settings
+from swiftchute.safety.validator import RULES
 
 MUST = object()
 _SPANS = {"ns": 1, "us": 10**3, "ms": 10**6, "s": 10**9, "m": 60 * 10**9, "h": 3600 * 10**9}
@@ -154,12 +154,12 @@
 
     def rows(value: Any) -> tuple[tuple[str, Any], ...]:
         if not isinstance(value, list):
-            raise ValueError(f"{value!r} is not a list of \"ZONE {what}\"")
+            raise ValueError(f'{value!r} is not a list of "ZONE {what}"')
         found = []
         for row in value:
             zone, _, rest = row.partition(" ") if isinstance(row, str) else ("", "", "")
             if not zone or not rest.strip():
-                raise ValueError(f"{row!r} is not \"ZONE {what}\"")
+                raise ValueError(f'{row!r} is not "ZONE {what}"')
             found.append((name(zone), parse(rest.strip())))
         return tuple(found)
 
--- a/swiftchute/planner/core.py
+++ b/swiftchute/controller/controller.py
@@ -17,20 +17,20 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from swiftchute.guard.gate import Gate
-from swiftchute.guard.guard import Fact, Known, Proposal, Rules
-from swiftchute.guard.seen import Seen, by_kind
+from swiftchute.controller.assignments import Round
+from swiftchute.controller.egress_queue import Channel
+from swiftchute.controller.load_aggregation import Report, Sums
+from swiftchute.controller.policy_runner import IDLE, Joined, Loop, S
+from swiftchute.discovery.endpoint_list import News
 from swiftchute.interface import Decider, Settings
-from swiftchute.planner.channel import Channel
-from swiftchute.planner.loop import IDLE, Joined, Loop, S
-from swiftchute.planner.orders import Round
-from swiftchute.planner.sums import Report, Sums
-from swiftchute.registry.lists import News
-from swiftchute.tables import form
-from swiftchute.tables.canary import Limits, Trials
-from swiftchute.tables.history import Change, History, Unknown
-from swiftchute.tables.pins import SPAN_LEAST, SPAN_MOST, Impossible, Pin, Pins, Rejected
-from swiftchute.tables.sent import Sent
+from swiftchute.safety.observed_traffic import Seen, by_kind
+from swiftchute.safety.publish_gate import Gate
+from swiftchute.safety.validator import Fact, Known, Proposal, Rules
+from swiftchute.versions import encoding
+from swiftchute.versions.canary import Limits, Trials
+from swiftchute.versions.delivery import Sent
+from swiftchute.versions.history import Change, History, Unknown
+from swiftchute.versions.pinning import SPAN_LEAST, SPAN_MOST, Impossible, Pin, Pins, Rejected
 
 SEALS_KEPT = 4096  # marks whose time of order is remembered
 FACTS_MOST = 200_000  # servers remembered, those gone among them: past it the gone are forgotten
@@ -288,7 +288,7 @@
                 levels = [held.get(op.name, row) for op, row in zip(self.set.operations, levels, strict=True)]
             lines = tuple((s, self._zone(s), w) for s, w in sorted(open_.items()))
             rows = [(op.name, *row) for op, row in zip(self.set.operations, levels, strict=True)]
-            made = form.table(rows, lines)
+            made = encoding.table(rows, lines)
             old = kept[1] if kept is not None else None
             version = self._note(number, made)
             kept = self.contents[number] = (table.revision, Content(lines, tuple(levels), version))
@@ -337,9 +337,9 @@
             return
         lines = tuple((s, self._zone(s), w) for s, w in sorted(rest.items()))
         rows = [(op.name, *row) for op, row in zip(self.set.operations, new.levels, strict=True)]
-        made = form.table(rows, lines)
+        made = encoding.table(rows, lines)
         self.history.note(f"{name}/rest", made, self.turned, "canary")
-        self.rests[number] = Content(lines, new.levels, form.name(made))
+        self.rests[number] = Content(lines, new.levels, encoding.name(made))
 
     def _tried(self, proxy: Any, report: Report, now: int) -> None:
         """A report of a proxy, for the trials of the tables that it is on."""
@@ -387,7 +387,7 @@
             return False
         return True
 
-    def _note(self, number: int, made: form.Table) -> bytes:
+    def _note(self, number: int, made: encoding.Table) -> bytes:
         """Keep a version, with its cause: an order's is what it changed. Returns its name."""
         name = self.table_name(number)
         before, cause = self.history.newest(name), self.why.pop(number, "")
--- a/swiftchute/planner/loop.py
+++ b/swiftchute/controller/policy_runner.py
@@ -18,8 +18,8 @@
 from dataclasses import dataclass
 from typing import Any
 
+from swiftchute.controller.assignments import LOGS_MOST, Orders, Round
 from swiftchute.interface import Call, Decider, Entry, Settings
-from swiftchute.planner.orders import LOGS_MOST, Orders, Round
 
 S = 1_000_000_000
 STALL = 2 * S  # a turn that comes so much later than it was due: this planner stood still
--- a/swiftchute/daemon/commands.py
+++ b/swiftchute/daemon/commands.py
@@ -4,11 +4,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from swiftchute.control.shell import Denied
-from swiftchute.planner.core import Core
-from swiftchute.tables import form
-from swiftchute.tables.history import Change, Unknown
-from swiftchute.tables.pins import Impossible
+from swiftchute.admin.server import Denied
+from swiftchute.controller.controller import Core
+from swiftchute.versions import encoding
+from swiftchute.versions.history import Change, Unknown
+from swiftchute.versions.pinning import Impossible
 
 S = 1_000_000_000
 MOST = 1000  # rows of an answer
@@ -75,7 +75,7 @@
         """The last changes, newest first."""
         return [self._change(change) for change in self.core.history.log(table, min(int(most), MOST))]
 
-    def _kept(self, table: str, version: str) -> tuple[Change, form.Table]:
+    def _kept(self, table: str, version: str) -> tuple[Change, encoding.Table]:
         change = self.core.history.find(table, version)
         content = self.core.history.get(change.version)
         if content is None:
@@ -87,8 +87,10 @@
         change, content = self._kept(table, version)
         pin = self.core.pins.by.get(table)
         return self._change(change) | {
-            "levels": [[op, millionths / form.MILLION, tries] for op, millionths, tries in content.levels],
-            "lines": [[server, zone, units / form.UNIT] for server, zone, units in content.lines],
+            "levels": [
+                [op, millionths / encoding.MILLION, tries] for op, millionths, tries in content.levels
+            ],
+            "lines": [[server, zone, units / encoding.UNIT] for server, zone, units in content.lines],
             "pinned": None if pin is None else {
                 "version": pin.change.version.hex(), "cause": pin.cause, "levels": pin.levels,
                 "seconds": round((pin.until - self.clock()) / S, 1),
@@ -99,18 +101,18 @@
     def diff(self, table: str, before: str, after: str) -> dict[str, Any]:
         """What changed from one version to another."""
         (one, old), (two, new) = self._kept(table, before), self._kept(table, after)
-        step, was = form.diff(old, new), {line[0]: line for line in old.lines}
+        step, was = encoding.diff(old, new), {line[0]: line for line in old.lines}
         return {
             "before": one.version.hex(),
             "after": two.version.hex(),
             "lines": [
-                [server, was[server][2] / form.UNIT if server in was else None, units / form.UNIT]
+                [server, was[server][2] / encoding.UNIT if server in was else None, units / encoding.UNIT]
                 for server, _, units in step.put
             ]
-            + [[server, was[server][2] / form.UNIT, None] for server in step.gone],
+            + [[server, was[server][2] / encoding.UNIT, None] for server in step.gone],
             "levels": None if step.levels is None else {"before": old.levels, "after": new.levels},
-            "bytes": len(form.encode(step)),
-            "whole": len(form.encode(new)),
+            "bytes": len(encoding.encode(step)),
+            "whole": len(encoding.encode(new)),
         }
 
     def rollback(
--- a/swiftchute/daemon/proxy.py
+++ b/swiftchute/daemon/proxy.py
@@ -6,11 +6,11 @@
 from typing import Any
 
 from swiftchute.config.proxy import ProxyConfig
-from swiftchute.proxy.ads import Client, Table
-from swiftchute.proxy.core import Core
-from swiftchute.proxy.keep import Keep
-from swiftchute.proxy.link import Link
-from swiftchute.proxy.shell import Proxy
+from swiftchute.proxy.control_client import Link
+from swiftchute.proxy.request import Core
+from swiftchute.proxy.server import Proxy
+from swiftchute.proxy.table_cache import Keep
+from swiftchute.proxy.xds_client import Client, Table
 
 SAVE_EVERY = 1.0  # seconds: a change is on disk so soon, and a busy planner writes no disk full
 
--- a/swiftchute/daemon/service.py
+++ b/swiftchute/daemon/service.py
@@ -5,19 +5,19 @@
 import time
 from typing import Any
 
+from swiftchute.admin.server import Control
 from swiftchute.config import Config
-from swiftchute.control.shell import Control
+from swiftchute.controller.controller import Core, Keep
 from swiftchute.daemon.commands import Commands
-from swiftchute.dns.front import Front as DnsFront
-from swiftchute.dns.shell import Shell as DnsShell
-from swiftchute.guard.guard import Rules
-from swiftchute.observe.log import mode_fields
-from swiftchute.planner.core import Core, Keep
+from swiftchute.discovery.endpoint_list import BadList, Registry
+from swiftchute.discovery.sources import FileSource, HttpSource
+from swiftchute.dns.frontend import Front as DnsFront
+from swiftchute.dns.server import Shell as DnsShell
+from swiftchute.observability.logging import mode_fields
 from swiftchute.policy import Planner
-from swiftchute.registry.lists import BadList, Registry
-from swiftchute.registry.sources import FileSource, HttpSource
-from swiftchute.xds.front import Front, Out
-from swiftchute.xds.shell import Shell
+from swiftchute.safety.validator import Rules
+from swiftchute.xds.frontend import Front, Out
+from swiftchute.xds.server import Shell
 
 S = 1_000_000_000
 ROUND = 5_000_000  # what comes in within so long makes one round, as in the bench's rounds
--- a/swiftchute/dns/front.py
+++ b/swiftchute/dns/frontend.py
@@ -23,16 +23,16 @@
 import dns.rdataclass
 import dns.rdatatype
 
-from swiftchute.dns.lease import Lease
-from swiftchute.dns.limits import CUT, DROP, Limiter
+from swiftchute.controller.controller import Content, Core, Turn
+from swiftchute.controller.load_aggregation import Report
+from swiftchute.dns.answer_cache import Counter, Ready
 from swiftchute.dns.names import Names
 from swiftchute.dns.query import EMPTY, SIZE_LEAST, SIZE_MOST, Bad, Network, Query, compose, plain, read
-from swiftchute.dns.ready import Counter, Ready
+from swiftchute.dns.rate_limit import CUT, DROP, Limiter
 from swiftchute.dns.records import Lines, Records, Shape
-from swiftchute.dns.transfer import Journal, Secondaries
+from swiftchute.dns.ttl import Lease
+from swiftchute.dns.zone_transfer import Journal, Secondaries
 from swiftchute.interface import Settings
-from swiftchute.planner.core import Content, Core, Turn
-from swiftchute.planner.sums import Report
 
 S = 1_000_000_000
 CHECK = S // 4  # how often what has settled is looked for, and rates are
--- a/swiftchute/dns/records.py
+++ b/swiftchute/dns/records.py
@@ -27,7 +27,7 @@
 from dns.rdtypes.IN.SRV import SRV
 
 from swiftchute.dns.names import Names, address
-from swiftchute.dns.shares import draws, srv_weights
+from swiftchute.dns.srv_weights import draws, srv_weights
 
 IN = dns.rdataclass.IN
 _OWNER = 0xC00C  # a pointer at the question's name, which stands behind the head
--- a/swiftchute/dns/shell.py
+++ b/swiftchute/dns/server.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from swiftchute.dns.front import Front
-from swiftchute.planner.core import Turn
+from swiftchute.controller.controller import Turn
+from swiftchute.dns.frontend import Front
 
 S = 1_000_000_000
 HEAD = 12  # bytes of the shortest message
--- a/swiftchute/dns/shares.py
+++ b/swiftchute/dns/srv_weights.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Sequence
 
-from swiftchute.tables.form import UNIT
+from swiftchute.versions.encoding import UNIT
 
 WEIGHT_MOST = 65_535  # RFC 2782: 16 bits; 0 is kept for "no choice to make"
 ANSWERS_MOST = 1024
--- a/swiftchute/dns/transfer.py
+++ b/swiftchute/dns/zone_transfer.py
@@ -28,8 +28,8 @@
 
 from swiftchute.dns.names import Names
 from swiftchute.dns.records import Lines, Records, Shape
-from swiftchute.tables.form import UNIT
-from swiftchute.tables.history import History
+from swiftchute.versions.encoding import UNIT
+from swiftchute.versions.history import History
 
 S = 1_000_000_000
 KEPT = 256  # serials of which a difference can be given; past it the whole goes out
--- a/swiftchute/drill/acts.py
+++ b/swiftchute/drill/fault_actions.py
@@ -13,10 +13,10 @@
 import time
 from typing import Any
 
-from swiftchute.control.client import Unanswered, call
-from swiftchute.standin.gateway import Gateway
-from swiftchute.standin.relay import Relay
-from swiftchute.standin.worker import Worker
+from swiftchute.admin.client import Unanswered, call
+from swiftchute.fakes.backend import Worker
+from swiftchute.fakes.gateway import Gateway
+from swiftchute.fakes.relay import Relay
 
 S = 1_000_000_000
 ZONES = ("north", "south", "west")
@@ -440,7 +440,6 @@
         client.refuses = lambda kind, name, message: None
 
 
-
 def _settled(log: list[dict[str, Any]]) -> int | None:
     """How many tables of a log are taken back, if all proxies acknowledged the newest of each; else None."""
     newest = {entry["table"]: entry for entry in log if entry["newest"]}
--- a/swiftchute/drill/troubles.py
+++ b/swiftchute/drill/faults.py
@@ -28,8 +28,8 @@
 
 from swiftchute.config.reader import Problem, read
 from swiftchute.config.schema import BadConfig, Check, number, one_of, span
-from swiftchute.drill.acts import ZONES
-from swiftchute.drill.day import DAYS, Day, Trouble
+from swiftchute.drill.fault_actions import ZONES
+from swiftchute.drill.scenario import DAYS, Day, Trouble
 
 S = 1_000_000_000
 
--- a/swiftchute/drill/sabotage.py
+++ b/swiftchute/drill/faulty_policies.py
@@ -2,10 +2,10 @@
 
     for case in cases(bad_day=True): outcome = case.play(seed)
 
-`swiftchute serve CONFIG --decider swiftchute.drill.sabotage:Empties` runs one in a planner. Each breaks one
-of the five rules where no guard stands between it and the gateways; under the guard all five must hold, on
-the same day and on the bad day. A case that should break its rule and does not says that the drill sees
-nothing.
+`swiftchute serve CONFIG --decider swiftchute.drill.faulty_policies:Empties` runs one in a planner. Each
+breaks one of the five rules where no guard stands between it and the gateways; under the guard all five must
+hold, on the same day and on the bad day. A case that should break its rule and does not says that the drill
+sees nothing.
 """
 
 import math
@@ -13,9 +13,9 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from swiftchute.drill.checker import Verdict, judge
-from swiftchute.drill.day import DAYS, Day, Result, Runner, Trouble
+from swiftchute.drill.invariants import Verdict, judge
 from swiftchute.drill.report import broken
+from swiftchute.drill.scenario import DAYS, Day, Result, Runner, Trouble
 from swiftchute.interface import Call, Writer
 from swiftchute.policy import Planner
 
--- a/swiftchute/drill/checker.py
+++ b/swiftchute/drill/invariants.py
@@ -12,10 +12,10 @@
 
 from envoy.service.discovery.v3.discovery_pb2 import DeltaDiscoveryResponse, DiscoveryResponse
 
+from swiftchute.fakes.backend import Receipt
+from swiftchute.fakes.gateway import Order, Stream, Try
 from swiftchute.interface import Settings
-from swiftchute.proxy.ads import Client
-from swiftchute.standin.gateway import Order, Stream, Try
-from swiftchute.standin.worker import Receipt
+from swiftchute.proxy.xds_client import Client
 
 S = 1_000_000_000
 
--- a/swiftchute/drill/predict.py
+++ b/swiftchute/drill/predict.py
@@ -12,8 +12,8 @@
 
 from scipy import stats
 
-from swiftchute.drill.checker import Evidence
-from swiftchute.proxy.ads import Client
+from swiftchute.drill.invariants import Evidence
+from swiftchute.proxy.xds_client import Client
 
 
 @dataclass(frozen=True)
--- a/swiftchute/drill/report.py
+++ b/swiftchute/drill/report.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from swiftchute.drill.checker import Verdict
-from swiftchute.drill.day import Result
+from swiftchute.drill.invariants import Verdict
+from swiftchute.drill.scenario import Result
 
 
 def broken(result: Result, verdicts: list[Verdict]) -> bool:
--- a/swiftchute/drill/day.py
+++ b/swiftchute/drill/scenario.py
@@ -21,14 +21,14 @@
 from typing import Any
 
 from swiftchute.config import load
-from swiftchute.drill.acts import ZONES, Acts
-from swiftchute.drill.checker import Evidence, Told
-from swiftchute.observe.log import setup
-from swiftchute.proxy.ads import Client
-from swiftchute.standin.gateway import Gateway, Try
-from swiftchute.standin.relay import Relay
-from swiftchute.standin.resolver import Caller, Resolver
-from swiftchute.standin.worker import Facts, Worker
+from swiftchute.drill.fault_actions import ZONES, Acts
+from swiftchute.drill.invariants import Evidence, Told
+from swiftchute.fakes.backend import Facts, Worker
+from swiftchute.fakes.gateway import Gateway, Try
+from swiftchute.fakes.relay import Relay
+from swiftchute.fakes.resolver import Caller, Resolver
+from swiftchute.observability.logging import setup
+from swiftchute.proxy.xds_client import Client
 
 S = 1_000_000_000
 _RUNS = itertools.count()
@@ -108,7 +108,7 @@
         workers=12,
         gateways=12,
         rate=6.0,
-        decider="swiftchute.drill.sabotage:Skews",
+        decider="swiftchute.drill.faulty_policies:Skews",
     ),
     "dns-day": Day(
         "gateways and DNS clients on the same workers: a deploy, deaths, a planner that dies and returns,"
@@ -129,7 +129,7 @@
          _t(12, "return_planner", 0)),
         workers=12,
         gateways=12,
-        decider="swiftchute.drill.sabotage:Skews",
+        decider="swiftchute.drill.faulty_policies:Skews",
     ),
     "canary": Day(
         "a server fails what it takes, and a bad table sends nearly everything there; a part of the gateways"
@@ -140,7 +140,7 @@
         workers=12,
         gateways=24,
         planners=1,
-        decider="swiftchute.drill.sabotage:Lures",
+        decider="swiftchute.drill.faulty_policies:Lures",
         once=0.3,
         tables={"canary_part": 0.25, "canary_for": "2s", "canary_most": "15s"},
     ),
--- a/swiftchute/drill/search.py
+++ b/swiftchute/drill/shrink.py
@@ -14,10 +14,10 @@
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import dataclass, replace
 
-from swiftchute.drill.checker import Verdict, judge
-from swiftchute.drill.day import Day, Runner, Trouble
+from swiftchute.drill.faults import KINDS, drawn
+from swiftchute.drill.invariants import Verdict, judge
 from swiftchute.drill.report import broken
-from swiftchute.drill.troubles import KINDS, drawn
+from swiftchute.drill.scenario import Day, Runner, Trouble
 
 TWICE = "no effect twice"  # one run of one allowed is no nearness
 
--- a/swiftchute/standin/worker.py
+++ b/swiftchute/fakes/backend.py
@@ -16,9 +16,9 @@
 from grpclib.exceptions import GRPCError
 from grpclib.server import Stream
 
-from swiftchute.xds.shell import Breakable, Raw
+from swiftchute.xds.server import Breakable, Raw
 
-SERVICE = "/swiftchute.standin.Worker/"
+SERVICE = "/swiftchute.fakes.Worker/"
 RECEIPTS_MOST = 200_000
 
 
--- a/swiftchute/standin/gateway.py
+++ b/swiftchute/fakes/gateway.py
@@ -8,14 +8,14 @@
 import time
 from dataclasses import dataclass, field
 
-from swiftchute.proxy.ads import Client
-from swiftchute.proxy.answers import Asked
-from swiftchute.proxy.core import Core, Invocation, Limits, Operation
-from swiftchute.proxy.link import Link
-from swiftchute.proxy.shell import Proxy
-from swiftchute.proxy.tries import WITHDRAWN, End
-from swiftchute.proxy.wire import Message
-from swiftchute.standin.worker import SERVICE
+from swiftchute.fakes.backend import SERVICE
+from swiftchute.proxy.control_client import Link
+from swiftchute.proxy.http_framing import Message
+from swiftchute.proxy.request import Core, Invocation, Limits, Operation
+from swiftchute.proxy.response_headers import Asked
+from swiftchute.proxy.retry import WITHDRAWN, End
+from swiftchute.proxy.server import Proxy
+from swiftchute.proxy.xds_client import Client
 
 RECORD_MOST = 500_000
 WAITING_MOST = 200
--- a/swiftchute/standin/resolver.py
+++ b/swiftchute/fakes/resolver.py
@@ -16,9 +16,9 @@
 import dns.rcode
 import dns.rdatatype
 
-from swiftchute.proxy.ads import Client, Table
-from swiftchute.proxy.core import Operation
-from swiftchute.standin.gateway import TIMEOUT, Gateway
+from swiftchute.fakes.gateway import TIMEOUT, Gateway
+from swiftchute.proxy.request import Operation
+from swiftchute.proxy.xds_client import Client, Table
 
 WAIT = 0.5  # seconds for an answer
 FAILED = 0.2  # seconds that a failure is kept
--- a/swiftchute/platform/__main__.py
+++ b/swiftchute/platform/__main__.py
@@ -12,8 +12,8 @@
     import uvloop  # these take most of the start: a signal may come meanwhile
 
     from swiftchute.platform import settings
-    from swiftchute.platform.log import Log
-    from swiftchute.platform.shell import Shell
+    from swiftchute.platform.logging import Log
+    from swiftchute.platform.server import Shell
 
     try:
         told = settings.read(os.environ)
--- a/swiftchute/platform/watches.py
+++ b/swiftchute/platform/discovery_client.py
@@ -19,7 +19,7 @@
 from random import Random
 from typing import Any
 
-from swiftchute.platform.catalog import BadWatch, Catalog, News, Watch
+from swiftchute.platform.endpoint_list import BadWatch, Catalog, News, Watch
 
 S = 1_000_000_000
 Address = tuple[str, int]
--- a/swiftchute/platform/stream.py
+++ b/swiftchute/platform/proxy_session.py
@@ -13,10 +13,10 @@
 from collections import deque
 from typing import TYPE_CHECKING, Any
 
-from swiftchute.platform import messages
+from swiftchute.platform import wire_messages
 
 if TYPE_CHECKING:
-    from swiftchute.platform.front import Front
+    from swiftchute.platform.session_manager import Front
 
 MS = 1_000_000
 FIRST_MOST = 1 << 13  # bytes of a message before joining: as many connections as descriptors may hold them
@@ -77,7 +77,7 @@
         self._too_long(len(self.rest))
 
     def _too_long(self, size: int) -> bool:
-        most = messages.LINE_MOST if self.joined else FIRST_MOST
+        most = wire_messages.LINE_MOST if self.joined else FIRST_MOST
         if size > most:
             self.end(f"a message of more than {most} bytes")
             self.rest.clear()
@@ -85,22 +85,22 @@
 
     def _line(self, line: bytes, now: int) -> None:
         try:
-            message = messages.read(line)
-        except messages.Spoilt as why:
+            message = wire_messages.read(line)
+        except wire_messages.Spoilt as why:
             if self.joined:
                 self.front.dropped(self, str(why))
             else:
                 self.end(str(why))
             return
-        except messages.Unreadable as why:
+        except wire_messages.Unreadable as why:
             if not line.strip():
                 self.end("an empty line")
             else:
                 self.end(f"unreadable: {why}")
             return
         kind = type(message)
-        if kind is messages.Probe:
-            self.out.append(messages.ALIVE)
+        if kind is wire_messages.Probe:
+            self.out.append(wire_messages.ALIVE)
             return
         cause = self.front.take(self, message, now)
         if cause is None:
@@ -115,7 +115,7 @@
         if self.ended is None:
             self.ended = cause
             if tell and self.zone is None:
-                self.out.append(messages.error(cause))
+                self.out.append(wire_messages.error(cause))
 
     # -- marks
 
--- a/swiftchute/platform/writer.py
+++ b/swiftchute/platform/push_encoder.py
@@ -19,9 +19,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from swiftchute.controller.assignments import Orders
 from swiftchute.interface import Entry, Settings
-from swiftchute.planner.orders import Orders
-from swiftchute.platform import messages
+from swiftchute.platform import wire_messages
 
 PART_LINES = 2000  # lines of one part of a message; far below the protocol's size of a message
 PARTS_MOST = 64  # parts of one message, the protocol's limit
@@ -255,7 +255,7 @@
         )  # fmt: skip
         last = len(parts) - 1
         data = b"".join(
-            messages.line({"msg": "push"} | part | ({"continued": True} if place < last else {}))
+            wire_messages.line({"msg": "push"} | part | ({"continued": True} if place < last else {}))
             for place, part in enumerate(parts)
         )
         return data, lines
--- a/swiftchute/platform/shell.py
+++ b/swiftchute/platform/server.py
@@ -16,13 +16,13 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from swiftchute.planner.loop import Loop
+from swiftchute.controller.policy_runner import Loop
 from swiftchute.platform import settings as reader
-from swiftchute.platform.catalog import BadWatch, Catalog
-from swiftchute.platform.front import OUT_MOST, Front
+from swiftchute.platform.discovery_client import Dial, Link, Watches
+from swiftchute.platform.endpoint_list import BadWatch, Catalog
+from swiftchute.platform.session_manager import OUT_MOST, Front
 from swiftchute.platform.settings import BadSettings, Told
 from swiftchute.platform.signals import StartupSignals
-from swiftchute.platform.watches import Dial, Link, Watches
 from swiftchute.policy import Planner
 
 MS, S = 1_000_000, 1_000_000_000
@@ -318,4 +318,3 @@
         self.front.sockets = self.sockets()
         self.watches.at(told.discovery, self.clock())
         self.watch()
-
--- a/swiftchute/platform/front.py
+++ b/swiftchute/platform/session_manager.py
@@ -14,12 +14,12 @@
 from collections.abc import Iterable, Iterator, KeysView
 from typing import Any
 
+from swiftchute.controller.assignments import Round
+from swiftchute.controller.policy_runner import Loop
 from swiftchute.interface import Entry
-from swiftchute.planner.loop import Loop
-from swiftchute.planner.orders import Round
-from swiftchute.platform import messages
-from swiftchute.platform.stream import Stream
-from swiftchute.platform.writer import TooLarge, Writer
+from swiftchute.platform import wire_messages
+from swiftchute.platform.proxy_session import Stream
+from swiftchute.platform.push_encoder import TooLarge, Writer
 
 MS, S = 1_000_000, 1_000_000_000
 JOIN_WITHIN = 1 * S  # a connection that has not joined by then is closed, once its socket was read again
@@ -123,19 +123,19 @@
     def take(self, stream: Stream, message: Any, now: int) -> str | None:
         """A message other than `probe`; returns why it cannot be used, or None."""
         kind = type(message)
-        if kind is messages.Hello:
+        if kind is wire_messages.Hello:
             return self._hello(stream, message, now)
-        if kind is messages.Agent:
+        if kind is wire_messages.Agent:
             return self._agent(stream, message)
         if not stream.joined:
             return "a report before joining"
-        if kind is messages.Ack:
+        if kind is wire_messages.Ack:
             return self._ack(stream, message)
-        if kind is messages.Outcomes:
+        if kind is wire_messages.Outcomes:
             return self._outcomes(stream, message)
         return self._demand(stream, message)
 
-    def _hello(self, stream: Stream, message: messages.Hello, now: int) -> str | None:
+    def _hello(self, stream: Stream, message: wire_messages.Hello, now: int) -> str | None:
         if stream.joined:
             return "a second joining"
         if message.proxy >= self.set.proxies:
@@ -158,7 +158,7 @@
         self.loop.joined(proxy, message.zone, message.weight, message.fresh)
         return None
 
-    def _agent(self, stream: Stream, message: messages.Agent) -> str | None:
+    def _agent(self, stream: Stream, message: wire_messages.Agent) -> str | None:
         if stream.joined:
             return "a second joining"
         if message.zone not in self.zones:
@@ -174,7 +174,7 @@
         self.collectors[stream] = None
         return None
 
-    def _ack(self, stream: Stream, message: messages.Ack) -> str | None:
+    def _ack(self, stream: Stream, message: wire_messages.Ack) -> str | None:
         if message.proxy != stream.proxy:
             return "an answer of another proxy"
         if message.took_ms * MS > SPAN_MOST:
@@ -187,12 +187,12 @@
             self.loop.tell(("applied", (stream.proxy, message.mark, int(message.took_ms * MS))))
         return None
 
-    def _span(self, message: messages.Outcomes | messages.Demand) -> str | None:
+    def _span(self, message: wire_messages.Outcomes | wire_messages.Demand) -> str | None:
         if not 0 < message.span_ms * MS <= SPAN_MOST:
             return f"span_ms {message.span_ms:g}"
         return None
 
-    def _outcomes(self, stream: Stream, message: messages.Outcomes) -> str | None:
+    def _outcomes(self, stream: Stream, message: wire_messages.Outcomes) -> str | None:
         if stream.zone is None:
             return "a report of outcomes on a proxy's stream"
         if message.zone not in self.zones:
@@ -212,7 +212,7 @@
         if load is not None:
             if not all(math.isfinite(v) and v >= 0 for v in load.values()):
                 return "a load figure below 0"
-            load = {messages.LOADS.get(name, name): value for name, value in load.items()}
+            load = {wire_messages.LOADS.get(name, name): value for name, value in load.items()}
         self.counts["reports"] += 1
         took = int(mean * MS) if good and mean is not None else 0
         row = (message.zone, message.server, message.tries, message.failed, took,
@@ -220,7 +220,7 @@
         self.loop.tell(("met", row))
         return None
 
-    def _demand(self, stream: Stream, message: messages.Demand) -> str | None:
+    def _demand(self, stream: Stream, message: wire_messages.Demand) -> str | None:
         if message.proxy != stream.proxy and stream.zone is None:
             return "usage of another proxy"
         if message.proxy not in self.streams:
--- a/swiftchute/platform/settings.py
+++ b/swiftchute/platform/settings.py
@@ -3,8 +3,8 @@
 
     told = read(environment)        # raises BadSettings: file, field and cause
 
-`settings` in it is checked here, field by field, and read by `wirehost.codec.settings`, as on the simulator's
-wire.
+`settings` in it is checked here, field by field, and read by `simulator.codec.settings`, as on the
+simulator's wire.
 """
 
 import ipaddress
@@ -17,7 +17,7 @@
 import msgspec
 
 from swiftchute.interface import Settings
-from swiftchute.wirehost import codec
+from swiftchute.simulator import codec
 
 FILE_MOST = 16 << 20  # bytes of the file
 SOCKETS_LEAST = 64
--- a/swiftchute/policy.py
+++ b/swiftchute/policy.py
@@ -117,8 +117,10 @@
         self.rest = dict.fromkeys(ways, 0)  # until when an ill way is not borrowed over
         self.carried = {zone: deque(maxlen=CARRIED) for zone in settings.zones}  # a second, by unit of weight
         # an operation a row: its bit, its objective, whether it stays in its zone, whether it may run again
-        self.operations = [(1 << k, op.objective, op.own_zone, op.repeats == "idempotent")
-                           for k, op in enumerate(settings.operations)]
+        self.operations = [
+            (1 << k, op.objective, op.own_zone, op.repeats == "idempotent")
+            for k, op in enumerate(settings.operations)
+        ]
         self.objective = min(objective for _, objective, _, _ in self.operations)
         self.tries = settings.usual_tries
         if not all(again for *_, again in self.operations):
@@ -169,8 +171,11 @@
         self.retry_wait = S
         if scope in ("whole", "held"):
             named = {e[0] for e in entries}
-            entries = [*entries] + [(n, s.zone, "", 0, "gone", s.weight, s.started)
-                                    for n, s in self.servers.items() if n not in named]
+            entries = [*entries] + [
+                (n, s.zone, "", 0, "gone", s.weight, s.started)
+                for n, s in self.servers.items()
+                if n not in named
+            ]
         for entry in entries:
             known = self.servers.get(entry[0])
             if known is None or entry[6] != known.started:  # a restart: what was measured is void
@@ -234,8 +239,10 @@
 
     def answered(self, zone, servers, longest=CARRIED * S):
         """Good answers a second to the proxies of a zone, by the last news of each server."""
-        lasts = [[x for x in s.samples if x[5] == zone and x[4] <= longest and self.now - x[0] <= FRESH][-1:]
-                 for s in servers]
+        lasts = [
+            [x for x in s.samples if x[5] == zone and x[4] <= longest and self.now - x[0] <= FRESH][-1:]
+            for s in servers
+        ]
         return sum((n - bad) * S / max(span, 1) for _, n, bad, _, span, _ in chain.from_iterable(lasts))
 
     def pressure(self, zone, at, part=0.5):
@@ -273,8 +280,12 @@
             target = min(max(usual / cost, TUNED[0]), most)
             fails = errored > FAILS * tries and target < server.tuned  # time-outs are late news already
             server.tuned *= (target / server.tuned) ** (1.0 if fails else STEP if cold else step)
-            self.mode(f"cut {name}", server.tuned < CUT, f"{errored} of {tries} tries errored,"
-                      f" {cost / MS:.0f} ms a good answer, usual {usual / MS:.0f}")
+            self.mode(
+                f"cut {name}",
+                server.tuned < CUT,
+                f"{errored} of {tries} tries errored,"
+                f" {cost / MS:.0f} ms a good answer, usual {usual / MS:.0f}",
+            )
         for zone in self.set.zones:
             warm = [s for s in live.values() if s.zone == zone and not self.cold(s)]
             if warm:
@@ -345,7 +356,8 @@
         The most that its zone's servers carried of late stands for a full capacity; before any report,
         what the proxies said at joining does."""
         carried = max(self.carried.get(server.zone, ()), default=0) or self.arriving(server.zone) / max(
-            sum(s.weight for s in self.servers.values() if s.zone == server.zone), 1)
+            sum(s.weight for s in self.servers.values() if s.zone == server.zone), 1
+        )
         now = self.set.start_capacity + (1 - self.set.start_capacity) * self.warmth(server)
         return SAFE * self.set.fall_multiple * now * carried * server.weight
 
@@ -376,15 +388,20 @@
     def form_groups(self):
         """Servers of a zone form groups, with a table for what may cross zones and one for what may not."""
         ready = [s for s in self.servers.values() if s.state == "ready"]
-        masks = [(sum(bit for bit, _, stays, _ in self.operations if stays == local), local)
-                 for local in (False, True)]
+        masks = [
+            (sum(bit for bit, _, stays, _ in self.operations if stays == local), local)
+            for local in (False, True)
+        ]
         for zone in [z for z, count in self.groups.items() if not count and ready]:
             here = sum(s.zone == zone for s in ready)
             self.groups[zone] = max(1, here // self.set.standing)
             for group in range(self.groups[zone]):
                 first = 2 * len(self.tables) + 1
-                self.tables[zone, group] = [Table(first + local, zone, group, local, mask, self.tries)
-                                            for mask, local in masks if mask]
+                self.tables[zone, group] = [
+                    Table(first + local, zone, group, local, mask, self.tries)
+                    for mask, local in masks
+                    if mask
+                ]
         for server in ready:
             if server.group is None and server.zone in self.groups:
                 peers = [s.group for s in ready if s.zone == server.zone]
@@ -430,8 +447,11 @@
             alone = all(self.cold(ready[n]) for n in own)
             # to each group a part of the others: connections and lines would grow as proxies times servers
             parts, part = max(self.groups.values()), table.group + self.set.zones.index(table.zone)
-            abroad = {n: 1.0 if alone else self.borrow.get((table.zone, s.zone), 0.0)
-                      for n, s in ready.items() if s.zone != table.zone and not table.local}
+            abroad = {
+                n: 1.0 if alone else self.borrow.get((table.zone, s.zone), 0.0)
+                for n, s in ready.items()
+                if s.zone != table.zone and not table.local
+            }
             mine = {n: share for n, share in abroad.items() if (ready[n].place - part) % parts == 0} or abroad
             lent = {n: share * weights[n] for n, share in mine.items() if share > BORROW_LEAST}
             warm = [n for n in lent if not self.cold(ready[n])]
@@ -479,8 +499,10 @@
 
     def demand(self, proxy):
         """Invocations a second that came to a proxy of late; before any report, what it said at joining."""
-        rates = [sum(n for n, _ in last) * S / max(sum(span for _, span in last), 1)
-                 for last in proxy.arrived.values()]
+        rates = [
+            sum(n for n, _ in last) * S / max(sum(span for _, span in last), 1)
+            for last in proxy.arrived.values()
+        ]
         return sum(rates) if rates else proxy.rate
 
     def arriving(self, zone):
@@ -494,8 +516,11 @@
             if not changed:
                 continue
             bound = [p for p, proxy in self.proxies.items() if (proxy.zone, proxy.group) == (zone, group)]
-            due = any(self.now - t.pushed >= TABLE_EVERY
-                      and (self.now - t.last >= QUIET or self.now - t.first >= QUIET_CAP) for t in changed)
+            due = any(
+                self.now - t.pushed >= TABLE_EVERY
+                and (self.now - t.last >= QUIET or self.now - t.first >= QUIET_CAP)
+                for t in changed
+            )
             if any(t.urgent for t in changed):
                 self.send(changed, bound, True)
             if due or not bound:
--- a/swiftchute/proxy/link.py
+++ b/swiftchute/proxy/control_client.py
@@ -15,8 +15,8 @@
 from grpclib.const import Cardinality
 from grpclib.exceptions import GRPCError, StreamTerminatedError
 
-from swiftchute.proxy.ads import Client
-from swiftchute.xds.shell import ADS, LRS, Raw
+from swiftchute.proxy.xds_client import Client
+from swiftchute.xds.server import ADS, LRS, Raw
 
 LOST = (GRPCError, StreamTerminatedError, ConnectionError, OSError, asyncio.TimeoutError)
 CONNECT_WITHIN = 2.0
--- a/swiftchute/proxy/core.py
+++ b/swiftchute/proxy/request.py
@@ -21,10 +21,10 @@
 
 import xxhash
 
-from swiftchute.proxy.ads import Client, Table
-from swiftchute.proxy.avoid import Avoided
-from swiftchute.proxy.pick import Alias, Picker, Rotation, TwoChoices, choose
-from swiftchute.proxy.tries import LATE, WITHDRAWN, Budget, End, again
+from swiftchute.proxy.load_balancing import Alias, Picker, Rotation, TwoChoices, choose
+from swiftchute.proxy.outlier_ejection import Avoided
+from swiftchute.proxy.retry import LATE, WITHDRAWN, Budget, End, again
+from swiftchute.proxy.xds_client import Client, Table
 from swiftchute.xds import names
 
 S = 1_000_000_000
--- a/swiftchute/proxy/answers.py
+++ b/swiftchute/proxy/response_headers.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass
 from urllib.parse import unquote
 
-from swiftchute.proxy.tries import ANSWERED, ERRORED, End
-from swiftchute.proxy.wire import Headers, Message
+from swiftchute.proxy.http_framing import Headers, Message
+from swiftchute.proxy.retry import ANSWERED, ERRORED, End
 
 S = 1_000_000_000
 _UNITS = {b"H": 3600 * S, b"M": 60 * S, b"S": S, b"m": 10**6, b"u": 10**3, b"n": 1}
--- a/swiftchute/proxy/tries.py
+++ b/swiftchute/proxy/retry.py
@@ -19,7 +19,7 @@
 
 from dataclasses import dataclass
 
-from swiftchute.proxy.ads import Table
+from swiftchute.proxy.xds_client import Table
 
 S = 1_000_000_000
 BURST = 10  # seconds of invocations that a budget remembers
--- a/swiftchute/proxy/shell.py
+++ b/swiftchute/proxy/server.py
@@ -11,11 +11,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from swiftchute.proxy import answers
-from swiftchute.proxy.core import Core, Invocation, Turned
-from swiftchute.proxy.pool import DIAL, FULL, Limits, Line, Pool
-from swiftchute.proxy.tries import BROKEN, ERRORED, LATE, REFUSED, UNREACHABLE, UNSENT, WITHDRAWN, End
-from swiftchute.proxy.wire import (
+from swiftchute.proxy import response_headers
+from swiftchute.proxy.connection_pool import DIAL, FULL, Limits, Line, Pool
+from swiftchute.proxy.http_framing import (
     CANCEL,
     REFUSED_STREAM,
     Broken,
@@ -27,6 +25,8 @@
     Reset,
     TooLarge,
 )
+from swiftchute.proxy.request import Core, Invocation, Turned
+from swiftchute.proxy.retry import BROKEN, ERRORED, LATE, REFUSED, UNREACHABLE, UNSENT, WITHDRAWN, End
 
 S = 1_000_000_000
 PREFACE = b"PRI * HTTP/2.0"
@@ -381,12 +381,12 @@
 
     async def answer(self, message: Message, key: str, second: bool) -> Message:
         """One invocation of a caller, from its request to its answer."""
-        asked = answers.read(message)
+        asked = response_headers.read(message)
         why, reply = await self.invoke(message, asked, key, second)
-        return reply if reply is not None else answers.turned(why, asked.rpc)
+        return reply if reply is not None else response_headers.turned(why, asked.rpc)
 
     async def invoke(
-        self, message: Message, asked: answers.Asked, key: str, second: bool
+        self, message: Message, asked: response_headers.Asked, key: str, second: bool
     ) -> tuple[str, Message | None]:
         """How an invocation ended ("answered", or why not), and the server's answer if there was one."""
         inv = self.core.came(asked.operation, key, self.clock())
@@ -428,7 +428,7 @@
         good, number = False, None
         try:
             try:
-                number, future = made.send(answers.onward(message, rpc, until - self.clock()))
+                number, future = made.send(response_headers.onward(message, rpc, until - self.clock()))
             except Broken:
                 line.closing = True
                 return UNSENT, None
@@ -436,7 +436,7 @@
             async with asyncio.timeout(max(until - self.clock(), 0) / S):
                 end, reply = await future
             if reply is not None:
-                end = answers.judge(reply, rpc)
+                end = response_headers.judge(reply, rpc)
             good = end.good
             return end, reply
         except TimeoutError:
@@ -445,4 +445,3 @@
             if number is not None:
                 made.give_up(number)
             upstream.freed(line, good)
-
--- a/swiftchute/proxy/keep.py
+++ b/swiftchute/proxy/table_cache.py
@@ -13,7 +13,7 @@
 import msgspec
 import xxhash
 
-from swiftchute.proxy.ads import Table
+from swiftchute.proxy.xds_client import Table
 
 S = 1_000_000_000
 FORMAT = 1
--- a/swiftchute/proxy/ads.py
+++ b/swiftchute/proxy/xds_client.py
@@ -34,7 +34,7 @@
 from google.protobuf.message import DecodeError
 
 from swiftchute.xds import names
-from swiftchute.xds.loads import TOOK
+from swiftchute.xds.load_reports import TOOK
 
 _TYPES = {
     names.CDS: Cluster,
--- a/swiftchute/guard/seen.py
+++ b/swiftchute/safety/observed_traffic.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any
 
-from swiftchute.guard.guard import Fact
 from swiftchute.interface import Call
+from swiftchute.safety.validator import Fact
 
 S = 1_000_000_000
 FRESH = 10 * S  # a sum counts for so long beyond its span: large fleets are told of in turn
--- a/swiftchute/guard/offline.py
+++ b/swiftchute/safety/offline.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
-from swiftchute.guard.guard import Fact, Guard, Known, Proposal, Rules, Verdict
+from swiftchute.discovery.endpoint_list import BadList, Registry
 from swiftchute.interface import Settings
-from swiftchute.registry.lists import BadList, Registry
+from swiftchute.safety.validator import Fact, Guard, Known, Proposal, Rules, Verdict
 
 
 class BadInput(Exception):
--- a/swiftchute/guard/gate.py
+++ b/swiftchute/safety/publish_gate.py
@@ -18,8 +18,8 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from swiftchute.guard.guard import LATE, Fact, Guard, Known, Proposal, Refusal, Rules
 from swiftchute.interface import Settings
+from swiftchute.safety.validator import LATE, Fact, Guard, Known, Proposal, Refusal, Rules
 
 S = 1_000_000_000
 LEAVE = S // 3  # unordered, a table moves only after so long: most of what the list brings is ordered by then
--- a/swiftchute/guard/guard.py
+++ b/swiftchute/safety/validator.py
@@ -34,9 +34,9 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, field
 
-from swiftchute.guard.late import worst
-from swiftchute.guard.pools import Over, Pools, blend
 from swiftchute.interface import Settings
+from swiftchute.safety.stale_list import worst
+from swiftchute.safety.step_limits import Over, Pools, blend
 
 RULES = (
     "bad weight", "barred server", "own zone", "empty pool", "no warm server", "one line", "cold budget",
--- a/swiftchute/wirehost/__main__.py
+++ b/swiftchute/simulator/__main__.py
@@ -1,9 +1,9 @@
-"""`python -m swiftchute.wirehost`: batches on standard input, replies on standard output."""
+"""`python -m swiftchute.simulator`: batches on standard input, replies on standard output."""
 
 import sys
 
 from swiftchute.policy import Planner
-from swiftchute.wirehost.host import serve
+from swiftchute.simulator.host import serve
 
 if __name__ == "__main__":
     sys.exit(serve(sys.stdin.buffer, sys.stdout, sys.stderr, Planner))
--- a/swiftchute/wirehost/host.py
+++ b/swiftchute/simulator/host.py
@@ -6,7 +6,7 @@
 from typing import Any, BinaryIO, TextIO
 
 from swiftchute.interface import Call, Decider, Settings
-from swiftchute.wirehost import codec
+from swiftchute.simulator import codec
 
 Maker = Callable[[Settings, int], Decider]
 
@@ -94,7 +94,7 @@
         try:
             answer = host.batch(text, number)
         except BadInput as why:
-            print(f"swiftchute.wirehost: {why}", file=errors)
+            print(f"swiftchute.simulator: {why}", file=errors)
             return 2
         print(answer, file=replies, flush=True)
     return 0
--- a/swiftchute/tables/canary.py
+++ b/swiftchute/versions/canary.py
@@ -268,7 +268,8 @@
         times += [
             max(trial.since.values()) + self.limits.span
             for trial in self.open.values()
-            if trial.since and len(trial.since) == len(trial.first)
+            if trial.since
+            and len(trial.since) == len(trial.first)
             and min(trial.new.invs, trial.old.invs) >= LEAST  # else the next report tells
             and not worse(trial.new, trial.old, 0.0)
         ]
--- a/swiftchute/tables/sent.py
+++ b/swiftchute/versions/delivery.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Collection, Iterable
 from typing import Any, Protocol
 
-from swiftchute.tables.history import History
+from swiftchute.versions.history import History
 
 KEPT = 8  # holdings a proxy may go by; past it the second oldest is dropped, as it was overtaken unsent
 
--- a/swiftchute/tables/history.py
+++ b/swiftchute/versions/history.py
@@ -14,7 +14,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from swiftchute.tables.form import Delta, Table, apply, decode, decode_delta, diff, encode, name
+from swiftchute.versions.encoding import Delta, Table, apply, decode, decode_delta, diff, encode, name
 
 S = 1_000_000_000
 ANCHOR = 32  # entries from one whole table to the next: at most so many deltas make a version
--- a/swiftchute/tables/model.py
+++ b/swiftchute/versions/model_checker.py
@@ -19,9 +19,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from swiftchute.tables.form import Table
-from swiftchute.tables.history import History
-from swiftchute.tables.sync import Answer, Message, Receiver, Sender
+from swiftchute.versions.encoding import Table
+from swiftchute.versions.history import History
+from swiftchute.versions.sync import Answer, Message, Receiver, Sender
 
 PATIENCE = 8  # steps on a good way within which a proxy must hold the wanted version
 NUMBERS = 3  # messages numbered on one stream: past it the model's sender opens a new one
--- a/swiftchute/tables/pins.py
+++ b/swiftchute/versions/pinning.py
@@ -15,8 +15,8 @@
 from collections.abc import Collection
 from dataclasses import dataclass
 
-from swiftchute.tables.form import UNIT, Table
-from swiftchute.tables.history import Change
+from swiftchute.versions.encoding import UNIT, Table
+from swiftchute.versions.history import Change
 
 S = 1_000_000_000
 PINS_MOST = 1000
--- a/swiftchute/tables/sync.py
+++ b/swiftchute/versions/sync.py
@@ -16,8 +16,8 @@
 from collections import deque
 from dataclasses import dataclass
 
-from swiftchute.tables.form import Delta, Mismatch, Table, apply, name
-from swiftchute.tables.history import History
+from swiftchute.versions.encoding import Delta, Mismatch, Table, apply, name
+from swiftchute.versions.history import History
 
 REJECTED_KEPT = 16
 
--- a/swiftchute/xds/front.py
+++ b/swiftchute/xds/frontend.py
@@ -15,9 +15,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from swiftchute.controller.controller import Core, Turn
+from swiftchute.controller.load_aggregation import Report
 from swiftchute.interface import Settings
-from swiftchute.planner.core import Core, Turn
-from swiftchute.planner.sums import Report
 from swiftchute.xds import names
 from swiftchute.xds.messages import Peer, Reply, Request, Violation
 from swiftchute.xds.resources import Translator
--- a/swiftchute/xds/loads.py
+++ b/swiftchute/xds/load_reports.py
@@ -14,7 +14,7 @@
 from envoy.service.load_stats.v3.lrs_pb2 import LoadStatsRequest, LoadStatsResponse
 from google.protobuf.message import DecodeError
 
-from swiftchute.planner.sums import Report
+from swiftchute.controller.load_aggregation import Report
 from swiftchute.xds.messages import Violation
 from swiftchute.xds.names import operation_of
 
--- a/swiftchute/xds/resources.py
+++ b/swiftchute/xds/resources.py
@@ -49,8 +49,8 @@
 from google.protobuf.message import Message
 from google.protobuf.wrappers_pb2 import UInt32Value
 
+from swiftchute.controller.controller import Content, Holding, Line
 from swiftchute.interface import Operation, Settings
-from swiftchute.planner.core import Content, Holding, Line
 from swiftchute.xds import names
 
 WEIGHT_UNIT = 10_000  # the module's weights have four decimals; xDS takes whole numbers of 1 or more
--- a/swiftchute/xds/shell.py
+++ b/swiftchute/xds/server.py
@@ -19,8 +19,8 @@
 from grpclib.server import Server, Stream
 
 from swiftchute.interface import Settings
-from swiftchute.xds import loads, messages
-from swiftchute.xds.front import Front, Out
+from swiftchute.xds import load_reports, messages
+from swiftchute.xds.frontend import Front, Out
 from swiftchute.xds.messages import Violation
 
 S = 1_000_000_000
@@ -247,19 +247,19 @@
             data = await self._first(stream)
             if data is None:
                 return
-            report, node = loads.decode(data, self.operations)
+            report, node = load_reports.decode(data, self.operations)
             peer, mine = messages.peer(node, self.set.zones), next(self.sids)
             if peer.node not in self.reporting and len(self.reporting) >= self.plumbing["streams"]:
                 raise Violation("RESOURCE_EXHAUSTED", f"{len(self.reporting)} report streams are open")
             self.reporting[peer.node] = mine
-            await stream.send_message(loads.answer(self.set.report_period))
+            await stream.send_message(load_reports.answer(self.set.report_period))
             while self.reporting.get(peer.node) == mine:  # a node reports on one stream, the newest
                 self.front.report(peer.node, report, self.clock())
                 self.kick()
                 data = await receive(stream, self.plumbing["max_message"])
                 if data is None:
                     return
-                report, _ = loads.decode(data, self.operations)
+                report, _ = load_reports.decode(data, self.operations)
             raise Violation("ABORTED", f"node {peer.node} opened another report stream")
         except Violation as why:
             raise GRPCError(Status[why.status], why.text) from None
--- a/tests/test_control.py
+++ b/tests/admin/test_server.py
@@ -10,10 +10,10 @@
 import uvloop
 from click.testing import CliRunner
 
+from swiftchute.admin import protocol, server
+from swiftchute.admin.client import Unanswered, call
+from swiftchute.admin.server import Control, Denied
 from swiftchute.cli.main import main
-from swiftchute.control import lines, shell
-from swiftchute.control.client import Unanswered, call
-from swiftchute.control.shell import Control, Denied
 from swiftchute.daemon.commands import Commands
 
 COMMANDS = {"add": lambda a, b: a + b, "deny": lambda: (_ for _ in ()).throw(Denied("not today"))}
@@ -45,20 +45,20 @@
 
 @pytest.mark.parametrize("cut", range(1, 40))
 def test_a_request_cut_anywhere_is_whole_at_its_end(cut):
-    session, data = lines.Session(), lines.ask("add", a=1, b=2)
+    session, data = protocol.Session(), protocol.ask("add", a=1, b=2)
     found = session.feed(data[:cut]) + session.feed(data[cut:])
     assert [(r.command, r.arguments) for r in found] == [("add", {"a": 1, "b": 2})]
 
 
 @pytest.mark.parametrize("data", [b"{\n", b"[]\n", b'{"command": 3}\n', b'{"comand": "x"}\n', b"\xff\n"])
 def test_what_is_no_request_is_said_to_be_none(data):
-    with pytest.raises(lines.BadRequest, match="not a request"):
-        lines.Session().feed(data)
+    with pytest.raises(protocol.BadRequest, match="not a request"):
+        protocol.Session().feed(data)
 
 
 def test_a_line_past_the_bound_ends_the_session():
-    session = lines.Session(most=100)
-    with pytest.raises(lines.BadRequest, match="more than 100 bytes"):
+    session = protocol.Session(most=100)
+    with pytest.raises(protocol.BadRequest, match="more than 100 bytes"):
         session.feed(b"x" * 101)
 
 
@@ -79,7 +79,7 @@
 
 
 def test_another_user_is_turned_away(served, monkeypatch):
-    monkeypatch.setattr(shell, "_user", lambda opened: 12345)
+    monkeypatch.setattr(server, "_user", lambda opened: 12345)
 
     async def play(control):
         with pytest.raises(Unanswered, match="user 12345 may not"):
@@ -89,10 +89,10 @@
 
 
 def test_callers_past_the_bound_and_idle_ones_are_let_go(served, monkeypatch):
-    monkeypatch.setattr(shell, "IDLE", 0.3)
+    monkeypatch.setattr(server, "IDLE", 0.3)
 
     async def play(control):
-        held = [await asyncio.open_unix_connection(served.path) for _ in range(shell.CONNECTIONS)]
+        held = [await asyncio.open_unix_connection(served.path) for _ in range(server.CONNECTIONS)]
         await asyncio.sleep(0.05)
         with pytest.raises(Unanswered, match="16 callers at once"):
             await asked(served.path, "add", a=2, b=3)
--- a/tests/test_inputs.py
+++ b/tests/config/test_schema.py
@@ -8,11 +8,11 @@
 import pytest
 
 from swiftchute.config import BadConfig, load
-from swiftchute.observe.log import mode_fields
-from swiftchute.proxy.ads import Client
-from swiftchute.registry.lists import BadList, Registry
-from swiftchute.registry.sources import FileSource, HttpSource
-from swiftchute.xds import loads
+from swiftchute.discovery.endpoint_list import BadList, Registry
+from swiftchute.discovery.sources import FileSource, HttpSource
+from swiftchute.observability.logging import mode_fields
+from swiftchute.proxy.xds_client import Client
+from swiftchute.xds import load_reports
 
 S, MS = 1_000_000_000, 1_000_000
 GOOD = Path("examples/planner.hcl").read_text(encoding="utf-8")
@@ -222,7 +222,7 @@
     client.met("0.1/read", "127.0.0.1:90", False, 1.0)
     client.dropped("0.1/read")
     client.met("0.1/unknown", "127.0.0.1:90", True, 0.2)
-    report, node = loads.decode(client.report(0.5, first=True), frozenset({"read"}))
+    report, node = load_reports.decode(client.report(0.5, first=True), frozenset({"read"}))
     assert (report.span, report.arrived) == (S // 2, (("read", 5, 1),))
     assert report.met == (("127.0.0.1:90", 4, 1, 600 * MS, 3),)
     assert node.id == "n"
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,13 +1,13 @@
 """Helpers that all tests share: settings, a writer that remembers, and a planner set up round by round."""
 
-import known_red
 import pytest
 
-from swiftchute.guard.guard import Rules
+from swiftchute.controller.controller import Core
+from swiftchute.discovery.endpoint_list import News
 from swiftchute.interface import Operation, Settings
-from swiftchute.planner.core import Core
 from swiftchute.policy import Planner, S
-from swiftchute.registry.lists import News
+from swiftchute.safety.validator import Rules
+from tests import known_red
 
 pytest_plugins = ["pytester"]
 
--- a/tests/test_planner.py
+++ b/tests/controller/test_controller.py
@@ -7,16 +7,16 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from swiftchute.guard.guard import Rules
+from swiftchute.controller.assignments import BadOrder, Orders
+from swiftchute.controller.controller import Content, Core, Holding
+from swiftchute.controller.egress_queue import Channel
+from swiftchute.controller.load_aggregation import Report, Sums
+from swiftchute.discovery.endpoint_list import News
 from swiftchute.interface import Settings
-from swiftchute.planner.channel import Channel
-from swiftchute.planner.core import Content, Core, Holding
-from swiftchute.planner.orders import BadOrder, Orders
-from swiftchute.planner.sums import Report, Sums
 from swiftchute.policy import Planner
-from swiftchute.registry.lists import News
-from swiftchute.tables.history import History
-from swiftchute.tables.sent import Sent
+from swiftchute.safety.validator import Rules
+from swiftchute.versions.delivery import Sent
+from swiftchute.versions.history import History
 from tests.conftest import FACTS, operation
 
 S = 1_000_000_000
@@ -355,7 +355,7 @@
 
 def test_servers_that_are_gone_are_forgotten_past_the_bound(core, monkeypatch):
     """A fleet whose addresses change with every deploy must not fill the memory."""
-    monkeypatch.setattr("swiftchute.planner.core.FACTS_MOST", 10)
+    monkeypatch.setattr("swiftchute.controller.controller.FACTS_MOST", 10)
     for k in range(50):
         core.listed(news(f"n{k}:1", scope="changes"))
         core.listed(news(f"n{k}:1", scope="changes", state="gone"))
--- a/tests/test_dns.py
+++ b/tests/dns/test_frontend.py
@@ -19,20 +19,20 @@
 from hypothesis import strategies as st
 
 from swiftchute.config.schema import _BLOCKS
-from swiftchute.dns import limits
-from swiftchute.dns.front import SLACK, Front
-from swiftchute.dns.lease import Lease
-from swiftchute.dns.limits import ANSWER, CUT, DROP, Limiter
+from swiftchute.controller.controller import Core
+from swiftchute.discovery.endpoint_list import News
+from swiftchute.dns import rate_limit
+from swiftchute.dns.answer_cache import Ready
+from swiftchute.dns.frontend import SLACK, Front
 from swiftchute.dns.names import BadName, Names
 from swiftchute.dns.query import Bad, plain, read
-from swiftchute.dns.ready import Ready
+from swiftchute.dns.rate_limit import ANSWER, CUT, DROP, Limiter
 from swiftchute.dns.records import Records, Shape
-from swiftchute.dns.shares import counts, draws, srv_weights
-from swiftchute.dns.transfer import TRIES, Secondaries
-from swiftchute.guard.guard import Rules
+from swiftchute.dns.srv_weights import counts, draws, srv_weights
+from swiftchute.dns.ttl import Lease
+from swiftchute.dns.zone_transfer import TRIES, Secondaries
 from swiftchute.interface import Settings
-from swiftchute.planner.core import Core
-from swiftchute.registry.lists import News
+from swiftchute.safety.validator import Rules
 from swiftchute.xds.messages import Peer, Violation
 from tests.conftest import FACTS, Fixed, operation
 
@@ -337,13 +337,13 @@
 
 
 def test_prefixes_known_are_bounded_and_the_longest_silent_goes(monkeypatch):
-    monkeypatch.setattr(limits, "KNOWN_MOST", 3)
+    monkeypatch.setattr(rate_limit, "KNOWN_MOST", 3)
     limiter = Limiter(100.0, strangers=1e6)
     for k in range(10):
         limiter.asked(f"10.0.{k}.1", NOW + k)
         limiter.asked("10.0.0.1", NOW + k)
     assert list(limiter.known) == ["10.0.8.0/24", "10.0.9.0/24", "10.0.0.0/24"]
-    assert limits.prefix("2001:db8:1:2ff::1") == "2001:db8:1:200::/56"
+    assert rate_limit.prefix("2001:db8:1:2ff::1") == "2001:db8:1:200::/56"
 
 
 # -- on a planner
@@ -525,7 +525,7 @@
 
 
 def test_a_node_that_calls_itself_a_view_is_refused(world):
-    from swiftchute.xds.front import Front as Xds
+    from swiftchute.xds.frontend import Front as Xds
 
     xds = Xds(world.core, world.core.set, 1, S, 1.0, 10, 7)
     with pytest.raises(Violation, match="another front"):
--- a/tests/test_dns_sockets.py
+++ b/tests/dns/test_server.py
@@ -17,9 +17,9 @@
 
 from swiftchute.config import load
 from swiftchute.daemon.service import CannotListen, Service
-from swiftchute.observe.log import setup
+from swiftchute.fakes.resolver import Line, Resolver, Srv
+from swiftchute.observability.logging import setup
 from swiftchute.policy import Planner
-from swiftchute.standin.resolver import Line, Resolver, Srv
 
 ORIGIN = "lots.example."
 SRV = "_lot-estimate._tcp.lots.example."
@@ -288,7 +288,7 @@
     """A client library nobody here wrote, asking this server (`dns://authority/name`): it takes addresses."""
     import grpc
 
-    from swiftchute.standin.worker import SERVICE, Facts, Worker
+    from swiftchute.fakes.backend import SERVICE, Facts, Worker
 
     async def act():
         facts = Facts({"lot-estimate": 0.01})
--- a/tests/test_troubles.py
+++ b/tests/drill/test_faults.py
@@ -9,11 +9,11 @@
 from hypothesis import strategies as st
 
 from swiftchute.config.schema import BadConfig
-from swiftchute.drill.checker import Evidence, Verdict
-from swiftchute.drill.day import Result, Runner, Trouble
+from swiftchute.drill.faults import KINDS, drawn, load, script
+from swiftchute.drill.invariants import Evidence, Verdict
 from swiftchute.drill.report import broken
-from swiftchute.drill.search import Played, nearest, shrink, worst_first
-from swiftchute.drill.troubles import KINDS, drawn, load, script
+from swiftchute.drill.scenario import Result, Runner, Trouble
+from swiftchute.drill.shrink import Played, nearest, shrink, worst_first
 
 
 @given(seed=st.integers(0, 10_000), count=st.integers(1, 6))
--- a/tests/test_drill.py
+++ b/tests/drill/test_scenario.py
@@ -12,12 +12,12 @@
 import pytest
 import uvloop
 
-from swiftchute.dns import front, lease
-from swiftchute.drill.checker import judge
-from swiftchute.drill.day import DAYS, Runner, Trouble
+from swiftchute.dns import frontend, ttl
+from swiftchute.drill.faulty_policies import SABOTEURS, Bent, Oscillates, cases
+from swiftchute.drill.invariants import judge
 from swiftchute.drill.predict import shares
 from swiftchute.drill.report import broken, text
-from swiftchute.drill.sabotage import SABOTEURS, Bent, Oscillates, cases
+from swiftchute.drill.scenario import DAYS, Runner, Trouble
 from swiftchute.policy import Planner
 
 RULES = {
@@ -40,7 +40,7 @@
         return [(verb, (*arguments[:3], 2))]
 
 
-class OverlongLease(lease.Lease):
+class OverlongLease(ttl.Lease):
     """Lets answers live for longer than a drain allows."""
 
     def __init__(self, *arguments):
@@ -73,12 +73,12 @@
     elif rule.startswith("dns"):
         day, make = DNS, Planner
         if rule == "dns overlong":
-            front.Lease = OverlongLease  # in this process of the pool alone, and put back below
+            frontend.Lease = OverlongLease  # in this process of the pool alone, and put back below
     try:
         with tempfile.TemporaryDirectory() as folder:
             result = uvloop.run(Runner(day, 7, folder, make, loose=loose, guard=guard).run())
     finally:
-        front.Lease = lease.Lease
+        frontend.Lease = ttl.Lease
     return result, judge(result.evidence)
 
 
--- a/tests/test_platform_watches.py
+++ b/tests/platform/test_discovery_client.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from swiftchute.platform import watches as module
-from swiftchute.platform.catalog import CATCH_UP, Catalog
-from swiftchute.platform.watches import Dial, End, Watches
+from swiftchute.platform import discovery_client as module
+from swiftchute.platform.discovery_client import Dial, End, Watches
+from swiftchute.platform.endpoint_list import CATCH_UP, Catalog
 
 S = 1_000_000_000
 A, B, C = ("127.0.0.1", 1), ("127.0.0.1", 2), ("127.0.0.1", 3)
--- a/tests/test_platform_catalog.py
+++ b/tests/platform/test_endpoint_list.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from swiftchute.platform import catalog as module
-from swiftchute.platform.catalog import BadWatch, Catalog, Watch
+from swiftchute.platform import endpoint_list as module
+from swiftchute.platform.endpoint_list import BadWatch, Catalog, Watch
 
 MS, S = 1_000_000, 1_000_000_000
 NOW = 1000 * S
@@ -51,9 +51,7 @@
 def test_a_watch_goes_on_from_the_last_revision(catalog):
     asked = Watch(catalog, "127.0.0.1:8500").request()
     assert asked.startswith(b"GET /catalog/members?watch=1&after=41 HTTP/1.1\r\n")
-    assert asked.endswith(
-        b"\r\n\r\n"
-    )
+    assert asked.endswith(b"\r\n\r\n")
     assert b"GET /catalog/members?watch=1 HTTP" in Watch(Catalog(("east",)), "h").request()
 
 
--- a/tests/test_platform_writer.py
+++ b/tests/platform/test_push_encoder.py
@@ -7,14 +7,14 @@
 import json
 
 import pytest
-from conftest import FACTS, operation
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
+from swiftchute.controller.assignments import Orders
 from swiftchute.interface import Settings
-from swiftchute.planner.orders import Orders
-from swiftchute.platform import writer as module
-from swiftchute.platform.writer import TooLarge, Writer
+from swiftchute.platform import push_encoder as module
+from swiftchute.platform.push_encoder import TooLarge, Writer
+from tests.conftest import FACTS, operation
 
 CLASSES = ("read", "write")
 SET = Settings(**(FACTS | {"operations": tuple(operation(name) for name in CLASSES)}))
--- a/tests/test_platform_crossings.py
+++ b/tests/platform/test_races.py
@@ -17,11 +17,11 @@
 
 import pytest
 import uvloop
-from test_platform_sockets import MEMBERS, ROOT, WAIT, Client, Discovery, free_port, wire_settings
 
-from swiftchute.platform import settings, shell
-from swiftchute.platform.shell import Shell
-from swiftchute.platform.watches import SILENT
+from swiftchute.platform import server, settings
+from swiftchute.platform.discovery_client import SILENT
+from swiftchute.platform.server import Shell
+from tests.platform.test_server import MEMBERS, ROOT, WAIT, Client, Discovery, free_port, wire_settings
 
 S = 1_000_000_000
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -174,7 +174,7 @@
 
 
 def test_a_dial_given_up_in_the_instant_in_which_it_comes_up(play, monkeypatch):
-    made = shell._Discovery.connection_made
+    made = server._Discovery.connection_made
 
     async def day(world, old):
         await old.watched()
@@ -187,7 +187,7 @@
             made(self, transport)
             world.shell.watch()
 
-        monkeypatch.setattr(shell._Discovery, "connection_made", held)
+        monkeypatch.setattr(server._Discovery, "connection_made", held)
         world.move(middle.address)
         await middle.watched()
         assert await middle.ended() == b""  # nobody's: it is ended and asks nothing
@@ -279,7 +279,7 @@
 
 
 def test_a_message_half_sent_when_sigterm_comes_is_written_whole(play, monkeypatch):
-    monkeypatch.setattr(shell, "STOP_WITHIN", WAIT)  # how fast this test reads is not the matter
+    monkeypatch.setattr(server, "STOP_WITHIN", WAIT)  # how fast this test reads is not the matter
 
     async def day(world, old):
         plain = await slow_proxy(world, 0)
@@ -296,7 +296,7 @@
 
 
 def test_a_client_that_does_not_read_the_last_words_to_it_is_cut_off(play, monkeypatch):
-    monkeypatch.setattr(shell, "CLOSE_WITHIN", 0.01)
+    monkeypatch.setattr(server, "CLOSE_WITHIN", 0.01)
 
     async def day(world, old):
         plain = await slow_proxy(world, 0)
@@ -377,10 +377,10 @@
 PLACES = {
     "an import of the start": "uvloop,1",
     "the configuration is read": "swiftchute.platform.settings:read,1",
-    "before the loop's handlers": "swiftchute.platform.shell:Shell.__init__,1",
-    "before the listener": "swiftchute.platform.shell:_Discovery.__init__,1",
-    "in a round": "swiftchute.platform.front:Front.turn,1",
-    "in the first words of a watch": "swiftchute.platform.watches:Watches.connected,1",
+    "before the loop's handlers": "swiftchute.platform.server:Shell.__init__,1",
+    "before the listener": "swiftchute.platform.server:_Discovery.__init__,1",
+    "in a round": "swiftchute.platform.session_manager:Front.turn,1",
+    "in the first words of a watch": "swiftchute.platform.discovery_client:Watches.connected,1",
 }
 
 
@@ -469,7 +469,7 @@
 @pytest.mark.parametrize("place", ["_stop", "all_ended", "os:_exit"])
 def test_signals_that_come_again_at_the_end_change_nothing(launched, place):
     many = ",".join(str(int(n)) for n in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM))
-    place = place if ":" in place else f"swiftchute.platform.shell:Shell.{place}"
+    place = place if ":" in place else f"swiftchute.platform.server:Shell.{place}"
     planner = launched(f"{place},9,{many}")
     planner.event("serving")
     assert planner.end() == 0
--- a/tests/test_platform_sockets.py
+++ b/tests/platform/test_server.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 WAIT = 20  # s; a bound for what must come at all
 MEMBERS = [
     {"id": f"{zone[0]}{k}", "host_port": f"10.0.0.{k}:80", "locality": zone, "flavor": "m", "cell": 0,
--- a/tests/test_platform_front.py
+++ b/tests/platform/test_session_manager.py
@@ -3,14 +3,14 @@
 import json
 
 import pytest
-from conftest import FACTS, Fixed, operation
 
+from swiftchute.controller.policy_runner import Loop
 from swiftchute.interface import Settings
-from swiftchute.planner.loop import Loop
-from swiftchute.platform import front as module
-from swiftchute.platform.front import Front
-from swiftchute.platform.stream import FIRST_MOST, Stream
+from swiftchute.platform import session_manager as module
+from swiftchute.platform.proxy_session import FIRST_MOST, Stream
+from swiftchute.platform.session_manager import Front
 from swiftchute.policy import S
+from tests.conftest import FACTS, Fixed, operation
 
 MS = 1_000_000
 HELLO = {"msg": "hello", "proxy": 1, "zone": "east", "weight": 2.5, "fresh": True}
--- a/tests/test_platform_settings.py
+++ b/tests/platform/test_settings.py
@@ -6,14 +6,14 @@
 import pytest
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
-from test_platform_sockets import MEMBERS, wire_settings
 
-from swiftchute.planner.loop import Loop
+from swiftchute.controller.policy_runner import Loop
 from swiftchute.platform import settings as module
-from swiftchute.platform.catalog import Catalog
-from swiftchute.platform.front import Front
+from swiftchute.platform.endpoint_list import Catalog
+from swiftchute.platform.session_manager import Front
 from swiftchute.platform.settings import BadSettings
 from swiftchute.policy import Planner, S
+from tests.platform.test_server import MEMBERS, wire_settings
 
 NAMES = st.text(min_size=1, max_size=20)
 TIMES = st.one_of(st.integers(1, 1000), st.integers(10**4, 10**7), st.just(10**13))
--- a/tests/test_policy.py
+++ b/tests/policy/test_reconciler.py
@@ -3,9 +3,9 @@
 from dataclasses import replace
 
 import pytest
-from conftest import operation
 
 from swiftchute.policy import LEVEL, LEVEL_LEAST, TUNED, S
+from tests.conftest import operation
 
 CALM = dict.fromkeys(("e0", "e1", "e2", "e3", "w0", "w1", "w2", "w3"), (5, 0, 0.1))
 
--- a/tests/test_proxy.py
+++ b/tests/proxy/test_request.py
@@ -8,15 +8,24 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from swiftchute.proxy import answers
-from swiftchute.proxy.ads import Client, Table
-from swiftchute.proxy.avoid import Avoided
-from swiftchute.proxy.core import Core, Invocation, Limits, Operation, Turned
-from swiftchute.proxy.keep import Keep
-from swiftchute.proxy.pick import Alias, Rotation, TwoChoices, choose
-from swiftchute.proxy.pool import DIAL, FULL, WAIT, Pool
-from swiftchute.proxy.pool import Limits as PoolLimits
-from swiftchute.proxy.tries import (
+from swiftchute.proxy import response_headers
+from swiftchute.proxy.connection_pool import DIAL, FULL, WAIT, Pool
+from swiftchute.proxy.connection_pool import Limits as PoolLimits
+from swiftchute.proxy.http_framing import (
+    CALM,
+    REFUSED_STREAM,
+    Broken,
+    GoAway,
+    Http1,
+    Http2,
+    Message,
+    Reset,
+    TooLarge,
+)
+from swiftchute.proxy.load_balancing import Alias, Rotation, TwoChoices, choose
+from swiftchute.proxy.outlier_ejection import Avoided
+from swiftchute.proxy.request import Core, Invocation, Limits, Operation, Turned
+from swiftchute.proxy.retry import (
     ANSWERED,
     BROKEN,
     ERRORED,
@@ -27,7 +36,8 @@
     Budget,
     again,
 )
-from swiftchute.proxy.wire import CALM, REFUSED_STREAM, Broken, GoAway, Http1, Http2, Message, Reset, TooLarge
+from swiftchute.proxy.table_cache import Keep
+from swiftchute.proxy.xds_client import Client, Table
 
 S = 1_000_000_000
 NOW = 1000 * S
@@ -316,12 +326,12 @@
 
 
 def test_operations_deadlines_and_ends_by_protocol():
-    asked = answers.read(Message(1, [*HEADERS, (b"grpc-timeout", b"250m")]))
+    asked = response_headers.read(Message(1, [*HEADERS, (b"grpc-timeout", b"250m")]))
     assert (asked.operation, asked.rpc, asked.within) == ("read", True, 250_000_000)
-    plain = answers.read(Message(0, [(b":path", b"/x/lot%2Destimate?q=1")]))
+    plain = response_headers.read(Message(0, [(b":path", b"/x/lot%2Destimate?q=1")]))
     assert (plain.operation, plain.rpc, plain.within) == ("lot-estimate", False, None)
-    assert answers.read(Message(1, [*HEADERS, (b"grpc-timeout", b"99999999999S")])).within is None
-    sent = answers.onward(
+    assert response_headers.read(Message(1, [*HEADERS, (b"grpc-timeout", b"99999999999S")])).within is None
+    sent = response_headers.onward(
         Message(1, [*HEADERS, (b"connection", b"x"), (b"grpc-timeout", b"9S")]), True, 2 * S
     )
     assert dict(sent.headers)[b"grpc-timeout"] == b"2000m"
@@ -336,13 +346,13 @@
      (False, [(b":status", b"503")], [], False), (False, [(b":status", b"429")], [], False)],
 )  # fmt: skip
 def test_which_answers_are_good(rpc, headers, trailers, good):
-    assert answers.judge(Message(1, headers, b"", trailers), rpc).good == good
+    assert response_headers.judge(Message(1, headers, b"", trailers), rpc).good == good
 
 
 def test_every_word_of_its_own_has_a_form_in_both_protocols():
-    for why in answers._SAID:
-        assert dict(answers.turned(why, True).headers)[b"grpc-status"] != b"0"
-        assert int(dict(answers.turned(why, False).headers)[b":status"]) >= 400
+    for why in response_headers._SAID:
+        assert dict(response_headers.turned(why, True).headers)[b"grpc-status"] != b"0"
+        assert int(dict(response_headers.turned(why, False).headers)[b":status"]) >= 400
 
 
 # -- pools
--- a/tests/test_proxy_sockets.py
+++ b/tests/proxy/test_server.py
@@ -15,14 +15,14 @@
 from swiftchute.config.proxy import load as load_proxy
 from swiftchute.daemon.proxy import Daemon
 from swiftchute.daemon.service import Service
-from swiftchute.observe.log import setup
+from swiftchute.fakes.backend import SERVICE, Facts, Worker
+from swiftchute.observability.logging import setup
 from swiftchute.policy import Planner
-from swiftchute.proxy.ads import Client, Table
-from swiftchute.proxy.core import Core, Limits, Operation
-from swiftchute.proxy.shell import Proxy
-from swiftchute.proxy.wire import Http2, Message
-from swiftchute.standin.worker import SERVICE, Facts, Worker
-from swiftchute.xds.shell import Raw
+from swiftchute.proxy.http_framing import Http2, Message
+from swiftchute.proxy.request import Core, Limits, Operation
+from swiftchute.proxy.server import Proxy
+from swiftchute.proxy.xds_client import Client, Table
+from swiftchute.xds.server import Raw
 
 S = 1_000_000_000
 PLUMBING = {key: default for key, (_, default, _) in _PROXY.items()} | {"listen": ("127.0.0.1", 0)}
--- a/tests/test_guard.py
+++ b/tests/safety/test_validator.py
@@ -13,11 +13,11 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from swiftchute.guard.gate import Gate
-from swiftchute.guard.guard import EXCEPTIONS, Fact, Guard, Known, Proposal, Rules
-from swiftchute.guard.late import worst
-from swiftchute.guard.seen import Seen, by_kind
 from swiftchute.interface import Settings
+from swiftchute.safety.observed_traffic import Seen, by_kind
+from swiftchute.safety.publish_gate import Gate
+from swiftchute.safety.stale_list import worst
+from swiftchute.safety.validator import EXCEPTIONS, Fact, Guard, Known, Proposal, Rules
 from tests.conftest import FACTS, operation
 
 S = 1_000_000_000
--- a/tests/test_wirehost.py
+++ b/tests/simulator/test_host.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from swiftchute.wirehost.host import serve
+from swiftchute.simulator.host import serve
 
 PROFILE = {
     "classes": [{"name": "read", "slo_us": 1200000, "deadline_us": 4000000, "credit": 3.0,
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,8 +1,9 @@
 """KNOWN-RED.txt: named tests are expected to fail, and nothing else is let off."""
 
-import known_red
 import pytest
 
+from tests import known_red
+
 TESTS = """
 import pytest
 def test_red(): assert False
--- a/tests/test_canary.py
+++ b/tests/versions/test_canary.py
@@ -7,12 +7,12 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from swiftchute.guard.guard import Rules
+from swiftchute.controller.controller import Core, Keep
+from swiftchute.controller.load_aggregation import Report
+from swiftchute.discovery.endpoint_list import News
 from swiftchute.interface import Settings
-from swiftchute.planner.core import Core, Keep
-from swiftchute.planner.sums import Report
-from swiftchute.registry.lists import News
-from swiftchute.tables.canary import LEAST, Limits, Tally, Trials, moved, shares, worse
+from swiftchute.safety.validator import Rules
+from swiftchute.versions.canary import LEAST, Limits, Tally, Trials, moved, shares, worse
 from tests.conftest import FACTS, Fixed, operation
 
 S = 1_000_000_000
--- a/tests/test_tables.py
+++ b/tests/versions/test_history.py
@@ -9,28 +9,28 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from swiftchute.registry.lists import News
-from swiftchute.tables import form
-from swiftchute.tables.form import BadForm, Delta, Mismatch, Table, apply, decode, diff, encode, name
-from swiftchute.tables.history import ANCHOR, History, Unknown
-from swiftchute.tables.model import BUGS, Model, explore
-from swiftchute.tables.pins import Impossible, Pin, Pins, Rejected
-from swiftchute.tables.sync import Receiver, Sender
+from swiftchute.discovery.endpoint_list import News
+from swiftchute.versions import encoding
+from swiftchute.versions.encoding import BadForm, Delta, Mismatch, Table, apply, decode, diff, encode, name
+from swiftchute.versions.history import ANCHOR, History, Unknown
+from swiftchute.versions.model_checker import BUGS, Model, explore
+from swiftchute.versions.pinning import Impossible, Pin, Pins, Rejected
+from swiftchute.versions.sync import Receiver, Sender
 
 S = 1_000_000_000
 NOW = 1000 * S
 
 
 def made(level=1.0, **weights):
-    return form.table([("read", level, 1)], [(server, "east", w) for server, w in weights.items()])
+    return encoding.table([("read", level, 1)], [(server, "east", w) for server, w in weights.items()])
 
 
 # -- form and deltas
 
 
 def test_equal_content_has_one_name_whatever_its_order():
-    one = form.table([("write", 1, 1), ("read", 0.5, 0)], [("b", "east", 1.0), ("a", "west", 2.0)])
-    two = form.table([("read", 0.5, 0), ("write", 1, 1)], [("a", "west", 2.0), ("b", "east", 1.0)])
+    one = encoding.table([("write", 1, 1), ("read", 0.5, 0)], [("b", "east", 1.0), ("a", "west", 2.0)])
+    two = encoding.table([("read", 0.5, 0), ("write", 1, 1)], [("a", "west", 2.0), ("b", "east", 1.0)])
     assert encode(one) == encode(two)
     assert decode(encode(one)) == one
     assert name(one) != name(made(a=1.0))
@@ -259,10 +259,10 @@
         except BadForm:
             try:
                 held = decode(self.bytes[gateway]) if self.bytes[gateway] else Table()
-                self.bytes[gateway] = encode(apply(form.decode_delta(data), held))
+                self.bytes[gateway] = encode(apply(encoding.decode_delta(data), held))
             except Mismatch:
                 pass  # answered by what it does hold
-        self.acks[gateway] = [*self.acks[gateway], form.digest(self.bytes[gateway])][-4:]
+        self.acks[gateway] = [*self.acks[gateway], encoding.digest(self.bytes[gateway])][-4:]
 
     @rule(gateway=st.integers(0, 1), place=st.integers(0, 3), lost=st.booleans())
     def answer(self, gateway, place, lost):
@@ -276,7 +276,7 @@
     def reconnect(self, gateway):
         """The stream breaks: what was under way is lost, and the gateway says what it holds."""
         self.ways[gateway], self.acks[gateway] = [], []
-        self.known[gateway] = form.digest(self.bytes[gateway]) if self.bytes[gateway] else None
+        self.known[gateway] = encoding.digest(self.bytes[gateway]) if self.bytes[gateway] else None
 
     @precondition(lambda self: True)
     @rule(gateway=st.integers(0, 1))
@@ -290,7 +290,7 @@
             self.ways[gateway] = []
             if self.acks[gateway]:
                 self.known[gateway] = self.acks[gateway].pop()
-        if self.known[gateway] is None or form.digest(self.bytes[gateway]) != self.wanted:
+        if self.known[gateway] is None or encoding.digest(self.bytes[gateway]) != self.wanted:
             self.reconnect(gateway)  # an old acknowledgement came last: the next claim sets it right
             self.send(gateway)
             for data in self.ways[gateway]:
--- a/tests/test_sockets.py
+++ b/tests/xds/test_server.py
@@ -17,13 +17,13 @@
 
 from swiftchute.config import load
 from swiftchute.daemon.service import Service
-from swiftchute.observe.log import setup
+from swiftchute.fakes.backend import Facts, Worker
+from swiftchute.fakes.gateway import Gateway
+from swiftchute.observability.logging import setup
 from swiftchute.policy import Planner
-from swiftchute.proxy.ads import Client
-from swiftchute.standin.gateway import Gateway
-from swiftchute.standin.worker import Facts, Worker
+from swiftchute.proxy.xds_client import Client
 from swiftchute.xds import names
-from swiftchute.xds.shell import ADS, Raw
+from swiftchute.xds.server import ADS, Raw
 
 SETTINGS = Path("examples/planner.hcl").read_text(encoding="utf-8")
 
@@ -225,7 +225,7 @@
     "channel_creds": [{"type": "insecure"}], "server_features": ["xds_v3"]}],
     "node": {"id": "plain", "locality": {"zone": "north"}}})
 import grpc
-call = grpc.insecure_channel("xds:///" + target).unary_unary("/swiftchute.standin.Worker/" + target)
+call = grpc.insecure_channel("xds:///" + target).unary_unary("/swiftchute.fakes.Worker/" + target)
 for k in range(count):
     try:
         call(f"{k}|0|plain".encode(), timeout=10, wait_for_ready=k == 0)
--- a/tests/test_stream.py
+++ b/tests/xds/test_stream.py
@@ -5,9 +5,9 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
+from swiftchute.controller.controller import Content, Holding
 from swiftchute.interface import Settings
-from swiftchute.planner.core import Content, Holding
-from swiftchute.proxy.ads import Client
+from swiftchute.proxy.xds_client import Client
 from swiftchute.xds import names
 from swiftchute.xds.messages import Request, Violation, decode, encode
 from swiftchute.xds.resources import Translator, whole_weights
