--- a/benchmarks/taps.py
+++ b/benchmarks/taps.py
@@ -16,9 +16,10 @@
 import sys
 from collections import Counter, defaultdict
 
+from swiftchute.api.events import DemandReport, EndpointListUpdate, ProxyConnected, ProxyDisconnected
 from swiftchute.controller.controller import Core
 from swiftchute.discovery.endpoint_list import News
-from swiftchute.policy import Planner
+from swiftchute.policy import Reconciler
 from swiftchute.safety.validator import LATE, Rules
 from swiftchute.simulator.host import Host
 
@@ -36,7 +37,7 @@
 
         def write(*arguments):
             first(*arguments)
-            if verb not in ("tell", "probe"):
+            if verb not in ("send_to_peer", "probe"):
                 second(*arguments)
 
         return write
@@ -54,32 +55,33 @@
         Played.made.append(self)
 
     def _module(self, settings, seed):
-        played, planner = self, Planner(settings, seed)
+        played, planner = self, Reconciler(settings, seed)
 
         class Module:
-            def decide(self, now, calls, orders):
-                planner.decide(now, calls, Both(played.writer, orders))
+            def reconcile(self, now, calls, orders):
+                planner.reconcile(now, calls, Both(played.writer, orders))
 
         return Module()
 
-    def decide(self, now, calls, writer):
+    def reconcile(self, now, calls, writer):
         core, self.writer = self.core, writer
         # idle reviews between rounds, as a running planner has them
         while self.now and self.now + S < now:
             self.now += S
             self._turn(self.now)
         self.now = now
-        for name, arguments in calls:
-            if name == "joined":
-                core.joined(*arguments)
-            elif name == "left":
-                core.left(*arguments)
-            elif name == "listed":
-                core.listed(News(arguments[0], tuple(arguments[1]), ()))
-            else:
-                core.calls.append((name, arguments))
+        for event in calls:
+            match event:
+                case ProxyConnected(proxy, zone, rate, fresh):
+                    core.joined(proxy, zone, rate, fresh)
+                case ProxyDisconnected(proxy):
+                    core.left(proxy)
+                case EndpointListUpdate(scope, endpoints):
+                    core.listed(News(scope, tuple(endpoints), ()))
+                case _:
+                    core.calls.append(event)
         if not calls:
-            core.calls.append(("arrived", (None, "", 0, 0, 1)))
+            core.calls.append(DemandReport(None, "", 0, 0, 1))
         self._turn(now)
 
     def _turn(self, now):
--- /dev/null
+++ b/swiftchute/api/commands.py
@@ -0,0 +1,58 @@
+"""What the policy may order, and the interface between a policy and its caller."""
+
+from collections.abc import Sequence
+from typing import Any, Protocol
+
+from swiftchute.api.events import Event
+
+
+class CommandSink(Protocol):
+    """Takes the commands of a round, in order. Commands that concern one proxy become one message.
+
+    Operations are named by a bit mask: bit `i` stands for `Settings.operations[i]`, 0 for all of them.
+    """
+
+    def set_weight(self, table: int, endpoint: str, weight: float) -> None:
+        """Set the weight of an endpoint in a table; 0 removes the entry."""
+
+    def clear_table(self, table: int) -> None:
+        """Remove all entries and admission rates of a table."""
+
+    def assign_table(self, proxy: Any, table: int, operation_mask: int) -> None:
+        """Make a proxy use a table for the operations of the mask."""
+
+    def set_admission(
+        self, table: int | None, operation_mask: int, admission_rate: float, retry_policy: int
+    ) -> None:
+        """Set the share of requests to admit and the retry policy, in one table or (None) in all."""
+
+    def set_ejected(self, endpoint: str, ejected: bool) -> None:
+        """Eject an endpoint from the tables of all connected proxies, or restore it."""
+
+    def request_ack(self, nonce: int, everyone: bool) -> None:
+        """Ask for an acknowledgement of this round, from the proxies written to or from everyone."""
+
+    def probe(self, endpoint: str) -> None:
+        """Start a health check of an endpoint."""
+
+    def subscribe(self, enabled: bool) -> None:
+        """Open or close the subscription to the endpoint list."""
+
+    def fetch_list(self) -> None:
+        """Request the whole endpoint list once."""
+
+    def start_timer(self, delay_ns: int, timer_id: int) -> None:
+        """Deliver `TimerFired` after a delay."""
+
+    def send_to_peer(self, peer: int | None, payload: bytes) -> None:
+        """Send bytes to one peer, or to all (None)."""
+
+    def log(self, text: str) -> None:
+        """Write a line for the operators."""
+
+
+class Policy(Protocol):
+    """The decisions of one instance for one incarnation."""
+
+    def reconcile(self, now_ns: int, events: Sequence[Event], commands: CommandSink) -> None:
+        """Handle the events of a round and issue the commands that follow from them."""
--- /dev/null
+++ b/swiftchute/api/endpoints.py
@@ -0,0 +1,33 @@
+"""What discovery says of an endpoint."""
+
+from enum import StrEnum
+from typing import NamedTuple
+
+
+class EndpointState(StrEnum):
+    """Whether an endpoint may receive requests."""
+
+    READY = "ready"
+    DRAINING = "draining"  # finishes what is in flight, must receive nothing new
+    REMOVED = "gone"  # no longer in the endpoint list
+
+
+class ListScope(StrEnum):
+    """How an endpoint list update relates to the list before it."""
+
+    DELTA = "changes"  # names only endpoints that changed
+    SNAPSHOT = "whole"  # endpoints that are not named are removed
+    CACHED = "held"  # a snapshot of the last good list, given at a start
+    UNAVAILABLE = "lost"  # the subscription broke; carries no endpoints
+
+
+class EndpointRecord(NamedTuple):
+    """One endpoint as the endpoint list describes it."""
+
+    endpoint: str  # identifier, for example address:port
+    zone: str
+    kind: str  # hardware or instance type
+    cell: int  # failure domain within the zone
+    state: EndpointState | str
+    weight: float  # capacity relative to other endpoints
+    started_ns: int  # time of its last start, 0 if unknown
--- a/swiftchute/cli/main.py
+++ b/swiftchute/cli/main.py
@@ -32,7 +32,7 @@
     found = _load(config)
     settings = found.settings
     click.echo(
-        f"{config}: planner {settings.planner} of {settings.planners} in {settings.zone},"
+        f"{config}: planner {settings.instance} of {settings.instance_count} in {settings.zone},"
         f" {len(settings.operations)} operations, list from a {found.list_kind}"
     )
 
@@ -56,11 +56,11 @@
 
     from swiftchute.daemon.service import CannotListen, Service
     from swiftchute.observability.logging import setup
-    from swiftchute.policy import Planner
+    from swiftchute.policy import Reconciler
 
     found = _load(config)
-    log = setup(found.log_level, planner=found.settings.planner)
-    make = _decider(decider) if decider else Planner
+    log = setup(found.log_level, planner=found.settings.instance)
+    make = _decider(decider) if decider else Reconciler
 
     async def run() -> None:
         await Service(found, log, make).run()
--- a/swiftchute/config/schema.py
+++ b/swiftchute/config/schema.py
@@ -13,9 +13,9 @@
 from typing import Any
 from urllib.parse import urlsplit
 
+from swiftchute.api.settings import Operation, Settings
 from swiftchute.config.reader import Block, Problem, read
 from swiftchute.dns.names import BadName, Names, origin
-from swiftchute.interface import Operation, Settings
 from swiftchute.safety.validator import RULES
 
 MUST = object()
@@ -180,42 +180,42 @@
     "service": {
         "zones": (names, MUST, "zones"),
         "zone": (name, MUST, "zone"),
-        "planner": (number(0, 10_000, True), 0, "planner"),
-        "planners": (number(1, 10_000, True), 1, "planners"),
-        "proxies": (number(1, 100_000, True), MUST, "proxies"),
-        "standing_lines": (number(1, 10_000, True), MUST, "standing"),
-        "admission": (one_of("share", "none"), "share", "admission"),
-        "avoids_after": (number(0, 1000, True), 0, "avoids_after"),
-        "usual_tries": (number(0, 3, True), 1, "usual_tries"),
-        "try_objectives": (number(0.01, 100), 1.0, "try_objectives"),
+        "planner": (number(0, 10_000, True), 0, "instance"),
+        "planners": (number(1, 10_000, True), 1, "instance_count"),
+        "proxies": (number(1, 100_000, True), MUST, "proxy_count"),
+        "standing_lines": (number(1, 10_000, True), MUST, "subset_size"),
+        "admission": (one_of("share", "none"), "share", "admission_mode"),
+        "avoids_after": (number(0, 1000, True), 0, "ejection_failures"),
+        "usual_tries": (number(0, 3, True), 1, "default_retry_policy"),
+        "try_objectives": (number(0.01, 100), 1.0, "attempt_timeout_objectives"),
         "seed": (number(0, 2**63, True), MUST, None),
     },
     "rules": {
-        "drain_grace": (span(100 * _MS), MUST, "drain_grace"),
-        "gone_binds": (flag, True, "gone_binds"),
-        "start_capacity": (number(0.001, 1), MUST, "start_capacity"),
-        "warm_within": (span(1), MUST, "warm_within"),
-        "fall_multiple": (number(1, 1000), MUST, "fall_multiple"),
-        "fall_span": (span(1), MUST, "fall_span"),
-        "bare_limit": (span(100 * _MS), MUST, "bare_limit"),
-        "ask_within": (span(_S), None, "ask_within"),
+        "drain_grace": (span(100 * _MS), MUST, "drain_grace_ns"),
+        "gone_binds": (flag, True, "removal_is_binding"),
+        "start_capacity": (number(0.001, 1), MUST, "start_capacity_fraction"),
+        "warm_within": (span(1), MUST, "max_warmup_ns"),
+        "fall_multiple": (number(1, 1000), MUST, "overload_multiple"),
+        "fall_span": (span(1), MUST, "overload_window_ns"),
+        "bare_limit": (span(100 * _MS), MUST, "max_no_endpoint_ns"),
+        "ask_within": (span(_S), None, "list_request_interval_ns"),
     },
     "channel": {
-        "pace": (number(1), MUST, "channel_pace"),
-        "limit": (number(1), MUST, "channel_limit"),
-        "message_lines": (number(0, 1000), MUST, "message_lines"),
-        "message_limit": (number(0, 10_000, True), 0, "message_limit"),
-        "message_window": (span(_S), 10 * _S, "message_window"),
-        "way": (span(), 100 * _MS, "way"),
-        "way_most": (span(), 500 * _MS, "way_most"),
+        "pace": (number(1), MUST, "egress_rate_entries_per_s"),
+        "limit": (number(1), MUST, "egress_queue_limit_entries"),
+        "message_lines": (number(0, 1000), MUST, "message_overhead_entries"),
+        "message_limit": (number(0, 10_000, True), 0, "message_quota"),
+        "message_window": (span(_S), 10 * _S, "message_quota_window_ns"),
+        "way": (span(), 100 * _MS, "mean_push_delay_ns"),
+        "way_most": (span(), 500 * _MS, "max_push_delay_ns"),
     },
     "reports": {
-        "period": (span(100 * _MS, 60 * _S), _S, "report_period"),
-        "lines": (number(1), MUST, "report_lines"),
+        "period": (span(100 * _MS, 60 * _S), _S, "report_interval_ns"),
+        "lines": (number(1), MUST, "report_rate_entries_per_s"),
     },
     "prices": {
-        "crossing": (number(0, 10), 0.0, "cross_price"),
-        "order": (number(0, 10), 0.0, "order_price"),
+        "crossing": (number(0, 10), 0.0, "cross_zone_price"),
+        "order": (number(0, 10), 0.0, "entry_price"),
     },
     "xds": {
         "listen": (address, MUST, None),
@@ -273,14 +273,14 @@
     "log": {"level": (one_of("debug", "info", "warning", "error"), "info", None)},
 }
 _OPERATION: dict[str, tuple[Callable[[Any], Any], Any, str | None]] = {
-    "latency_objective": (span(_MS), MUST, "objective"),
-    "integration_timeout": (span(_MS), MUST, "timeout"),
+    "latency_objective": (span(_MS), MUST, "latency_objective_ns"),
+    "integration_timeout": (span(_MS), MUST, "timeout_ns"),
     "billed_value": (number(), MUST, "value"),
-    "late_value": (number(0, 1), 0.0, "late_value"),
-    "repeats": (one_of("idempotent", "fingerprinted", "side-effecting"), MUST, "repeats"),
-    "repeat_group": (one_of("all", "zone", "cell"), "all", "repeat_group"),
-    "repeat_window": (span(), 0, "repeat_window"),
-    "own_zone": (flag, False, "own_zone"),
+    "late_value": (number(0, 1), 0.0, "late_value_fraction"),
+    "repeats": (one_of("idempotent", "fingerprinted", "side-effecting"), MUST, "idempotency"),
+    "repeat_group": (one_of("all", "zone", "cell"), "all", "deduplication_scope"),
+    "repeat_window": (span(), 0, "deduplication_window_ns"),
+    "own_zone": (flag, False, "zone_local"),
     "writes": (flag, False, "writes"),
 }
 _LISTS: dict[str, dict[str, tuple[Callable[[Any], Any], Any, str | None]]] = {
@@ -450,13 +450,13 @@
         )
         settings = Settings(
             operations=rows,
-            weights=asked["weights"],
-            asks_list=False,
-            load_fields=(),
-            load_by="none",
+            weight_source=asked["weights"],
+            list_needs_subscription=False,
+            load_figures=(),
+            load_source="none",
             may_probe=False,
-            may_tell=False,
-            slices=0,
+            may_message_peers=False,
+            key_range_count=0,
             single_owner=False,
             probe_price=0.0,
             **given,
--- a/swiftchute/controller/assignments.py
+++ b/swiftchute/controller/assignments.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from swiftchute.interface import Settings
+from swiftchute.api.settings import Settings
 
 TIMERS_MOST = 10_000
 LOGS_MOST = 1000  # lines of one round; what is past them is counted in one line more
@@ -94,7 +94,7 @@
 
     def level(self, table: int, operation: int) -> tuple[float, int]:
         """The level in force and the way of further tries, for an operation's place."""
-        own = self.tables[table].levels.get(operation, (1.0, self.set.usual_tries))
+        own = self.tables[table].levels.get(operation, (1.0, self.set.default_retry_policy))
         common = self.common.get(operation)
         if common is None:
             return own
@@ -112,7 +112,7 @@
         self.tables[number].revision += 1
         self.round.tables[number] = self.round.tables.get(number, 0) + lines
 
-    def line(self, table: int, server: str, weight: float) -> None:
+    def set_weight(self, table: int, server: str, weight: float) -> None:
         """Set one line of a table; weight 0 takes it away."""
         if not 0 <= weight < float("inf"):
             if not self.lenient:
@@ -126,13 +126,13 @@
             lines.pop(server, None)
         self._touch(table)
 
-    def clear(self, table: int) -> None:
+    def clear_table(self, table: int) -> None:
         """Empty a table of lines and levels."""
         held = self._table(table)
         held.lines, held.levels = {}, {}
         self._touch(table)
 
-    def bind(self, proxy: Any, table: int, mask: int) -> None:
+    def assign_table(self, proxy: Any, table: int, mask: int) -> None:
         """Put a proxy on a table for the operations of the mask; the whole table is written to it."""
         if proxy not in self.proxies:
             return  # it has left meanwhile
@@ -151,7 +151,7 @@
     def _places(self, mask: int) -> list[int]:
         return [k for k in range(len(self.set.operations)) if not mask or mask >> k & 1]
 
-    def admit(self, table: int | None, mask: int, level: float, tries: int) -> None:
+    def set_admission(self, table: int | None, mask: int, level: float, tries: int) -> None:
         """Set the part let in and the way of further tries, in one table or (None) for all."""
         if not level >= 0 or tries not in (0, 1, 2, 3):
             raise BadOrder(f"table {table}: level {level}, further tries {tries}")
@@ -167,7 +167,7 @@
         for proxy in self.proxies:
             self.round.lines[proxy] = self.round.lines.get(proxy, 0) + 1
 
-    def withdraw(self, server: str, out: bool) -> None:
+    def set_ejected(self, server: str, out: bool) -> None:
         """Shut a server out for all joined proxies, or let it in again."""
         (self.shut.add if out else self.shut.discard)(server)
         self.round.withdrawals = True
@@ -179,19 +179,19 @@
             if not held.bound or any(server in self.tables[t].lines for t in held.bound.values()):
                 self.round.lines[proxy] = self.round.lines.get(proxy, 0) + 1
 
-    def mark(self, seal: int, everyone: bool) -> None:
+    def request_ack(self, seal: int, everyone: bool) -> None:
         """Ask the proxies concerned to answer once they have applied this round."""
         self.round.seal, self.round.everyone = seal, everyone
 
-    def watch(self, on: bool) -> None:
+    def subscribe(self, on: bool) -> None:
         """Open or close the subscription to the list."""
         self.round.watch = on
 
-    def fetch(self) -> None:
+    def fetch_list(self) -> None:
         """Ask for the whole list once."""
         self.round.fetch = True
 
-    def timer(self, wait: int, token: int) -> None:
+    def start_timer(self, wait: int, token: int) -> None:
         """Wake this planner after `wait`."""
         if len(self.round.timers) >= TIMERS_MOST:
             raise BadOrder(f"more than {TIMERS_MOST} timers in a round")
@@ -208,6 +208,6 @@
         """Probes are not allowed by the settings."""
         raise BadOrder(f"probe of {server}: the settings allow none")
 
-    def tell(self, peer: int | None, data: bytes) -> None:
+    def send_to_peer(self, peer: int | None, data: bytes) -> None:
         """Messages between planners are not allowed by the settings."""
         raise BadOrder(f"message to {peer}: the settings allow none")
--- a/swiftchute/controller/controller.py
+++ b/swiftchute/controller/controller.py
@@ -17,12 +17,14 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from swiftchute.api.commands import Policy
+from swiftchute.api.events import PushAcknowledged
+from swiftchute.api.settings import Settings
 from swiftchute.controller.assignments import Round
 from swiftchute.controller.egress_queue import Channel
 from swiftchute.controller.load_aggregation import Report, Sums
 from swiftchute.controller.policy_runner import IDLE, Joined, Loop, S
 from swiftchute.discovery.endpoint_list import News
-from swiftchute.interface import Decider, Settings
 from swiftchute.safety.observed_traffic import Seen, by_kind
 from swiftchute.safety.publish_gate import Gate
 from swiftchute.safety.validator import Fact, Known, Proposal, Rules
@@ -97,7 +99,7 @@
         self,
         settings: Settings,
         seed: int,
-        make: Callable[[Settings, int], Decider],
+        make: Callable[[Settings, int], Policy],
         now: int = 0,
         guard: Rules | None = None,
         enforce: bool = True,
@@ -108,13 +110,13 @@
         super().__init__(settings, seed, make, now, lenient=guard is not None and enforce)
         self.rules, self.enforce = guard, enforce
         tables = self.keep = tables or Keep()
-        self.history = History(str(settings.planner), tables.most, tables.age)
+        self.history = History(str(settings.instance), tables.most, tables.age)
         self.sent, self.pins = Sent(self.history), Pins()
         self.rejected = Rejected(tables.rejected_part, tables.back_most, tables.back_within)
         limits = Limits(tables.canary_part, tables.canary_for, tables.canary_most, tables.canary_step)
         self.trials = Trials(limits)
         self.rests: dict[int, Content] = {}  # of tables on trial, what proxies behind hold
-        self.sums = Sums(settings.report_lines, settings.report_period)
+        self.sums = Sums(settings.report_rate_entries_per_s, settings.report_interval_ns)
         self.facts: dict[str, Fact] = {}  # what the list says, or last said, of each server
         self.reviewed = now
         self.news = self.judged = 0  # lists that brought something, and those that the module was told of
@@ -133,7 +135,11 @@
         self.marks: dict[Any, int] = {}  # by proxy, the newest mark of a round that was held back
         self.why: dict[int, str] = {}  # by table, the cause of its next version
         self.channel = Channel(
-            s.channel_pace, s.channel_limit, s.message_lines, s.message_limit, s.message_window
+            s.egress_rate_entries_per_s,
+            s.egress_queue_limit_entries,
+            s.message_overhead_entries,
+            s.message_quota,
+            s.message_quota_window_ns,
         )
         self.contents: dict[int, tuple[int, Content]] = {}
         self.holdings: dict[Any, Holding] = {}
@@ -157,7 +163,7 @@
 
     def applied(self, proxy: Any, seal: int, now: int) -> None:
         """A proxy has acknowledged all that belongs to a mark and to those before it."""
-        self.tell(("applied", (proxy, seal, now - self.ordered.get(seal, now))))
+        self.tell(PushAcknowledged(proxy, seal, now - self.ordered.get(seal, now)))
 
     def settled(self, proxy: Any, now: int) -> None:
         """A proxy holds all that was pushed to it."""
@@ -181,11 +187,11 @@
         self.news += 1
         barred = set(self.barred)
         for entry in news.entries:
-            server, zone, state = entry[0], entry[1], entry[4]
-            self.facts[server] = Fact(zone, state, entry[6], entry[5], entry[2])
+            server, zone, state = entry.endpoint, entry.zone, entry.state
+            self.facts[server] = Fact(zone, state, entry.started_ns, entry.weight, entry.kind)
             if len(self.facts) > FACTS_MOST:  # those gone are forgotten; to the guard they are gone still
                 self.facts = {n: f for n, f in self.facts.items() if f.state != "gone"}
-            binds = state == "draining" or (state == "gone" and self.set.gone_binds)
+            binds = state == "draining" or (state == "gone" and self.set.removal_is_binding)
             (barred.add if binds else barred.discard)(server)
         if len(barred) > FACTS_MOST:
             barred &= self.facts.keys()
@@ -300,7 +306,7 @@
 
     def cold(self, now: int) -> frozenset[str]:
         """Ready servers that have started so lately that they are not warm yet; fronts ask here too."""
-        since = now - self.set.warm_within
+        since = now - self.set.max_warmup_ns
         facts = self.facts.items()
         return frozenset(n for n, f in facts if f.started > since and f.started and f.state == "ready")
 
@@ -421,9 +427,9 @@
         known = Known(
             by_kind(used),
             used,
-            () if self.set.gone_binds else self.seen.answering(now),
+            () if self.set.removal_is_binding else self.seen.answering(now),
             self.seen.ill(self.facts, now),
-            min(len(self.proxies) / max(self.set.proxies, 1), 1.0),
+            min(len(self.proxies) / max(self.set.proxy_count, 1), 1.0),
         )
         lines: dict[Any, int] = {}
         for number in self.gate.review(proposed, touched, self.facts, known, now, self.news, urgent):
@@ -474,7 +480,7 @@
             self._proposed(number),
             max(levels, default=1.0),
             frozenset(self.orders.proxies[p].zone for p in proxies),
-            any(op.own_zone for op in operations),
+            any(op.zone_local for op in operations),
             self.seen.demand(proxies, named, now) if proxies else None,
             self.sent.pending(proxies, named, cold, lambda p: self.seen.demand((p,), named, now))
             if cold
@@ -594,7 +600,7 @@
 
     def table_name(self, table: int) -> str:
         """The planner is in it: planners that share nothing number their tables alike."""
-        return f"{self.set.planner}.{table}"
+        return f"{self.set.instance}.{table}"
 
     def _carried(self, proxy: Any) -> Holding:
         """What a proxy holds of a module that failed, less what is withdrawn since."""
--- a/swiftchute/controller/load_aggregation.py
+++ b/swiftchute/controller/load_aggregation.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from swiftchute.interface import Call
+from swiftchute.api.events import DemandReport, EndpointLoadReport, Event
 
 S = 1_000_000_000
 KEYS_MOST = 100_000  # sums that may wait; past it those of new keys are dropped and counted
@@ -62,7 +62,7 @@
         for key in [k for k in self.waiting if k[0] == "arrived" and k[1] == proxy]:
             del self.waiting[key]
 
-    def take(self, now: int) -> list[Call]:
+    def take(self, now: int) -> list[Event]:
         """What may be told now, once a period; the rest adds up and follows."""
         if now < self.next:
             return []
@@ -71,18 +71,18 @@
             self.lines * max(self.period, S) / S, self.room + self.lines * (now - self.refilled) / S
         )
         self.refilled = now
-        calls: list[Call] = []
+        calls: list[Event] = []
         usual = self._usual()
         while self.waiting and self.room >= 1:
             self.room -= 1
             (name, *who), (began, a, b, c, d) = self.waiting.popitem(last=False)
             span = max(now - began, 1)
             if name == "arrived":
-                calls.append(("arrived", (*who, a, b, span)))
+                calls.append(DemandReport(*who, a, b, span))
             else:
                 # a client that gives no times counts as the others' mean: 0 would look infinitely fast
                 took = c // d if d else usual
-                calls.append(("met", (*who, a, b, max(took, 1) if a > b else 0, span, None)))
+                calls.append(EndpointLoadReport(*who, a, b, max(took, 1) if a > b else 0, span, None))
         return calls
 
     def _usual(self) -> int:
--- a/swiftchute/controller/policy_runner.py
+++ b/swiftchute/controller/policy_runner.py
@@ -18,8 +18,11 @@
 from dataclasses import dataclass
 from typing import Any
 
+from swiftchute.api.commands import Policy
+from swiftchute.api.endpoints import EndpointRecord, EndpointState
+from swiftchute.api.events import EndpointListUpdate, Event, ProxyConnected, ProxyDisconnected, TimerFired
+from swiftchute.api.settings import Settings
 from swiftchute.controller.assignments import LOGS_MOST, Orders, Round
-from swiftchute.interface import Call, Decider, Entry, Settings
 
 S = 1_000_000_000
 STALL = 2 * S  # a turn that comes so much later than it was due: this planner stood still
@@ -50,16 +53,16 @@
         self,
         settings: Settings,
         seed: int,
-        make: Callable[[Settings, int], Decider],
+        make: Callable[[Settings, int], Policy],
         now: int = 0,
         lenient: bool = False,
     ) -> None:
         """`make` builds the module, anew after each of its faults; `lenient` is as in `Orders`."""
         self.set, self.make, self.random, self.lenient = settings, make, random.Random(seed), lenient
-        self.planner: Decider | None = make(settings, seed)
+        self.planner: Policy | None = make(settings, seed)
         self.proxies: dict[Any, Any] = {}
-        self.list: dict[str, Entry] = {}
-        self.calls: list[Call] = []
+        self.list: dict[str, EndpointRecord] = {}
+        self.calls: list[Event] = []
         self.timers: list[tuple[int, int]] = []
         self.faults: deque[int] = deque(maxlen=FAULTS)
         self.asleep: int | None = None  # until when the module is not started again
@@ -86,29 +89,29 @@
         """A proxy takes this planner's messages from now on; it is bound to nothing yet."""
         self.proxies[proxy] = self.record(zone, rate)
         self.orders.joined(proxy, zone)
-        self.calls.append(("joined", (proxy, zone, rate, fresh)))
+        self.calls.append(ProxyConnected(proxy, zone, rate, fresh))
 
     def left(self, proxy: Any) -> bool:
         """Its stream broke: what waits for it is lost. False if it had not joined."""
         if self.proxies.pop(proxy, None) is None:
             return False
         self.orders.left(proxy)
-        self.calls.append(("left", (proxy,)))
+        self.calls.append(ProxyDisconnected(proxy))
         return True
 
-    def news_of_list(self, scope: str, entries: Iterable[Entry]) -> None:
+    def news_of_list(self, scope: str, entries: Iterable[EndpointRecord]) -> None:
         """News of the list, in the words of `interface`; what is kept here is for the module's next start."""
         entries = list(entries)
         if scope in ("whole", "held"):
             self.list = {}
         for entry in entries:
-            if entry[4] == "gone":
-                self.list.pop(entry[0], None)
+            if entry.state == EndpointState.REMOVED:
+                self.list.pop(entry.endpoint, None)
             else:
-                self.list[entry[0]] = entry
-        self.calls.append(("listed", (scope, entries)))
+                self.list[entry.endpoint] = entry
+        self.calls.append(EndpointListUpdate(scope, entries))
 
-    def tell(self, call: Call) -> None:
+    def tell(self, call: Event) -> None:
         """A sum or an answer for the module; past the bound it is lost and counted."""
         if len(self.calls) >= CALLS_MOST:
             self.counts["calls_lost"] += 1
@@ -137,7 +140,7 @@
         due = [timer for timer in self.timers if timer[0] <= now]
         if due:
             self.timers = [timer for timer in self.timers if timer[0] > now]
-            self.calls += [("woke", (token,)) for _, token in due]
+            self.calls += [TimerFired(token) for _, token in due]
         if self.asleep is not None and now >= self.asleep:
             self._start_again()
 
@@ -146,7 +149,7 @@
         self.counts["rounds"] += 1
         try:
             assert self.planner is not None
-            self.planner.decide(now, calls, self.orders)
+            self.planner.reconcile(now, calls, self.orders)
         except Exception as why:  # the module's fault is this planner's, never silence
             self._fault(why, len(calls), now)
             return None
@@ -190,6 +193,8 @@
     def _start_again(self) -> None:
         self.asleep = None
         self.planner = self.make(self.set, self.random.getrandbits(63))
-        self.calls = [("listed", ("held", [self.list[n] for n in sorted(self.list)]))] if self.list else []
-        self.calls += [("joined", (p, j.zone, j.rate, False)) for p, j in self.proxies.items()]
+        self.calls = (
+            [EndpointListUpdate("held", [self.list[n] for n in sorted(self.list)])] if self.list else []
+        )
+        self.calls += [ProxyConnected(p, j.zone, j.rate, False) for p, j in self.proxies.items()]
         self.event("module started", proxies=len(self.proxies), servers=len(self.list))
--- a/swiftchute/daemon/service.py
+++ b/swiftchute/daemon/service.py
@@ -14,7 +14,7 @@
 from swiftchute.dns.frontend import Front as DnsFront
 from swiftchute.dns.server import Shell as DnsShell
 from swiftchute.observability.logging import mode_fields
-from swiftchute.policy import Planner
+from swiftchute.policy import Reconciler
 from swiftchute.safety.validator import Rules
 from swiftchute.xds.frontend import Front, Out
 from swiftchute.xds.server import Shell
@@ -35,7 +35,7 @@
 class Service:
     """Runs one planner until it is told to stop."""
 
-    def __init__(self, config: Config, log: Any, make: Any = Planner) -> None:
+    def __init__(self, config: Config, log: Any, make: Any = Reconciler) -> None:
         """`make` builds the deciding module."""
         self.config, self.log = config, log
         self.clock = time.monotonic_ns
--- a/swiftchute/discovery/endpoint_list.py
+++ b/swiftchute/discovery/endpoint_list.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from swiftchute.interface import Entry
+from swiftchute.api.endpoints import EndpointRecord, EndpointState
 
 S = 1_000_000_000
 SERVERS_MOST = 100_000
@@ -31,7 +31,7 @@
     over, with why."""
 
     scope: str
-    entries: tuple[Entry, ...]
+    entries: tuple[EndpointRecord, ...]
     passed: tuple[str, ...]
 
 
@@ -47,7 +47,7 @@
 
     zones: tuple[str, ...]
     offset: int
-    held: dict[str, Entry] = field(default_factory=dict)
+    held: dict[str, EndpointRecord] = field(default_factory=dict)
     read_once: bool = False
     good: int = 0
     bad: int = 0
@@ -67,7 +67,7 @@
             raise BadList(f"not a list of targets: {why}") from None
         if sum(len(g.targets) for g in groups) > SERVERS_MOST:
             raise BadList(f"more than {SERVERS_MOST} targets")
-        found: dict[str, Entry] = {}
+        found: dict[str, EndpointRecord] = {}
         passed = []
         for place, group in enumerate(groups, 1):
             for target in group.targets:
@@ -81,18 +81,20 @@
                         continue
                     entry = self.held[target]
                 twin = found.get(target)
-                if twin is None or twin[4] == "ready":  # named twice: the word that takes it out counts
+                if (
+                    twin is None or twin.state == EndpointState.READY
+                ):  # named twice: the word that takes it out counts
                     found[target] = entry
         if not found and self.held:
             raise BadList("no server in it: a list empties no pool; drain servers instead")
-        gone = [(n, e[1], e[2], e[3], "gone", e[5], e[6]) for n, e in self.held.items() if n not in found]
+        gone = [e._replace(state=EndpointState.REMOVED) for n, e in self.held.items() if n not in found]
         changed = [e for n, e in found.items() if self.held.get(n) != e]
         scope = "changes" if self.read_once else "held"
         self.held, self.read_once, self.good = found, True, self.good + 1
         entries = tuple(sorted([*changed, *gone]))
         return News(scope, entries, tuple(passed)) if entries or passed or scope == "held" else None
 
-    def _entry(self, target: str, labels: dict[str, str]) -> Entry:
+    def _entry(self, target: str, labels: dict[str, str]) -> EndpointRecord:
         host, _, port = target.rpartition(":")
         try:
             ipaddress.ip_address(host.strip("[]"))
@@ -111,7 +113,7 @@
         if weight == 0:
             raise ValueError("label weight: 0; drain the server instead")
         started = int(start * S) - self.offset if start else 0
-        return (target, zone, labels.get("kind", ""), int(cell), state, weight, started)
+        return EndpointRecord(target, zone, labels.get("kind", ""), int(cell), state, weight, started)
 
     @staticmethod
     def _number(labels: dict[str, str], label: str, default: float) -> float:
--- a/swiftchute/dns/frontend.py
+++ b/swiftchute/dns/frontend.py
@@ -23,6 +23,7 @@
 import dns.rdataclass
 import dns.rdatatype
 
+from swiftchute.api.settings import Settings
 from swiftchute.controller.controller import Content, Core, Turn
 from swiftchute.controller.load_aggregation import Report
 from swiftchute.dns.answer_cache import Counter, Ready
@@ -32,7 +33,6 @@
 from swiftchute.dns.records import Lines, Records, Shape
 from swiftchute.dns.ttl import Lease
 from swiftchute.dns.zone_transfer import Journal, Secondaries
-from swiftchute.interface import Settings
 
 S = 1_000_000_000
 CHECK = S // 4  # how often what has settled is looked for, and rates are
@@ -68,7 +68,9 @@
         host, port = p["listen"] or ("localhost", 0)
         server = "" if host == "localhost" else f"{host}:{port}"
         self.shape = Shape(p["addresses"], p["draws"], p["borrowed"], expire=p["expire"] // S, server=server)
-        self.lease = Lease(settings.drain_grace, settings.bare_limit, p["ttl_most"] // S, p["queries"])
+        self.lease = Lease(
+            settings.drain_grace_ns, settings.max_no_endpoint_ns, p["ttl_most"] // S, p["queries"]
+        )
         self.limiter = Limiter(p["responses"], p["slip"], p["strangers"])
         self.journal = Journal(core.history, self.names, self.shape, self.lease.bound)
         self.secondaries = Secondaries(
@@ -136,7 +138,7 @@
         given = sum(c.given for c in self.counters.values())
         self.rate += 0.5 * ((given - self.told.get(("", ""), 0)) * S / max(span, 1) - self.rate)
         self.told["", ""] = given
-        if now - self.reported >= self.set.report_period:
+        if now - self.reported >= self.set.report_interval_ns:
             self._report(now)
         ttl = self.lease.ttl(self.rate, now)
         if ttl != self.ttl:
@@ -214,7 +216,7 @@
     @property
     def due(self) -> int:
         """When `turn` is to be called at the latest."""
-        times = [self.checked + max(CHECK, self.set.report_period // 4)]
+        times = [self.checked + max(CHECK, self.set.report_interval_ns // 4)]
         times += [v.until for v in self.views.values() if v.waits and v.until > self.turned]
         if self.secondaries.due is not None:
             times.append(self.secondaries.due)
--- a/swiftchute/drill/faulty_policies.py
+++ b/swiftchute/drill/faulty_policies.py
@@ -13,31 +13,52 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
+from msgspec.structs import replace as replace_fields
+
+from swiftchute.api.commands import CommandSink
+from swiftchute.api.endpoints import EndpointState
+from swiftchute.api.events import (
+    EndpointListUpdate,
+    EndpointLoadReport,
+    Event,
+    PeerMessageReceived,
+    TimerFired,
+)
 from swiftchute.drill.invariants import Verdict, judge
 from swiftchute.drill.report import broken
 from swiftchute.drill.scenario import DAYS, Day, Result, Runner, Trouble
-from swiftchute.interface import Call, Writer
-from swiftchute.policy import Planner
+from swiftchute.policy import Reconciler
 
 S = 1_000_000_000
-_VERBS = ("line", "clear", "bind", "admit", "withdraw", "mark", "watch", "timer", "log", "fetch")
-
-
-class Bent(Planner):
+_VERBS = (
+    "set_weight",
+    "clear_table",
+    "assign_table",
+    "set_admission",
+    "set_ejected",
+    "request_ack",
+    "subscribe",
+    "start_timer",
+    "log",
+    "fetch_list",
+)
+
+
+class Bent(Reconciler):
     """The module with one decision bent: `hears` changes a call, `bend` what is written, `after` adds to
     it."""
 
-    passed: Writer
+    passed: CommandSink
 
-    def decide(self, now: int, calls: Any, writer: Writer) -> None:
+    def reconcile(self, now: int, calls: Any, writer: CommandSink) -> None:
         """Decide as the module does, with what is bent."""
         self.passed = writer
-        super().decide(now, [self.hears(name, arguments) for name, arguments in calls], self)
+        super().reconcile(now, [self.hears(event) for event in calls], self)
         self.after(now)
 
-    def hears(self, name: str, arguments: tuple[Any, ...]) -> Call:
-        """What the module is told in place of a call."""
-        return name, arguments
+    def hears(self, event: Event) -> Event:
+        """What the module is told in place of an event."""
+        return event
 
     def bend(self, verb: str, arguments: tuple[Any, ...]) -> list[tuple[str, tuple[Any, ...]]]:
         """The verbs written in place of one."""
@@ -61,12 +82,12 @@
 class ForgetsDrains(Bent):
     """Takes every listed server for ready."""
 
-    def hears(self, name: str, arguments: tuple[Any, ...]) -> Call:
+    def hears(self, event: Event) -> Event:
         """Draining servers are called ready."""
-        if name != "listed":
-            return name, arguments
-        scope, entries = arguments
-        return name, (scope, [(*e[:4], "ready", *e[5:]) for e in entries])
+        if not isinstance(event, EndpointListUpdate):
+            return event
+        records = [record._replace(state=EndpointState.READY) for record in event.endpoints]
+        return EndpointListUpdate(event.scope, records)
 
 
 class Empties(Bent):
@@ -80,7 +101,7 @@
         if now - self.born > 3 * S:
             for tables in self.tables.values():
                 for table in tables:
-                    self.passed.clear(table.number)
+                    self.passed.clear_table(table.number)
 
 
 class AllToCold(Bent):
@@ -97,13 +118,13 @@
                 for n in cold:
                     if self.servers[n].zone == zone and (table.number, n) not in self.sent:
                         self.sent.add((table.number, n))
-                        self.passed.line(table.number, n, 1000.0)
+                        self.passed.set_weight(table.number, n, 1000.0)
 
     def bend(self, verb: str, arguments: tuple[Any, ...]) -> list[tuple[str, tuple[Any, ...]]]:
         """Keep cold servers' lines as they were made, and levels at all."""
-        if verb == "line" and self.servers[arguments[1]].started and arguments[2]:
+        if verb == "set_weight" and self.servers[arguments[1]].started and arguments[2]:
             return []
-        if verb == "admit":
+        if verb == "set_admission":
             return [(verb, (*arguments[:2], 1.0, arguments[3]))]
         return [(verb, arguments)]
 
@@ -113,24 +134,26 @@
 
     count, due = 0, False
 
-    def hears(self, name: str, arguments: tuple[Any, ...]) -> Call:
+    def hears(self, event: Event) -> Event:
         """Its own timer is none of the module's."""
-        if (name, arguments) != ("woke", (2,)):
-            return name, arguments
+        if event != TimerFired(2):
+            return event
         self.due = False
-        return "ignored", ()
+        return PeerMessageReceived(0, b"")  # which the module passes over
 
     def after(self, now: int) -> None:
         """Turn all lines by turns to one half of the servers and to the other."""
         self.count += 1
         if not self.due:
             self.due = True
-            self.passed.timer(S // 50, 2)
+            self.passed.start_timer(S // 50, 2)
         for tables in self.tables.values():
             for table in tables:
                 for place, (n, weight) in enumerate(sorted(table.sent.items(), key=str)):
                     if n:
-                        self.passed.line(table.number, n, weight * (5 if (place + self.count) % 2 else 0.2))
+                        self.passed.set_weight(
+                            table.number, n, weight * (5 if (place + self.count) % 2 else 0.2)
+                        )
 
 
 class NaNs(Bent):
@@ -140,8 +163,8 @@
 
     def bend(self, verb: str, arguments: tuple[Any, ...]) -> list[tuple[str, tuple[Any, ...]]]:
         """Every third line's weight is NaN."""
-        self.count += verb == "line"
-        if verb != "line" or self.count % 3 or not arguments[2]:
+        self.count += verb == "set_weight"
+        if verb != "set_weight" or self.count % 3 or not arguments[2]:
             return [(verb, arguments)]
         return [(verb, (*arguments[:2], math.nan))]
 
@@ -151,10 +174,11 @@
 
     bad = done = False
 
-    def hears(self, name: str, arguments: tuple[Any, ...]) -> Call:
+    def hears(self, event: Event) -> Event:
         """A drain is what sets it off."""
-        self.bad |= name == "listed" and any(entry[4] == "draining" for entry in arguments[1])
-        return name, arguments
+        if isinstance(event, EndpointListUpdate):
+            self.bad |= any(record.state == EndpointState.DRAINING for record in event.endpoints)
+        return event
 
     def heavy(self, server: str) -> bool:
         """Whether a server is to get nearly everything: the first that is ready, by zone."""
@@ -163,7 +187,7 @@
 
     def bend(self, verb: str, arguments: tuple[Any, ...]) -> list[tuple[str, tuple[Any, ...]]]:
         """A heavy line stays heavy."""
-        if self.bad and verb == "line" and arguments[2] and self.heavy(arguments[1]):
+        if self.bad and verb == "set_weight" and arguments[2] and self.heavy(arguments[1]):
             return [(verb, (*arguments[:2], 500.0))]
         return [(verb, arguments)]
 
@@ -174,7 +198,7 @@
             for tables in self.tables.values():
                 for table in tables:
                     for n in [n for n in table.sent if n and self.heavy(n)]:
-                        self.passed.line(table.number, n, 500.0)
+                        self.passed.set_weight(table.number, n, 500.0)
 
 
 class Lures(Skews):
@@ -182,13 +206,14 @@
 
     failing: frozenset[str] = frozenset()
 
-    def hears(self, name: str, arguments: tuple[Any, ...]) -> Call:
+    def hears(self, event: Event) -> Event:
         """It remembers where errors were, and from then on it is told of none."""
-        if name == "met" and self.bad:
-            return name, (*arguments[:3], 0, max(arguments[4], 1), *arguments[5:])
-        if name == "met" and arguments[3] > arguments[2] / 2:
-            self.failing |= {arguments[1]}
-        return super().hears(name, arguments)
+        if isinstance(event, EndpointLoadReport):
+            if self.bad:
+                return replace_fields(event, failures=0, mean_latency_ns=max(event.mean_latency_ns, 1))
+            if event.failures > event.attempts / 2:
+                self.failing |= {event.endpoint}
+        return super().hears(event)
 
     def heavy(self, server: str) -> bool:
         """A server that was seen to fail."""
--- a/swiftchute/drill/invariants.py
+++ b/swiftchute/drill/invariants.py
@@ -12,9 +12,9 @@
 
 from envoy.service.discovery.v3.discovery_pb2 import DeltaDiscoveryResponse, DiscoveryResponse
 
+from swiftchute.api.settings import Settings
 from swiftchute.fakes.backend import Receipt
 from swiftchute.fakes.gateway import Order, Stream, Try
-from swiftchute.interface import Settings
 from swiftchute.proxy.xds_client import Client
 
 S = 1_000_000_000
@@ -138,7 +138,8 @@
     def _servable(self) -> list[tuple[int, bool]]:
         """From when on a ready server that is no longer cold was listed, or none was."""
         points = sorted(
-            {t.at for t in self.e.told} | {t.started + self.set.warm_within for t in self.e.told if t.started}
+            {t.at for t in self.e.told}
+            | {t.started + self.set.max_warmup_ns for t in self.e.told if t.started}
         )
         out = []
         for at in points:
@@ -151,7 +152,7 @@
                 (
                     at,
                     any(
-                        t.state == "ready" and at >= t.started + self.set.warm_within * bool(t.started)
+                        t.state == "ready" and at >= t.started + self.set.max_warmup_ns * bool(t.started)
                         for t in now
                     ),
                 )
@@ -175,7 +176,7 @@
         verdict = Verdict(
             "nobody left without a server",
             0.0,
-            self.set.bare_limit / S,
+            self.set.max_no_endpoint_ns / S,
             "s",
             f"{len(self.e.gateways)} gateways, {len(self.e.orders)} orders",
         )
@@ -227,7 +228,7 @@
 
     def twice(self) -> Verdict:
         """2: what may take effect once was never run twice on a planner's orders."""
-        once = {op.name for op in self.set.operations if op.repeats == "side-effecting"}
+        once = {op.name for op in self.set.operations if op.idempotency == "side-effecting"}
         runs: dict[str, list[Receipt]] = defaultdict(list)
         for r in self.e.receipts:
             if r.operation in once and r.end == "ran":
@@ -248,7 +249,7 @@
 
     def drains(self) -> Verdict:
         """3: joined proxies stop sending to a draining or gone server within the grace."""
-        verdict = Verdict("drains kept", 0.0, self.set.drain_grace / S, "s", "")
+        verdict = Verdict("drains kept", 0.0, self.set.drain_grace_ns / S, "s", "")
         looked = 0
         for t in self.e.tries:
             rows = self.told.get(t.server, [])
@@ -274,7 +275,7 @@
         As the wire page counts: a break needs two thirds of the work to come through proxies that were last
         written to after the start's news, or whose planner had it for the grace.
         """
-        multiple, span = self.set.fall_multiple, self.set.fall_span
+        multiple, span = self.set.overload_multiple, self.set.overload_window_ns
         verdict = Verdict("no cold server pushed over", 0.0, multiple, "times what it can do", "")
         written: dict[str, list[int]] = defaultdict(list)
         for o in sorted(self.e.orders, key=lambda o: o.at):
@@ -292,13 +293,13 @@
                 starts += 1
                 window: deque[Receipt] = deque()
                 for r in rows:
-                    if not began <= r.at <= began + self.set.warm_within:
+                    if not began <= r.at <= began + self.set.max_warmup_ns:
                         continue
                     window.append(r)
                     while window[0].at < r.at - span:
                         window.popleft()
-                    least = self.set.start_capacity
-                    share = least + (1 - least) * (r.at - began) / self.set.warm_within
+                    least = self.set.start_capacity_fraction
+                    share = least + (1 - least) * (r.at - began) / self.set.max_warmup_ns
                     work = sum(w.work for w in window)
                     brought = work / (share * self.e.capacity[server] * span / S)
                     if sum(w.work for w in window if self._knew(w, news, written)) < work * 2 / 3:
@@ -317,7 +318,7 @@
         held = self.stream(r.gateway, r.at)
         told = self.heard(held[2], news) if held else news
         last = bisect_right(written[r.gateway], r.at) - 1
-        return (last >= 0 and written[r.gateway][last] > told) or r.at - told > self.set.drain_grace
+        return (last >= 0 and written[r.gateway][last] > told) or r.at - told > self.set.drain_grace_ns
 
     # -- 5
 
@@ -329,7 +330,7 @@
         from outside; but what a planner writes in a second is at most what may wait and what it sends
         meanwhile.
         """
-        limit = self.set.message_limit or 10**9
+        limit = self.set.message_quota or 10**9
         verdict = Verdict("a short queue", 0.0, 1.0, "of the limit", "")
         lines: dict[str, list[tuple[int, int]]] = defaultdict(list)
         messages = 0
@@ -350,13 +351,13 @@
                     seen.add((order.stream, version))
                     messages += 1
                     recent.append(order.at)
-                    while recent[0] < order.at - self.set.message_window:
+                    while recent[0] < order.at - self.set.message_quota_window_ns:
                         recent.popleft()
                     verdict.figure = max(verdict.figure, len(recent) / limit)
                     if len(recent) > limit and len(verdict.broken) < 20:
                         verdict.broken.append(
                             f"{client.node} was written {len(recent)} messages within"
-                            f" {self.set.message_window / S:g} s"
+                            f" {self.set.message_quota_window_ns / S:g} s"
                         )
                 count = 0
                 for table in {t.cluster.partition("/")[0]: t for t in client.tables.values()}.items():
@@ -366,7 +367,7 @@
                     before[name] = now
                 if count:
                     lines[self.planner(order.planner)].append((order.at, count))
-        most = self.set.channel_limit + self.set.channel_pace
+        most = self.set.egress_queue_limit_entries + self.set.egress_rate_entries_per_s
         for planner, rows in lines.items():
             window: deque[tuple[int, int]] = deque()
             for at, count in sorted(rows):
--- a/swiftchute/drill/scenario.py
+++ b/swiftchute/drill/scenario.py
@@ -416,7 +416,9 @@
             await self.planners[-1].start()
         self.dialled: dict[str, str] = {}
         operations = load(os.path.join(self.folder, "planner-0.hcl")).settings.operations
-        worth = {op.name: (op.objective / S, op.value, op.late_value) for op in operations}
+        worth = {
+            op.name: (op.latency_objective_ns / S, op.value, op.late_value_fraction) for op in operations
+        }
         for k in range(day.gateways):
             zone = ZONES[k % 3]
             dial = []
--- a/swiftchute/platform/endpoint_list.py
+++ b/swiftchute/platform/endpoint_list.py
@@ -21,14 +21,18 @@
 import h11
 import msgspec
 
-from swiftchute.interface import Entry
+from swiftchute.api.endpoints import EndpointRecord, EndpointState
 
 MS = 1_000_000
 PATH = "/catalog/members"
 SERVERS_MOST = 20_000  # servers of a list
 LINE_MOST = 8 << 20  # bytes of one line of a watch
 CATCH_UP = 6_000_000_000  # ns; what discovery has to tell has arrived by then, the protocol says
-_STATES = {"Ready": "ready", "Terminating": "draining", "Gone": "gone"}
+_STATES = {
+    "Ready": EndpointState.READY,
+    "Terminating": EndpointState.DRAINING,
+    "Gone": EndpointState.REMOVED,
+}
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=256)]
 
@@ -65,7 +69,7 @@
     passed over, with why."""
 
     scope: str
-    entries: tuple[Entry, ...]
+    entries: tuple[EndpointRecord, ...]
     passed: tuple[str, ...] = ()
 
 
@@ -75,7 +79,7 @@
 
     since: int
     revision: int
-    servers: dict[str, Entry]
+    servers: dict[str, EndpointRecord]
 
 
 @dataclass
@@ -84,7 +88,7 @@
 
     zones: tuple[str, ...]
     revision: int | None = None
-    servers: dict[str, Entry] = field(default_factory=dict)
+    servers: dict[str, EndpointRecord] = field(default_factory=dict)
     stale: int = 0  # lines that told of nothing newer
 
     def held(self, text: bytes) -> News:
@@ -96,7 +100,7 @@
         """One line of a watch that is not behind. Raises `BadWatch`."""
         return self._line(*self.read(text))
 
-    def _line(self, given: _List, found: dict[str, Entry], passed: list[str]) -> News | None:
+    def _line(self, given: _List, found: dict[str, EndpointRecord], passed: list[str]) -> News | None:
         if self.older(given.revision):
             self.stale += 1  # late: what is known is newer
             return None
@@ -109,7 +113,7 @@
         """Whether more than this revision is known."""
         return self.revision is not None and revision < self.revision
 
-    def read(self, text: bytes) -> tuple[_List, dict[str, Entry], list[str]]:
+    def read(self, text: bytes) -> tuple[_List, dict[str, EndpointRecord], list[str]]:
         """A line with its entries, and those passed over with why. Raises `BadWatch`."""
         try:
             given = _lists.decode(text)
@@ -118,29 +122,31 @@
         if len(given.members) > SERVERS_MOST:
             raise BadWatch(f"{len(given.members)} members; {SERVERS_MOST} at most")
         passed: list[str] = []
-        found: dict[str, Entry] = {}
+        found: dict[str, EndpointRecord] = {}
         for place, raw in enumerate(given.members, 1):
             entry = self._entry(bytes(raw), place, passed)
             if entry is not None:
-                found[entry[0]] = entry
+                found[entry.endpoint] = entry
         return given, found, passed
 
-    def _kept(self, found: dict[str, Entry], passed: list[str]) -> dict[str, Entry]:
+    def _kept(self, found: dict[str, EndpointRecord], passed: list[str]) -> dict[str, EndpointRecord]:
         """The servers of a whole list."""
-        kept = {n: e for n, e in found.items() if e[4] != "gone"}
+        kept = {n: e for n, e in found.items() if e.state != EndpointState.REMOVED}
         if not kept and self.servers:
             raise BadWatch("a whole list without a server")
         if passed:  # one of them may be a server that is known: it is not gone for that
             kept = {n: e for n, e in self.servers.items() if n not in kept} | kept
         return kept
 
-    def _whole(self, revision: int, servers: dict[str, Entry], scope: str, passed: list[str]) -> News:
+    def _whole(
+        self, revision: int, servers: dict[str, EndpointRecord], scope: str, passed: list[str]
+    ) -> News:
         self.revision, self.servers = revision, servers
         return News(scope, tuple(servers.values()), tuple(passed))
 
-    def _changes(self, found: dict[str, Entry], passed: list[str]) -> News | None:
+    def _changes(self, found: dict[str, EndpointRecord], passed: list[str]) -> News | None:
         for server, entry in list(found.items()):
-            if entry[4] == "gone":
+            if entry.state == EndpointState.REMOVED:
                 self.servers.pop(server, None)
             elif server in self.servers or len(self.servers) < SERVERS_MOST:
                 self.servers[server] = entry
@@ -165,27 +171,31 @@
         if given.complete:
             behind.servers = self._kept(found, passed)
         else:
-            behind.servers = {n: e for n, e in (behind.servers | found).items() if e[4] != "gone"}
+            behind.servers = {
+                n: e for n, e in (behind.servers | found).items() if e.state != EndpointState.REMOVED
+            }
         if len(behind.servers) > SERVERS_MOST:
             raise BadWatch(f"more than {SERVERS_MOST} servers")
         behind.revision = given.revision
         return self._ends(found, passed)
 
-    def _ends(self, found: dict[str, Entry], passed: list[str]) -> News | None:
+    def _ends(self, found: dict[str, EndpointRecord], passed: list[str]) -> News | None:
         """Of entries that may be old: drains and ends of a life that goes on here."""
         ends = {
             server: entry
             for server, entry in found.items()
-            if entry[4] != "ready" and server in self.servers and entry[6] >= self.servers[server][6]
-            and entry[4] != self.servers[server][4]
-        }  # fmt: skip
+            if entry.state != EndpointState.READY
+            and server in self.servers
+            and entry.started_ns >= self.servers[server].started_ns
+            and entry.state != self.servers[server].state
+        }
         return self._changes(ends, passed)
 
     def caught_up(self, behind: Behind) -> News:
         """The list of a watch that was behind is the list now."""
         return self._whole(behind.revision, dict(behind.servers), "whole", [])
 
-    def _entry(self, raw: bytes, place: int, passed: list[str]) -> Entry | None:
+    def _entry(self, raw: bytes, place: int, passed: list[str]) -> EndpointRecord | None:
         try:
             member = _members.decode(raw)
         except (msgspec.DecodeError, UnicodeDecodeError) as why:
@@ -197,7 +207,9 @@
             passed.append(f"member {place}, {member.id!r}: {cause} is not known")
             return None
         started = int(member.up_since_ms * MS)
-        return (member.id, member.locality, member.flavor, member.cell, state, member.size, started)
+        return EndpointRecord(
+            member.id, member.locality, member.flavor, member.cell, state, member.size, started
+        )
 
 
 class Watch:
--- a/swiftchute/platform/push_encoder.py
+++ b/swiftchute/platform/push_encoder.py
@@ -19,8 +19,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from swiftchute.api.endpoints import EndpointRecord
+from swiftchute.api.settings import Settings
 from swiftchute.controller.assignments import Orders
-from swiftchute.interface import Entry, Settings
 from swiftchute.platform import wire_messages
 
 PART_LINES = 2000  # lines of one part of a message; far below the protocol's size of a message
@@ -84,11 +85,11 @@
         """A proxy's stream is over."""
         self.proxies.pop(proxy, None)
 
-    def listed(self, entries: Iterable[Entry], whole: bool) -> None:
+    def listed(self, entries: Iterable[EndpointRecord], whole: bool) -> None:
         """News of the list: which servers may have been shut out by somebody."""
         first = not self.started
         if whole:
-            named = {entry[0] for entry in entries}
+            named = {entry.endpoint for entry in entries}
             for server in [s for s in self.started if s not in named]:
                 self._gone(server)
         for server, _, _, _, state, _, started in entries:
--- a/swiftchute/platform/server.py
+++ b/swiftchute/platform/server.py
@@ -23,7 +23,7 @@
 from swiftchute.platform.session_manager import OUT_MOST, Front
 from swiftchute.platform.settings import BadSettings, Told
 from swiftchute.platform.signals import StartupSignals
-from swiftchute.policy import Planner
+from swiftchute.policy import Reconciler
 
 MS, S = 1_000_000, 1_000_000_000
 ROUND_EVERY = 5 * MS
@@ -149,7 +149,7 @@
         self.clock = clock()
         self.random = random.Random(told.seed)
         self.catalog = Catalog(told.settings.zones)
-        self.loop = Loop(told.settings, told.seed, Planner, self.clock())
+        self.loop = Loop(told.settings, told.seed, Reconciler, self.clock())
         self.front = Front(self.loop, self.sockets())
         self.clients: set[_Client] = set()
         self.rounds_cpu = 0
--- a/swiftchute/platform/session_manager.py
+++ b/swiftchute/platform/session_manager.py
@@ -14,9 +14,10 @@
 from collections.abc import Iterable, Iterator, KeysView
 from typing import Any
 
+from swiftchute.api.endpoints import EndpointRecord
+from swiftchute.api.events import DemandReport, EndpointLoadReport, PushAcknowledged
 from swiftchute.controller.assignments import Round
 from swiftchute.controller.policy_runner import Loop
-from swiftchute.interface import Entry
 from swiftchute.platform import wire_messages
 from swiftchute.platform.proxy_session import Stream
 from swiftchute.platform.push_encoder import TooLarge, Writer
@@ -43,7 +44,7 @@
         self.loop, self.sockets, self.set = loop, sockets, loop.set
         self.operations = {op.name for op in self.set.operations}
         self.zones = set(self.set.zones)
-        self.longest = max(2 * max(op.timeout for op in self.set.operations), MEAN_LEAST)
+        self.longest = max(2 * max(op.timeout_ns for op in self.set.operations), MEAN_LEAST)
         self.writer = Writer(self.set, loop.orders)
         self.streams: dict[int, Stream] = {}  # by proxy
         self.collectors: dict[Stream, None] = {}
@@ -138,8 +139,8 @@
     def _hello(self, stream: Stream, message: wire_messages.Hello, now: int) -> str | None:
         if stream.joined:
             return "a second joining"
-        if message.proxy >= self.set.proxies:
-            return f"proxy {message.proxy}: numbers end at {self.set.proxies - 1}"
+        if message.proxy >= self.set.proxy_count:
+            return f"proxy {message.proxy}: numbers end at {self.set.proxy_count - 1}"
         if message.zone not in self.zones:
             return f"zone {message.zone!r} is not known"
         proxy = message.proxy
@@ -184,7 +185,7 @@
             return f"mark {message.mark} was not asked for"
         self.counts["acks"] += 1
         if asked:
-            self.loop.tell(("applied", (stream.proxy, message.mark, int(message.took_ms * MS))))
+            self.loop.tell(PushAcknowledged(stream.proxy, message.mark, int(message.took_ms * MS)))
         return None
 
     def _span(self, message: wire_messages.Outcomes | wire_messages.Demand) -> str | None:
@@ -215,9 +216,12 @@
             load = {wire_messages.LOADS.get(name, name): value for name, value in load.items()}
         self.counts["reports"] += 1
         took = int(mean * MS) if good and mean is not None else 0
-        row = (message.zone, message.server, message.tries, message.failed, took,
-               int(message.span_ms * MS), load or None)  # fmt: skip
-        self.loop.tell(("met", row))
+        window = int(message.span_ms * MS)
+        self.loop.tell(
+            EndpointLoadReport(
+                message.zone, message.server, message.tries, message.failed, took, window, load or None
+            )
+        )
         return None
 
     def _demand(self, stream: Stream, message: wire_messages.Demand) -> str | None:
@@ -231,13 +235,13 @@
         if cause is not None:
             return cause
         self.counts["reports"] += 1
-        row = (message.proxy, message.operation, message.tries, message.failed, int(message.span_ms * MS))
-        self.loop.tell(("arrived", row))
+        window = int(message.span_ms * MS)
+        self.loop.tell(DemandReport(message.proxy, message.operation, message.tries, message.failed, window))
         return None
 
     # -- the list
 
-    def listed(self, scope: str, entries: Iterable[Entry]) -> None:
+    def listed(self, scope: str, entries: Iterable[EndpointRecord]) -> None:
         """News from discovery, in the words of `interface`."""
         entries = list(entries)
         self.writer.listed(entries, scope in ("whole", "held"))
--- a/swiftchute/platform/settings.py
+++ b/swiftchute/platform/settings.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from swiftchute.interface import Settings
+from swiftchute.api.settings import Settings
 from swiftchute.simulator import codec
 
 FILE_MOST = 16 << 20  # bytes of the file
@@ -212,8 +212,8 @@
     # Counts are whole; and what divides is not 0: a server that is warm at once, a standing table of nothing.
     return replace(
         settings,
-        warm_within=max(settings.warm_within, 1),
-        standing=max(int(settings.standing), 1),
-        proxies=int(settings.proxies),
-        usual_tries=int(settings.usual_tries),
+        max_warmup_ns=max(settings.max_warmup_ns, 1),
+        subset_size=max(int(settings.subset_size), 1),
+        proxy_count=int(settings.proxy_count),
+        default_retry_policy=int(settings.default_retry_policy),
     )
--- a/swiftchute/policy.py
+++ b/swiftchute/policy.py
@@ -12,6 +12,25 @@
 from itertools import accumulate, chain
 from statistics import median
 
+from msgspec.structs import astuple
+
+from swiftchute.api.endpoints import EndpointRecord, EndpointState
+from swiftchute.api.events import (
+    DemandReport,
+    EndpointListUpdate,
+    EndpointLoadReport,
+    KeyRangeAssigned,
+    KeyRangeDemandReport,
+    KeyRangeEntryRestored,
+    KeyRangeRevoked,
+    PeerMessageReceived,
+    ProbeCompleted,
+    ProxyConnected,
+    ProxyDisconnected,
+    PushAcknowledged,
+    TimerFired,
+)
+
 MS, S = 1_000_000, 1_000_000_000
 
 QUIET, QUIET_CAP = 200 * MS, 1 * S  # debounce: act after this much quiet, or after this wait at the latest
@@ -100,7 +119,7 @@
         return out if urgent and left else lines
 
 
-class Planner:
+class Reconciler:
     """One instance of the decision module."""
 
     def __init__(self, settings, seed):
@@ -111,38 +130,58 @@
         self.ahead = {}  # mark -> the lines ahead of the last of its messages
         self.judged = self.armed = self.seal = self.judgements = self.listings = 0
         self.pressed = dict.fromkeys(settings.zones)  # what a zone's proxies felt when last judged
-        self.retry_at, self.retry_wait = 0 if settings.asks_list else None, S  # when to subscribe
+        self.retry_at, self.retry_wait = (
+            0 if settings.list_needs_subscription else None,
+            S,
+        )  # when to subscribe
         ways = [(zone, other) for zone in settings.zones for other in settings.zones if other != zone]
         self.borrow = dict.fromkeys(ways, 0.0)
         self.rest = dict.fromkeys(ways, 0)  # until when an ill way is not borrowed over
         self.carried = {zone: deque(maxlen=CARRIED) for zone in settings.zones}  # a second, by unit of weight
         # an operation a row: its bit, its objective, whether it stays in its zone, whether it may run again
         self.operations = [
-            (1 << k, op.objective, op.own_zone, op.repeats == "idempotent")
+            (1 << k, op.latency_objective_ns, op.zone_local, op.idempotency == "idempotent")
             for k, op in enumerate(settings.operations)
         ]
         self.objective = min(objective for _, objective, _, _ in self.operations)
-        self.tries = settings.usual_tries
+        self.tries = settings.default_retry_policy
         if not all(again for *_, again in self.operations):
             self.tries = min(self.tries, 1)  # a try beyond the provably safe one could take effect twice
         self.tables = {}  # (zone, group) -> its tables: for what may cross zones, and for what may not
         self.groups = dict.fromkeys(settings.zones, 0)
         self.shut = set()  # servers withdrawn because a proxy that was not bound yet might send there
         self.modes = set()  # what the staff were told is on
-
-    def decide(self, now, calls, writer):
+        self.handlers = {
+            EndpointListUpdate: self.listed,
+            ProxyConnected: self.joined,
+            ProxyDisconnected: self.left,
+            EndpointLoadReport: self.met,
+            DemandReport: self.arrived,
+            PushAcknowledged: self.applied,
+            TimerFired: self.woke,
+            ProbeCompleted: self.ignored,
+            PeerMessageReceived: self.ignored,
+            KeyRangeAssigned: self.slice_given,
+            KeyRangeRevoked: self.slice_taken,
+            KeyRangeEntryRestored: self.slice_line,
+            KeyRangeDemandReport: self.ignored,
+        }
+
+    def reconcile(self, now, calls, writer):
         self.now, self.out = now, writer
         self.touched = {}  # proxy -> lines of this round's message
-        for name, arguments in calls:
-            getattr(self, name)(*arguments)
+        for event in calls:
+            self.handlers[type(event)](*astuple(event))
         if self.retry_at is not None and now >= self.retry_at:
             self.retry_at = None
-            writer.watch(True)
-        if self.set.slices:
+            writer.subscribe(True)
+        if self.set.key_range_count:
             self.tend_slices()
         else:
             judging = now - self.judged >= JUDGE_EVERY
-            if judging or any(name == "listed" for name, _ in calls):  # else only answers to marks
+            if judging or any(
+                isinstance(event, EndpointListUpdate) for event in calls
+            ):  # else only answers to marks
                 self.form_groups()
                 if judging:
                     self.judged = now
@@ -157,7 +196,7 @@
             self.push()
         if not self.armed and (self.proxies or self.retry_at is not None):  # one chain of timers
             self.armed = 1
-            writer.timer(TICK, 1)
+            writer.start_timer(TICK, 1)
 
     # -- what comes in
 
@@ -170,21 +209,22 @@
         self.mode("list lost", False, f"{len(entries)} entries")
         self.retry_wait = S
         if scope in ("whole", "held"):
-            named = {e[0] for e in entries}
+            named = {e.endpoint for e in entries}
             entries = [*entries] + [
-                (n, s.zone, "", 0, "gone", s.weight, s.started)
+                EndpointRecord(n, s.zone, "", 0, EndpointState.REMOVED, s.weight, s.started)
                 for n, s in self.servers.items()
                 if n not in named
             ]
         for entry in entries:
-            known = self.servers.get(entry[0])
-            if known is None or entry[6] != known.started:  # a restart: what was measured is void
+            known = self.servers.get(entry.endpoint)
+            if known is None or entry.started_ns != known.started:  # a restart: what was measured is void
                 place = known.place if known else self.listings
                 self.listings += known is None
-                self.servers[entry[0]] = Server(entry, place, known and known.group)
+                self.servers[entry.endpoint] = Server(entry, place, known and known.group)
             else:
-                known.doubted = entry[4] == "gone" and not self.set.gone_binds and known.state == "ready"
-                known.state, known.weight = "ready" if known.doubted else entry[4], entry[5]
+                removed = entry.state == "gone" and not self.set.removal_is_binding
+                known.doubted = removed and known.state == "ready"
+                known.state, known.weight = "ready" if known.doubted else entry.state, entry.weight
 
     def joined(self, proxy, zone, rate, fresh):
         self.left(proxy)
@@ -207,9 +247,9 @@
         """A proxy has read the message of this mark and all before it."""
         unread = self.proxies[proxy].unread if proxy in self.proxies else {}
         ahead = self.ahead.get(seal, 0) if seal in unread else 0
-        if ahead > BUSY * self.set.channel_limit:
-            usual = ahead * S / self.set.channel_pace
-            self.fastest = max(self.fastest, usual / max(took - self.set.way_most, usual))
+        if ahead > BUSY * self.set.egress_queue_limit_entries:
+            usual = ahead * S / self.set.egress_rate_entries_per_s
+            self.fastest = max(self.fastest, usual / max(took - self.set.max_push_delay_ns, usual))
         while seal in unread:
             self.unread -= unread.pop(next(iter(unread)))
 
@@ -219,8 +259,6 @@
     def ignored(self, *arguments):
         """Nothing is decided by these yet."""
 
-    probed = told = slice_arrived = ignored
-
     # -- health
 
     def rests(self, way):
@@ -304,7 +342,7 @@
         if there is not None and there > FAR * max(felt, LET_AT):
             self.rest[way] = self.now + REST
         rests = self.rests(way)
-        over = felt - PRESSED - BY_PRICE * self.set.cross_price
+        over = felt - PRESSED - BY_PRICE * self.set.cross_zone_price
         want = 0.0 if rests else min(max(over / FULL_PRESS, 0.0), 1.0) ** BORROW_POWER
         step = BORROW_UP if rests or want > self.borrow[way] else BORROW_DOWN
         self.borrow[way] += step * (want - self.borrow[way])
@@ -314,7 +352,7 @@
 
     def levels(self):
         """Under pressure further tries go first, then levels; they come back in the opposite order."""
-        for zone, felt in self.pressed.items() if self.set.admission == "share" else ():
+        for zone, felt in self.pressed.items() if self.set.admission_mode == "share" else ():
             if felt is None:
                 continue
             rate = max(self.arriving(zone), 0.1)
@@ -345,7 +383,7 @@
 
     def warmth(self, server):
         """How far a server is on the longest way to being warm, from 0 at its start to 1."""
-        return min(max((self.now - server.started) / self.set.warm_within, 0), 1) if server.started else 1.0
+        return min(max((self.now - server.started) / self.set.max_warmup_ns, 0), 1) if server.started else 1.0
 
     def cold(self, server):
         return self.warmth(server) < 1
@@ -358,8 +396,8 @@
         carried = max(self.carried.get(server.zone, ()), default=0) or self.arriving(server.zone) / max(
             sum(s.weight for s in self.servers.values() if s.zone == server.zone), 1
         )
-        now = self.set.start_capacity + (1 - self.set.start_capacity) * self.warmth(server)
-        return SAFE * self.set.fall_multiple * now * carried * server.weight
+        now = self.set.start_capacity_fraction + (1 - self.set.start_capacity_fraction) * self.warmth(server)
+        return SAFE * self.set.overload_multiple * now * carried * server.weight
 
     def guard_cold(self, table, lines):
         """Keep cold servers under what they may be sent, whatever the others take; returns a level for it."""
@@ -374,7 +412,7 @@
         total, warm = sum(may.values()), sum(w for n, w in lines.items() if n not in may)
         known = len(self.carried[table.zone]) >= LEVEL_LAG  # first news is of the first to join
         flood = (self.pressed[table.zone] or 0) > FLOOD and total < SAFE
-        if self.set.avoids_after and warm and (not known or flood):
+        if self.set.ejection_failures and warm and (not known or flood):
             for name in may:  # proxies will soon avoid the failing others: a small line would be everything
                 del lines[name]
             return 1.0
@@ -394,7 +432,7 @@
         ]
         for zone in [z for z, count in self.groups.items() if not count and ready]:
             here = sum(s.zone == zone for s in ready)
-            self.groups[zone] = max(1, here // self.set.standing)
+            self.groups[zone] = max(1, here // self.set.subset_size)
             for group in range(self.groups[zone]):
                 first = 2 * len(self.tables) + 1
                 self.tables[zone, group] = [
@@ -481,16 +519,16 @@
         All that was not answered for counts as still waiting, so a slow channel, a lost answer or a proxy
         that stands still holds pushes back and breaks no limit. Where answers show a slower pace what waits
         may be no more than leaves in the same time, as a drain behind half a channel would be late there."""
-        head = self.set.message_lines + 1  # and the mark
+        head = self.set.message_overhead_entries + 1  # and the mark
         cost = {p: lines + (0 if p in self.touched else head) for p in proxies}
-        most = gate * self.set.channel_limit
+        most = gate * self.set.egress_queue_limit_entries
         if self.unread + sum(cost.values()) > most or self.unread > self.pace * most:
             return False
-        for p in cost.keys() - self.touched.keys() if self.set.message_limit else ():
+        for p in cost.keys() - self.touched.keys() if self.set.message_quota else ():
             sent = self.proxies[p].messages
-            while sent and self.now - sent[0] > self.set.message_window:
+            while sent and self.now - sent[0] > self.set.message_quota_window_ns:
                 sent.popleft()
-            if len(sent) + 1 > spare * self.set.message_limit - 1:
+            if len(sent) + 1 > spare * self.set.message_quota - 1:
                 return False
         for p, new in cost.items():
             self.touched[p] = self.touched.get(p, 0) + new
@@ -530,7 +568,7 @@
         self.forget()
         if self.touched:
             self.seal = self.seal % SEALS + 1
-            self.out.mark(self.seal, False)
+            self.out.request_ack(self.seal, False)
             self.ahead[self.seal] = self.unread
             if len(self.ahead) > ASKED:
                 del self.ahead[next(iter(self.ahead))]
@@ -546,10 +584,10 @@
         for table, change in zip(tables, changes, strict=True):
             for name, weight in sorted(change.items(), key=lambda c: c[1] == 0):  # never empty in between
                 if name == LEVEL:
-                    level = abs(weight) if self.set.admission == "share" else NO_RATE
-                    self.out.admit(table.number, 0, level, self.tries if weight > 0 else 0)
+                    level = abs(weight) if self.set.admission_mode == "share" else NO_RATE
+                    self.out.set_admission(table.number, 0, level, self.tries if weight > 0 else 0)
                 else:
-                    self.out.line(table.number, name, weight)
+                    self.out.set_weight(table.number, name, weight)
             table.sent = {n: w for n, w in (table.sent | change).items() if w}
             table.urgent = False
             if not urgent:
@@ -570,7 +608,7 @@
             tables = [t for t in self.tables[proxy.zone, best] if t.sent.keys() - {LEVEL}]
             if tables and self.book([p], sum(1 + len(t.sent) for t in tables), gate):
                 for t in tables:
-                    self.out.bind(p, t.number, t.mask)
+                    self.out.assign_table(p, t.number, t.mask)
                 proxy.group, proxy.waits = best, False
                 loads[best][0] += self.demand(proxy)
 
@@ -587,7 +625,7 @@
             # No further than binds, which come first: one tells of all drains, and a channel that withdrawals
             # keep full holds it back for good.
             if self.book(told, 1, BIND_GATE):
-                self.out.withdraw(name, out)
+                self.out.set_ejected(name, out)
                 (self.shut.add if out else self.shut.remove)(name)
             else:
                 tells = False  # this round: those that wait are the same for each
@@ -605,7 +643,7 @@
                 del self.servers[name]
                 self.modes.discard(f"cut {name}")
                 if name in self.shut:  # it concerns nobody any more: no line goes out
-                    self.out.withdraw(name, False)
+                    self.out.set_ejected(name, False)
                     self.shut.remove(name)
 
     # -- slices
@@ -629,5 +667,5 @@
                 keep = {min(ready, key=lambda n: (held.count(n), n)): 1}
             for name in [n for n in [*keep, *lines] if keep.get(n) != lines.get(n)]:
                 if name in keep or not self.set.single_owner:  # there a new owner takes the old one's place
-                    self.out.line(number, name, keep.get(name, 0))
+                    self.out.set_weight(number, name, keep.get(name, 0))
             self.slices[number] = keep
--- a/swiftchute/safety/observed_traffic.py
+++ b/swiftchute/safety/observed_traffic.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any
 
-from swiftchute.interface import Call
+from swiftchute.api.events import DemandReport, EndpointLoadReport, Event, ProxyDisconnected
 from swiftchute.safety.validator import Fact
 
 S = 1_000_000_000
@@ -32,19 +32,20 @@
         self.best: dict[tuple[str, str], deque[tuple[int, float]]] = defaultdict(lambda: deque(maxlen=KEPT))
         self.at = 0
 
-    def told(self, call: Call, now: int) -> None:
+    def told(self, call: Event, now: int) -> None:
         """Take in a sum; other calls are passed over."""
-        name, arguments = call
-        if name == "met":
-            zone, server, tries, errored, _, span, _ = arguments
-            self.good[server][zone] = (
-                now + span + FRESH, (tries - errored) * S / max(span, 1), tries * S / max(span, 1)
-            )  # fmt: skip
-        elif name == "arrived":
-            proxy, operation, invs, _, span = arguments
-            self.came[proxy][operation] = (now + span + FRESH, invs * S / max(span, 1))
-        elif name == "left":
-            self.came.pop(arguments[0], None)
+        if isinstance(call, EndpointLoadReport):
+            window = max(call.window_ns, 1)
+            self.good[call.endpoint][call.zone] = (
+                now + call.window_ns + FRESH,
+                (call.attempts - call.failures) * S / window,
+                call.attempts * S / window,
+            )
+        elif isinstance(call, DemandReport):
+            rate = call.requests * S / max(call.window_ns, 1)
+            self.came[call.proxy][call.operation] = (now + call.window_ns + FRESH, rate)
+        elif isinstance(call, ProxyDisconnected):
+            self.came.pop(call.proxy, None)
 
     def demand(self, proxies: Iterable[Any], operations: Iterable[str], now: int) -> float | None:
         """Invocations a second of these operations that come to these proxies; None if no fresh sum
--- a/swiftchute/safety/offline.py
+++ b/swiftchute/safety/offline.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
+from swiftchute.api.settings import Settings
 from swiftchute.discovery.endpoint_list import BadList, Registry
-from swiftchute.interface import Settings
 from swiftchute.safety.validator import Fact, Guard, Known, Proposal, Rules, Verdict
 
 
@@ -49,7 +49,7 @@
         raise BadInput(f"{path}: {why}") from None
     if news is not None and news.passed:
         raise BadInput(f"{path}: {news.passed[0]}")
-    return {e[0]: Fact(e[1], e[4], e[6], e[5], e[2]) for e in registry.held.values()}
+    return {e.endpoint: Fact(e.zone, e.state, e.started_ns, e.weight, e.kind) for e in registry.held.values()}
 
 
 def judge(settings: Settings, table: Written, facts: dict[str, Fact]) -> Verdict:
--- a/swiftchute/safety/publish_gate.py
+++ b/swiftchute/safety/publish_gate.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from swiftchute.interface import Settings
+from swiftchute.api.settings import Settings
 from swiftchute.safety.validator import LATE, Fact, Guard, Known, Proposal, Refusal, Rules
 
 S = 1_000_000_000
@@ -42,7 +42,7 @@
 
     def __init__(self, settings: Settings, rules: Rules, enforce: bool, seed: int = 0) -> None:
         """Without `enforce` findings are told and counted, and tables go out as proposed."""
-        self.guard, self.enforce, self.grace = Guard(settings, rules), enforce, settings.drain_grace
+        self.guard, self.enforce, self.grace = Guard(settings, rules), enforce, settings.drain_grace_ns
         self.random = random.Random(seed)
         self.waits: dict[int, _Waits] = {}
         self.past: deque[tuple[int, dict[int, dict[str, float]]]] = deque(maxlen=STAMPS)
--- a/swiftchute/safety/validator.py
+++ b/swiftchute/safety/validator.py
@@ -34,7 +34,7 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, field
 
-from swiftchute.interface import Settings
+from swiftchute.api.settings import Settings
 from swiftchute.safety.stale_list import worst
 from swiftchute.safety.step_limits import Over, Pools, blend
 
@@ -142,7 +142,7 @@
         """The part of its full work that a server can do at least: it grows evenly, on the longest way."""
         if not fact.started:
             return 1.0
-        least, age = self.set.start_capacity, (now - fact.started) / self.set.warm_within
+        least, age = self.set.start_capacity_fraction, (now - fact.started) / self.set.max_warmup_ns
         return min(least + (1 - least) * max(age, 0.0), 1.0)
 
     def judge(
@@ -181,7 +181,7 @@
         state = self.facts[server].state
         # a list may call servers gone that serve: where gone does not bind, those that answer are open
         return state == "ready" or (
-            state == "gone" and not self.set.gone_binds and server in self.known.answering
+            state == "gone" and not self.set.removal_is_binding and server in self.known.answering
         )
 
     def _warm(self, server: str) -> bool:
@@ -214,7 +214,7 @@
         """Whether a server that is not ready must be left: one merely dropped may stay where gone
         does not bind."""
         state = self.facts[server].state if server in self.facts else "gone"
-        return state == "draining" or self.set.gone_binds
+        return state == "draining" or self.set.removal_is_binding
 
     def _usable(self, table: Proposal) -> list[str]:
         """The open servers that a table may use: those of its proxies' zones, or others if these have
@@ -323,7 +323,7 @@
     def _multiple(self, fact: Fact) -> float:
         """What a server may be sent by its full work: the part planned for of what the rule lets
         through now."""
-        return self.rules.cold_part * self.set.fall_multiple * self.capacity(fact, self.now)
+        return self.rules.cold_part * self.set.overload_multiple * self.capacity(fact, self.now)
 
     def _load(self, proposed: Mapping[int, Proposal], number: int, server: str, share: float) -> float:
         """What a table brings a server a second at this share of it, what proxies still go by included."""
@@ -476,7 +476,7 @@
 
         def figure(held: Mapping[str, float]) -> tuple[float, str]:
             known = {n: w for n, w in held.items() if n in self.facts and self.facts[n].kind in self.full}
-            least = self.set.fall_multiple * self.set.start_capacity
+            least = self.set.overload_multiple * self.set.start_capacity_fraction
             start = {n: least * (self._work(self.facts[n]) or 0.0) for n in known}
             ratio, server, _ = worst(known, rate, start, math.floor(self.rules.late_part * len(known)))
             return ratio, server
--- a/swiftchute/simulator/__main__.py
+++ b/swiftchute/simulator/__main__.py
@@ -2,8 +2,8 @@
 
 import sys
 
-from swiftchute.policy import Planner
+from swiftchute.policy import Reconciler
 from swiftchute.simulator.host import serve
 
 if __name__ == "__main__":
-    sys.exit(serve(sys.stdin.buffer, sys.stdout, sys.stderr, Planner))
+    sys.exit(serve(sys.stdin.buffer, sys.stdout, sys.stderr, Reconciler))
--- a/swiftchute/simulator/host.py
+++ b/swiftchute/simulator/host.py
@@ -5,10 +5,12 @@
 from collections.abc import Callable
 from typing import Any, BinaryIO, TextIO
 
-from swiftchute.interface import Call, Decider, Settings
+from swiftchute.api.commands import Policy
+from swiftchute.api.events import Event
+from swiftchute.api.settings import Settings
 from swiftchute.simulator import codec
 
-Maker = Callable[[Settings, int], Decider]
+Maker = Callable[[Settings, int], Policy]
 
 
 class BadInput(Exception):
@@ -21,7 +23,7 @@
     def __init__(self, make: Maker, errors: TextIO) -> None:
         """Instances are built by `make` when their start comes in."""
         self.make, self.errors = make, errors
-        self.instances: dict[int, Decider] = {}
+        self.instances: dict[int, Policy] = {}
 
     def batch(self, text: bytes, number: int) -> str:
         """Answer one line of input with one line of output."""
@@ -44,7 +46,7 @@
 
     def _turn(self, planner: int, events: Any, now: int, out: codec.Outbox, where: str) -> None:
         """Split a group at its starts and ends; what lies between goes to the instance as one round."""
-        calls: list[Call] = []
+        calls: list[Event] = []
         for place, event in enumerate(events):
             spot = f"{where}, event {place + 1}"
             try:
@@ -62,12 +64,12 @@
                 elif planner not in self.instances and not self._failed(out):
                     raise BadInput(f"{spot}: {name} for a planner that was not started")
                 else:
-                    calls.append(codec.call(name, fields))
+                    calls.append(codec.event(name, fields))
             except (KeyError, TypeError, ValueError, AttributeError) as why:
                 raise BadInput(f"{spot}: {name}: unknown, or a field is missing or wrong: {why!r}") from None
         instance = self.instances.get(planner)
         if instance is not None:
-            self._guarded(out, lambda: instance.decide(now, calls, out))
+            self._guarded(out, lambda: instance.reconcile(now, calls, out))
 
     def _start(self, planner: int, given: Settings, seed: int) -> None:
         self.instances[planner] = self.make(given, seed)
--- a/swiftchute/xds/frontend.py
+++ b/swiftchute/xds/frontend.py
@@ -15,9 +15,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from swiftchute.api.settings import Settings
 from swiftchute.controller.controller import Core, Turn
 from swiftchute.controller.load_aggregation import Report
-from swiftchute.interface import Settings
 from swiftchute.xds import names
 from swiftchute.xds.messages import Peer, Reply, Request, Violation
 from swiftchute.xds.resources import Translator
@@ -149,7 +149,7 @@
     def _want(self, sid: int, seal: int | None, now: int) -> None:
         peer, stream = self.streams[sid]
         wanted = self.translator.wanted(self.core.held(peer.node), self.core.orders.shut, stream.lines)
-        stream.want(wanted, f"{self.set.planner}/{self.life}/{self.pushes}", seal, now)
+        stream.want(wanted, f"{self.set.instance}/{self.life}/{self.pushes}", seal, now)
         self.touched.add(sid)
 
     def _look_over(self, now: int) -> None:
--- a/swiftchute/xds/resources.py
+++ b/swiftchute/xds/resources.py
@@ -49,8 +49,8 @@
 from google.protobuf.message import Message
 from google.protobuf.wrappers_pb2 import UInt32Value
 
+from swiftchute.api.settings import Operation, Settings
 from swiftchute.controller.controller import Content, Holding, Line
-from swiftchute.interface import Operation, Settings
 from swiftchute.xds import names
 
 WEIGHT_UNIT = 10_000  # the module's weights have four decimals; xDS takes whole numbers of 1 or more
@@ -228,9 +228,13 @@
         key = (op.name, cluster, tries)
         if key not in self.routes:
             conditions, count = _TRIES[tries]
-            action = RouteAction(cluster=cluster, timeout=_seconds(op.timeout))
+            action = RouteAction(cluster=cluster, timeout=_seconds(op.timeout_ns))
             if count:
-                per_try = _seconds(int(self.set.try_objectives * op.objective)) if tries > 1 else None
+                per_try = (
+                    _seconds(int(self.set.attempt_timeout_objectives * op.latency_objective_ns))
+                    if tries > 1
+                    else None
+                )
                 action.retry_policy.CopyFrom(
                     RetryPolicy(
                         retry_on=conditions, num_retries=UInt32Value(value=count), per_try_timeout=per_try
--- a/swiftchute/xds/server.py
+++ b/swiftchute/xds/server.py
@@ -18,7 +18,7 @@
 from grpclib.exceptions import GRPCError, StreamTerminatedError
 from grpclib.server import Server, Stream
 
-from swiftchute.interface import Settings
+from swiftchute.api.settings import Settings
 from swiftchute.xds import load_reports, messages
 from swiftchute.xds.frontend import Front, Out
 from swiftchute.xds.messages import Violation
@@ -252,7 +252,7 @@
             if peer.node not in self.reporting and len(self.reporting) >= self.plumbing["streams"]:
                 raise Violation("RESOURCE_EXHAUSTED", f"{len(self.reporting)} report streams are open")
             self.reporting[peer.node] = mine
-            await stream.send_message(load_reports.answer(self.set.report_period))
+            await stream.send_message(load_reports.answer(self.set.report_interval_ns))
             while self.reporting.get(peer.node) == mine:  # a node reports on one stream, the newest
                 self.front.report(peer.node, report, self.clock())
                 self.kick()
--- a/tests/config/test_schema.py
+++ b/tests/config/test_schema.py
@@ -33,8 +33,8 @@
 
 def test_users_words_become_settings(checked):
     found = checked(GOOD)
-    assert found.settings.operations[0].objective == 1200 * MS
-    assert found.settings.drain_grace == 3 * S
+    assert found.settings.operations[0].latency_objective_ns == 1200 * MS
+    assert found.settings.drain_grace_ns == 3 * S
     assert found.xds["max_message"] == 4 * 2**20
     assert found.settings.zones == ("north", "south", "west")
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -2,10 +2,18 @@
 
 import pytest
 
+from swiftchute.api.endpoints import EndpointRecord
+from swiftchute.api.events import (
+    DemandReport,
+    EndpointListUpdate,
+    EndpointLoadReport,
+    ProxyConnected,
+    PushAcknowledged,
+)
+from swiftchute.api.settings import Operation, Settings
 from swiftchute.controller.controller import Core
 from swiftchute.discovery.endpoint_list import News
-from swiftchute.interface import Operation, Settings
-from swiftchute.policy import Planner, S
+from swiftchute.policy import Reconciler, S
 from swiftchute.safety.validator import Rules
 from tests import known_red
 
@@ -25,22 +33,49 @@
 
 
 FACTS = {
-    "zones": ("east", "west"), "zone": "east", "planner": 0, "planners": 1, "asks_list": False,
-    "weights": "none", "load_fields": (), "load_by": "none", "may_probe": False, "may_tell": False,
-    "ask_within": None,
-    "drain_grace": 2 * S, "gone_binds": True,
-    "start_capacity": 0.2, "warm_within": 16 * S, "fall_multiple": 2.5,
-    "fall_span": 2 * S, "bare_limit": 3 * S, "proxies": 4, "slices": 0, "single_owner": False,
-    "admission": "share", "usual_tries": 1,
-    "try_objectives": 1.0, "avoids_after": 5, "standing": 6, "report_period": S, "report_lines": 100.0,
-    "channel_pace": 1000.0, "channel_limit": 2000.0, "message_lines": 5.0, "message_limit": 10,
-    "message_window": 10 * S, "way": S // 5, "way_most": S // 2, "cross_price": 0.05, "probe_price": 0.0,
-    "order_price": 0.04,
-}  # fmt: skip
-
-
-def operation(name, own_zone=False):
-    return Operation(name, S, 4 * S, 1.0, 0.1, "idempotent", "all", 0, own_zone, False)
+    "zones": ("east", "west"),
+    "zone": "east",
+    "instance": 0,
+    "instance_count": 1,
+    "list_needs_subscription": False,
+    "weight_source": "none",
+    "load_figures": (),
+    "load_source": "none",
+    "may_probe": False,
+    "may_message_peers": False,
+    "list_request_interval_ns": None,
+    "drain_grace_ns": 2 * S,
+    "removal_is_binding": True,
+    "start_capacity_fraction": 0.2,
+    "max_warmup_ns": 16 * S,
+    "overload_multiple": 2.5,
+    "overload_window_ns": 2 * S,
+    "max_no_endpoint_ns": 3 * S,
+    "proxy_count": 4,
+    "key_range_count": 0,
+    "single_owner": False,
+    "admission_mode": "share",
+    "default_retry_policy": 1,
+    "attempt_timeout_objectives": 1.0,
+    "ejection_failures": 5,
+    "subset_size": 6,
+    "report_interval_ns": S,
+    "report_rate_entries_per_s": 100.0,
+    "egress_rate_entries_per_s": 1000.0,
+    "egress_queue_limit_entries": 2000.0,
+    "message_overhead_entries": 5.0,
+    "message_quota": 10,
+    "message_quota_window_ns": 10 * S,
+    "mean_push_delay_ns": S // 5,
+    "max_push_delay_ns": S // 2,
+    "cross_zone_price": 0.05,
+    "probe_price": 0.0,
+    "entry_price": 0.04,
+}
+
+
+def operation(name, zone_local=False):
+    return Operation(name, S, 4 * S, 1.0, 0.1, "idempotent", "all", 0, zone_local, False)
 
 
 class Written:
@@ -61,35 +96,36 @@
 
     def __init__(self, **facts):
         facts.setdefault("operations", (operation("read"), operation("write")))
-        self.planner, self.now = Planner(Settings(**(FACTS | facts)), 7), 1000 * S
+        self.planner, self.now = Reconciler(Settings(**(FACTS | facts)), 7), 1000 * S
 
     def turn(self, *calls, wait=0.0):
         self.now += int(wait * S)
         out = Written()
-        self.planner.decide(self.now, list(calls), out)
+        self.planner.reconcile(self.now, list(calls), out)
         return out
 
     def server(self, name, zone="east", state="ready", age=None, weight=1.0):
-        return (name, zone, "kind", 0, state, weight, 0 if age is None else self.now - int(age * S))
+        started = 0 if age is None else self.now - int(age * S)
+        return EndpointRecord(name, zone, "kind", 0, state, weight, started)
 
     def start(self, east=4, west=4, proxies=("east", "west")):
         """List servers e0.. and w0.., join proxies, and let the first push and binds go out."""
         entries = [self.server(f"e{k}") for k in range(east)] + [
             self.server(f"w{k}", "west") for k in range(west)
         ]
-        joins = [("joined", (number, zone, 10.0, True)) for number, zone in enumerate(proxies)]
-        return self.turn(("listed", ("held", entries)), *joins)
+        joins = [ProxyConnected(number, zone, 10.0, True) for number, zone in enumerate(proxies)]
+        return self.turn(EndpointListUpdate("held", entries), *joins)
 
     def run(self, seconds, met=None, step=0.5, arrive=0, answer=True):
         """Half-second rounds; `met` maps a server to (tries, errored, time in s), met in its zone."""
         written = Written()
         for _ in range(int(seconds / step)):
             answers = self.planner.proxies if answer else ()
-            calls = [("applied", (p, self.planner.seal, int(step * S))) for p in answers]
+            calls = [PushAcknowledged(p, self.planner.seal, int(step * S)) for p in answers]
             for name, (n, bad, took) in (met or {}).items():
                 zone = "east" if name[0] == "e" else "west"
-                calls.append(("met", (zone, name, n, bad, int(took * S), S // 2, None)))
-            calls += [("arrived", (p, "read", arrive, 0, S // 2)) for p in self.planner.proxies if arrive]
+                calls.append(EndpointLoadReport(zone, name, n, bad, int(took * S), S // 2, None))
+            calls += [DemandReport(p, "read", arrive, 0, S // 2) for p in self.planner.proxies if arrive]
             written.all += self.turn(*calls, wait=step).all
         return written
 
@@ -115,7 +151,7 @@
     def __init__(self):
         self.writes = []
 
-    def decide(self, now, calls, writer):
+    def reconcile(self, now, calls, writer):
         writes, self.writes = self.writes, []
         for verb, *arguments in writes:
             getattr(writer, verb)(*arguments)
@@ -133,9 +169,12 @@
 def core_with_a_cold_server(fixed):
     """A core whose table gives a server that has just started a hundred times its part."""
     core, decider = fixed
-    entries = [("a", "east", "", 0, "ready", 1.0, 0), ("c", "east", "", 0, "ready", 1.0, 1000 * S)]
+    entries = [
+        EndpointRecord("a", "east", "", 0, "ready", 1.0, 0),
+        EndpointRecord("c", "east", "", 0, "ready", 1.0, 1000 * S),
+    ]
     core.listed(News("held", tuple(entries), ()))
     core.joined("p", "east", 1.0, True)
-    decider.writes = [("line", 1, "a", 1.0), ("line", 1, "c", 100.0), ("bind", "p", 1, 0)]
+    decider.writes = [("set_weight", 1, "a", 1.0), ("set_weight", 1, "c", 100.0), ("assign_table", "p", 1, 0)]
     core.turn(1000 * S)
     return core, 1000 * S, "c"
--- a/tests/controller/test_controller.py
+++ b/tests/controller/test_controller.py
@@ -7,13 +7,15 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
+from swiftchute.api.endpoints import EndpointRecord
+from swiftchute.api.events import DemandReport, EndpointLoadReport, PushAcknowledged, TimerFired
+from swiftchute.api.settings import Settings
 from swiftchute.controller.assignments import BadOrder, Orders
 from swiftchute.controller.controller import Content, Core, Holding
 from swiftchute.controller.egress_queue import Channel
 from swiftchute.controller.load_aggregation import Report, Sums
 from swiftchute.discovery.endpoint_list import News
-from swiftchute.interface import Settings
-from swiftchute.policy import Planner
+from swiftchute.policy import Reconciler
 from swiftchute.safety.validator import Rules
 from swiftchute.versions.delivery import Sent
 from swiftchute.versions.history import History
@@ -84,37 +86,44 @@
 
 
 def test_a_bind_costs_its_table_once_and_later_lines_one_each(orders):
-    orders.line(1, "a:1", 1.0)
-    orders.line(1, "b:1", 1.0)
-    orders.bind("p", 1, 0)
-    orders.mark(3, False)
+    orders.set_weight(1, "a:1", 1.0)
+    orders.set_weight(1, "b:1", 1.0)
+    orders.assign_table("p", 1, 0)
+    orders.request_ack(3, False)
     done = orders.end()
     assert (done.lines, done.seal) == ({"p": 4}, 3)  # the bind, two lines, the mark
-    orders.line(1, "a:1", 0)
+    orders.set_weight(1, "a:1", 0)
     assert orders.end().lines == {"p": 1}
 
 
 def test_a_withdrawal_reaches_the_unbound_and_those_whose_tables_name_it(orders):
-    orders.line(1, "a:1", 1.0)
-    orders.bind("p", 1, 0)
+    orders.set_weight(1, "a:1", 1.0)
+    orders.assign_table("p", 1, 0)
     orders.end()
-    orders.withdraw("z:1", True)
+    orders.set_ejected("z:1", True)
     assert orders.end().lines == {"q": 1}
-    orders.withdraw("a:1", True)
+    orders.set_ejected("a:1", True)
     assert orders.end().lines == {"p": 1, "q": 1}
 
 
 def test_of_two_levels_the_lower_holds_with_the_tables_own_tries(orders):
-    orders.admit(1, 0b01, 0.5, 0)
-    orders.admit(None, 0, 0.7, 2)
+    orders.set_admission(1, 0b01, 0.5, 0)
+    orders.set_admission(None, 0, 0.7, 2)
     assert [orders.level(1, k) for k in (0, 1)] == [(0.5, 0), (0.7, 2)]
 
 
 @pytest.mark.parametrize(
     ("verb", "arguments"),
-    [("line", (1, "a:1", float("nan"))), ("line", (1, "a:1", -1.0)), ("line", (65_535, "a:1", 1.0)),
-     ("admit", (1, 0, -0.1, 0)), ("admit", (1, 0, 1.0, 4)), ("probe", ("a:1",)), ("tell", (1, b""))],
-)  # fmt: skip
+    [
+        ("set_weight", (1, "a:1", float("nan"))),
+        ("set_weight", (1, "a:1", -1.0)),
+        ("set_weight", (65_535, "a:1", 1.0)),
+        ("set_admission", (1, 0, -0.1, 0)),
+        ("set_admission", (1, 0, 1.0, 4)),
+        ("probe", ("a:1",)),
+        ("send_to_peer", (1, b"")),
+    ],
+)
 def test_orders_that_cannot_be_are_the_modules_fault(orders, verb, arguments):
     with pytest.raises(BadOrder):
         getattr(orders, verb)(*arguments)
@@ -130,38 +139,38 @@
     )
     sums.add("q", "east", Report(S, (("read", 3, 0),), (("a:1", 2, 0, 200, 2),)), {"a:1"}, 2 * S)
     assert sums.take(2 * S) == [
-        ("arrived", ("p", "read", 5, 1, 2 * S)),
-        ("met", ("east", "a:1", 6, 1, 100, 2 * S, None)),
+        DemandReport("p", "read", 5, 1, 2 * S),
+        EndpointLoadReport("east", "a:1", 6, 1, 100, 2 * S, None),
     ]
     assert sums.take(2 * S + 1) == []
-    assert sums.take(3 * S) == [("arrived", ("q", "read", 3, 0, 2 * S))]
+    assert sums.take(3 * S) == [DemandReport("q", "read", 3, 0, 2 * S)]
 
 
 def test_a_client_that_tells_no_times_does_not_look_infinitely_fast():
     """The module divides by the cost of a good answer: 0 would end it."""
     sums = Sums(lines=100.0, period=S)
     sums.add("p", "east", Report(S, (), (("a:1", 4, 0, 0, 0), ("b:1", 2, 0, 500, 2))), {"a:1", "b:1"}, S)
-    assert [c[1][4] for c in sums.take(S)] == [250, 250]
+    assert [c.mean_latency_ns for c in sums.take(S)] == [250, 250]
     sums.add("p", "east", Report(S, (), (("a:1", 4, 0, 0, 0),)), {"a:1"}, 2 * S)
-    assert [c[1][4] for c in sums.take(2 * S)] == [1]
+    assert [c.mean_latency_ns for c in sums.take(2 * S)] == [1]
 
 
 # -- rounds and faults
 
 
 def news(*servers, scope="held", state="ready"):
-    return News(scope, tuple((s, "east", "", 0, state, 1.0, 0) for s in servers), ())
+    return News(scope, tuple(EndpointRecord(s, "east", "", 0, state, 1.0, 0) for s in servers), ())
 
 
-class Failing(Planner):
+class Failing(Reconciler):
     """Fails when told to."""
 
     fails = False
 
-    def decide(self, now, calls, writer):
+    def reconcile(self, now, calls, writer):
         if Failing.fails:
             raise ZeroDivisionError("on purpose")
-        super().decide(now, calls, writer)
+        super().reconcile(now, calls, writer)
 
 
 @pytest.fixture
@@ -236,7 +245,9 @@
 
 
 def test_a_full_channel_is_told_and_lets_the_proxy_go():
-    core = Core(Settings(**(FACTS | {"operations": SETTINGS.operations, "channel_limit": 8.0})), 7, Eager)
+    core = Core(
+        Settings(**(FACTS | {"operations": SETTINGS.operations, "egress_queue_limit_entries": 8.0})), 7, Eager
+    )
     core.listed(news("a:1"))
     core.joined("p", "east", 10.0, True)
     turn = core.turn(0)
@@ -251,22 +262,22 @@
     def __init__(self, settings, seed):
         self.random = random.Random(seed)
 
-    def decide(self, now, calls, writer):
+    def reconcile(self, now, calls, writer):
         for k in range(20):
-            writer.line(1, f"10.0.0.{k}:80", 1.0)
-        writer.bind("p", 1, 0)
+            writer.set_weight(1, f"10.0.0.{k}:80", 1.0)
+        writer.assign_table("p", 1, 0)
 
 
 # -- under the guard
 
 
-class Bent(Planner):
+class Bent(Reconciler):
     """Writes what `bent` says at the end of a round, past its own bookkeeping."""
 
     bent = None
 
-    def decide(self, now, calls, writer):
-        super().decide(now, calls, writer)
+    def reconcile(self, now, calls, writer):
+        super().reconcile(now, calls, writer)
         if Bent.bent is not None:
             Bent.bent(writer)
             Bent.bent = None
@@ -287,7 +298,7 @@
 
 def test_a_weight_that_cannot_be_is_mended_and_no_fault_of_the_module(guarded):
     before = lines(guarded)
-    Bent.bent = lambda writer: [writer.line(1, "a:1", w) for w in (float("nan"), -1.0)]
+    Bent.bent = lambda writer: [writer.set_weight(1, "a:1", w) for w in (float("nan"), -1.0)]
     events = [e for t in play(guarded, 2 * S, 1) for e in t.events]
     assert (
         "order mended",
@@ -298,7 +309,7 @@
 
 
 def test_an_emptied_table_reaches_no_front(guarded):
-    Bent.bent = lambda writer: writer.clear(1)
+    Bent.bent = lambda writer: writer.clear_table(1)
     events = [e for t in play(guarded, 2 * S, 1) for e in t.events]
     assert lines(guarded) == {"a:1": 1.0, "b:1": 1.0}
     (first, *_) = [fields for name, fields in events if name == "guard"]
@@ -306,7 +317,7 @@
 
 
 def test_a_table_held_longer_than_the_grace_raises_one_alarm(guarded):
-    Bent.bent = lambda writer: writer.clear(1)
+    Bent.bent = lambda writer: writer.clear_table(1)
     events = [name for t in play(guarded, 2 * S, 6) for name, _ in t.events]
     assert events.count("guard") == 1  # told once, then counted
     assert events.count("table held") == 1
@@ -319,18 +330,18 @@
     def __init__(self, settings, seed):
         self.ordered = False
 
-    def decide(self, now, calls, writer):
+    def reconcile(self, now, calls, writer):
         if not self.ordered:
             self.ordered = True
             for server, weight in (("a:1", 1.0), ("b:1", 1.0), ("c:1", 1000.0)):
-                writer.line(1, server, weight)
-            writer.bind("p", 1, 0)
+                writer.set_weight(1, server, weight)
+            writer.assign_table("p", 1, 0)
 
 
 def test_caps_of_a_warming_server_rise_by_pushes_of_the_guards_own():
     core = Core(SETTINGS, 7, Fixed, guard=Rules())
     core.listed(news("a:1", "b:1"))
-    core.listed(News("changes", (("c:1", "east", "", 0, "ready", 1.0, 1),), ()))
+    core.listed(News("changes", (EndpointRecord("c:1", "east", "", 0, "ready", 1.0, 1),), ()))
     core.joined("p", "east", 10.0, True)
     seen, pushes = [], 0
     for k in range(18):
@@ -347,7 +358,7 @@
     core.listed(news("a:1", "b:1"))
     core.joined("p", "east", 10.0, True)
     play(core, 0, 2)
-    Bent.bent = lambda writer: writer.clear(1)
+    Bent.bent = lambda writer: writer.clear_table(1)
     events = [e for t in play(core, 2 * S, 1) for e in t.events]
     assert lines(core) == {}
     assert [f["done"] for name, f in events if name == "guard"][:1] == ["warned"]
@@ -368,7 +379,7 @@
 
 
 def server(name, state):
-    return (name, "east", "", 0, state, 1.0, 0)
+    return EndpointRecord(name, "east", "", 0, state, 1.0, 0)
 
 
 @pytest.fixture
@@ -379,8 +390,12 @@
     for proxy in "pq":
         core.joined(proxy, "east", 1.0, True)
     for number, proxy in ((1, "p"), (2, "q")):
-        decider.writes += [("line", number, "a", 1.0), ("line", number, "b", 1.0), ("line", number, "d", 1.0),
-                           ("bind", proxy, number, 0)]  # fmt: skip
+        decider.writes += [
+            ("set_weight", number, "a", 1.0),
+            ("set_weight", number, "b", 1.0),
+            ("set_weight", number, "d", 1.0),
+            ("assign_table", proxy, number, 0),
+        ]
     core.turn(1000 * S)
     core.turn(1001 * S)
     return core, decider
@@ -389,7 +404,7 @@
 def order(core, decider, now, *writes):
     """One round with these writes; the proxies pushed to within it and half a second."""
     decider.writes = list(writes)
-    core.calls.append(("woke", (0,)))
+    core.calls.append(TimerFired(0))
     return core.turn(now).pushes + core.turn(now + S // 2).pushes
 
 
@@ -399,11 +414,11 @@
     now = 1001 * S
     for k in range(20):
         now += S // 4
-        order(core, decider, now, ("line", 1, "a", 1.0 + k % 2), ("mark", k, False))
+        order(core, decider, now, ("set_weight", 1, "a", 1.0 + k % 2), ("request_ack", k, False))
     used = len(core.channel.written["p"])
-    assert used <= 0.8 * SETTINGS.message_limit
+    assert used <= 0.8 * SETTINGS.message_quota
     core.listed(News("changes", (server("b", "draining"),), ()))
-    pushes = order(core, decider, now + S // 4, ("line", 1, "b", 0.0), ("line", 1, "a", 9.0))
+    pushes = order(core, decider, now + S // 4, ("set_weight", 1, "b", 0.0), ("set_weight", 1, "a", 9.0))
     assert "p" in [proxy for proxy, _ in pushes]
     lines = {line[0] for content in core.held("p").contents.values() for line in content.lines}
     assert lines == {"a", "d"}
@@ -414,13 +429,22 @@
     core, decider = busy
     core.channel.written["p"].extend([1001 * S] * 9)  # nearly all that the rule lets through
     before = core.held("p")
-    pushes = order(core, decider, 1002 * S, ("line", 1, "a", 5.0), ("line", 2, "a", 5.0), ("mark", 8, False))
+    pushes = order(
+        core,
+        decider,
+        1002 * S,
+        ("set_weight", 1, "a", 5.0),
+        ("set_weight", 2, "a", 5.0),
+        ("request_ack", 8, False),
+    )
     assert pushes == [("q", 8)]
     assert core.held("p").contents == before.contents
-    answered = [("applied", ("p", 8))]
-    assert [(name, some[:2]) for name, some in core.calls if name == "applied"] == []
+    answered = [("p", 8)]
+    assert [(event.proxy, event.nonce) for event in core.calls if isinstance(event, PushAcknowledged)] == []
     core.settled("p", 1003 * S)
-    assert [(name, some[:2]) for name, some in core.calls if name == "applied"] == answered
+    assert [
+        (event.proxy, event.nonce) for event in core.calls if isinstance(event, PushAcknowledged)
+    ] == answered
 
 
 def test_a_proxy_may_go_by_all_that_it_has_not_acknowledged(busy):
@@ -432,8 +456,8 @@
 
     core.settled("p", 1001 * S)
     assert share() == ((1.0, {"a": pytest.approx(1 / 3)}),)
-    order(core, decider, 1002 * S, ("line", 1, "a", 4.0))
-    order(core, decider, 1003 * S, ("line", 1, "a", 1.0))
+    order(core, decider, 1002 * S, ("set_weight", 1, "a", 4.0))
+    order(core, decider, 1003 * S, ("set_weight", 1, "a", 1.0))
     assert share() == ((1.0, {"a": pytest.approx(4 / 6)}),)  # the most of what it may hold
     core.settled("p", 1001 * S)
     assert share() == ((1.0, {"a": pytest.approx(1 / 3)}),)
@@ -456,14 +480,14 @@
     now = 1001 * S
     for _ in range(8):  # servers answer 10 a second each, and 10 a second come to each proxy
         now += S
-        core.calls += [("met", ("east", n, 10, 0, 1, S, None)) for n in "abd"]
-        core.calls += [("arrived", (p, "read", 10, 0, S)) for p in "pq"]
+        core.calls += [EndpointLoadReport("east", n, 10, 0, 1, S, None) for n in "abd"]
+        core.calls += [DemandReport(p, "read", 10, 0, S) for p in "pq"]
         order(core, decider, now)
-    core.listed(News("changes", (("c", "east", "", 0, "ready", 1.0, now),), ()))  # 4.5 a second
-    order(core, decider, now + S, ("line", 1, "c", 1.2))  # 2.9 of p's 10
+    core.listed(News("changes", (EndpointRecord("c", "east", "", 0, "ready", 1.0, now),), ()))  # 4.5 a second
+    order(core, decider, now + S, ("set_weight", 1, "c", 1.2))  # 2.9 of p's 10
     core.settled("p", 1001 * S)
     core.settled("q", 1001 * S)
-    order(core, decider, now + 2 * S, ("line", 1, "c", 0.0), ("line", 2, "c", 1.2))
+    order(core, decider, now + 2 * S, ("set_weight", 1, "c", 0.0), ("set_weight", 2, "c", 1.2))
     assert core.gate.allowed[2][0].get("c", 0.0) < 1.0  # p may still go by its old lines
     core.settled("p", 1001 * S)
     core.settled("q", 1001 * S)
--- a/tests/dns/test_frontend.py
+++ b/tests/dns/test_frontend.py
@@ -17,7 +17,11 @@
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
+from msgspec.structs import astuple
 
+from swiftchute.api.endpoints import EndpointRecord
+from swiftchute.api.events import ProxyConnected, ProxyDisconnected, PushAcknowledged, TimerFired
+from swiftchute.api.settings import Settings
 from swiftchute.config.schema import _BLOCKS
 from swiftchute.controller.controller import Core
 from swiftchute.discovery.endpoint_list import News
@@ -31,7 +35,6 @@
 from swiftchute.dns.srv_weights import counts, draws, srv_weights
 from swiftchute.dns.ttl import Lease
 from swiftchute.dns.zone_transfer import TRIES, Secondaries
-from swiftchute.interface import Settings
 from swiftchute.safety.validator import Rules
 from swiftchute.xds.messages import Peer, Violation
 from tests.conftest import FACTS, Fixed, operation
@@ -359,8 +362,8 @@
 
     def __init__(self, **plumbing):
         self.decider, self.now = Fixed(), NOW
-        facts = {"operations": (operation("read"), operation("write")), "drain_grace": 4 * S}
-        facts |= {"channel_pace": 1e6, "channel_limit": 1e6, "message_limit": 0}
+        facts = {"operations": (operation("read"), operation("write")), "drain_grace_ns": 4 * S}
+        facts |= {"egress_rate_entries_per_s": 1e6, "egress_queue_limit_entries": 1e6, "message_quota": 0}
         settings = Settings(**(FACTS | facts))
         self.core = Core(settings, 7, lambda settings, seed: self.decider, NOW, Rules())
         self.front = Front(self.core, settings, PLUMBING | plumbing, 7)
@@ -368,12 +371,14 @@
         self.events = []
 
     def listed(self, *servers, state="ready", started=0):
-        self.core.listed(News("changes", tuple((n, "east", "", 0, state, 1.0, started) for n in servers), ()))
+        self.core.listed(
+            News("changes", tuple(EndpointRecord(n, "east", "", 0, state, 1.0, started) for n in servers), ())
+        )
 
     def turn(self, *writes, wait=0.0):
         self.now += int(wait * S)
         self.decider.writes = list(writes)
-        self.core.calls.append(("woke", (0,)))
+        self.core.calls.append(TimerFired(0))
         for _ in range(2):
             turn = self.core.turn(self.now)
             self.events += turn.events
@@ -391,8 +396,11 @@
 def world():
     made = World()
     made.listed("10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80")
-    made.turn(*[("line", 1, f"10.0.0.{k}:80", 1.0) for k in (1, 2, 3)], ("bind", "dns/east", 1, 0),
-              ("mark", 1, False))  # fmt: skip
+    made.turn(
+        *[("set_weight", 1, f"10.0.0.{k}:80", 1.0) for k in (1, 2, 3)],
+        ("assign_table", "dns/east", 1, 0),
+        ("request_ack", 1, False),
+    )
     made.turn()
     return made
 
@@ -412,14 +420,14 @@
 
 
 def applied(core):
-    return [arguments for name, arguments in core.calls if name == "applied"]
+    return [astuple(event) for event in core.calls if isinstance(event, PushAcknowledged)]
 
 
 def test_before_a_view_is_bound_it_fails_and_denies_nothing():
     made = World()
     assert made.answer().rcode() == dns.rcode.SERVFAIL
     made.listed("10.0.0.1:80")
-    made.turn(("line", 1, "10.0.0.1:80", 1.0), ("bind", "dns/east", 1, 0))
+    made.turn(("set_weight", 1, "10.0.0.1:80", 1.0), ("assign_table", "dns/east", 1, 0))
     assert made.targets() == {"ip-10-0-0-1"}
     assert made.answer(view="west").rcode() == dns.rcode.SERVFAIL  # that zone's view is bound to nothing yet
 
@@ -427,7 +435,7 @@
 def test_a_version_is_held_once_no_earlier_answer_can_be_in_a_cache(world):
     world.answer()
     given = world.now
-    world.turn(("line", 1, "10.0.0.1:80", 2.0), ("mark", 2, False), wait=0.5)
+    world.turn(("set_weight", 1, "10.0.0.1:80", 2.0), ("request_ack", 2, False), wait=0.5)
     world.answer()  # of the new: it holds nothing up
     assert applied(world.core) == []
     assert not world.core.sent.clear("dns/east")
@@ -442,14 +450,14 @@
 
 
 def test_a_version_nobody_was_answered_by_is_over_at_once(world):
-    world.turn(("line", 1, "10.0.0.1:80", 2.0), ("mark", 2, False), wait=9)
+    world.turn(("set_weight", 1, "10.0.0.1:80", 2.0), ("request_ack", 2, False), wait=9)
     assert world.core.sent.clear("dns/east")
 
 
 def test_the_guard_counts_the_answers_that_are_still_out(world):
     """A cold server's budget: what resolvers may still go by is in it until their time is over."""
     world.answer()
-    world.turn(("line", 1, "10.0.0.2:80", 0.0))
+    world.turn(("set_weight", 1, "10.0.0.2:80", 0.0))
     rows = world.core.sent.pending(["dns/east"], ["read"], ["10.0.0.2:80"], lambda p: 10.0)
     assert rows == ((1.0, {"10.0.0.2:80": pytest.approx(1 / 3)}),)
     world.turn(wait=9)
@@ -481,20 +489,20 @@
 
 def test_serials_rise_with_versions_and_stand_past_the_wall_clock(world):
     first = world.answer(ORIGIN, "SOA").answer[0][0].serial
-    world.turn(("line", 1, "10.0.0.1:80", 2.0))
+    world.turn(("set_weight", 1, "10.0.0.1:80", 2.0))
     assert world.answer(ORIGIN, "SOA").answer[0][0].serial > first
     later = World()
     later.front.offset = 5_000_000 * S
     later.listed("10.0.0.1:80")
-    later.turn(("line", 1, "10.0.0.1:80", 1.0), ("bind", "dns/east", 1, 0))
+    later.turn(("set_weight", 1, "10.0.0.1:80", 1.0), ("assign_table", "dns/east", 1, 0))
     assert later.answer(ORIGIN, "SOA").answer[0][0].serial >= 5_000_000
 
 
 def test_a_view_goes_by_the_clients_subnet_where_that_is_allowed():
     made = World(subnets=(("west", ipaddress.ip_network("10.1.0.0/16")),))
     made.listed("10.0.0.1:80", "10.0.0.2:80")
-    made.turn(("line", 1, "10.0.0.1:80", 1.0), ("bind", "dns/east", 1, 0),
-              ("line", 2, "10.0.0.2:80", 1.0), ("bind", "dns/west", 2, 0))  # fmt: skip
+    made.turn(("set_weight", 1, "10.0.0.1:80", 1.0), ("assign_table", "dns/east", 1, 0),
+              ("set_weight", 2, "10.0.0.2:80", 1.0), ("assign_table", "dns/west", 2, 0))  # fmt: skip
 
     def seen(subnet):
         query = ask(SRV, size=1232, options=[dns.edns.ECSOption(subnet, 24)])
@@ -508,8 +516,8 @@
 
 
 def test_a_module_that_fails_leaves_the_answers_as_they_were(world):
-    world.decider.writes = [("line", 1, "10.0.0.1:80", 5.0, "too many")]
-    world.core.calls.append(("woke", (0,)))
+    world.decider.writes = [("set_weight", 1, "10.0.0.1:80", 5.0, "too many")]
+    world.core.calls.append(TimerFired(0))
     for _ in range(3):
         world.front.turn(world.core.turn(world.now), world.now)
     assert len(world.targets()) == 3
@@ -519,8 +527,8 @@
     turn = world.core.turn(world.now)
     turn.refused.append("dns/east")
     world.front.turn(turn, world.now)
-    calls = [(name, arguments[0]) for name, arguments in world.core.calls]
-    assert calls == [("left", "dns/east"), ("joined", "dns/east")]
+    calls = [(type(event), event.proxy) for event in world.core.calls]
+    assert calls == [(ProxyDisconnected, "dns/east"), (ProxyConnected, "dns/east")]
     assert len(world.targets()) == 3
 
 
@@ -559,7 +567,7 @@
     whole, steps = dns.zone.Zone(ORIGIN), dns.zone.Zone(ORIGIN)
     fetch(world, steps)
     for k in range(5):
-        world.turn(("line", 1, f"10.0.0.{k % 3 + 1}:80", 1.0 + k / 10), wait=1)
+        world.turn(("set_weight", 1, f"10.0.0.{k % 3 + 1}:80", 1.0 + k / 10), wait=1)
         if k != 2:
             fetch(world, steps)
     fetch(world, whole)
@@ -570,10 +578,10 @@
 def test_one_changed_line_is_a_few_records_whatever_the_zone_holds(world):
     names = [f"10.0.1.{k}:80" for k in range(100)]
     world.listed(*names)
-    world.turn(*[("line", 1, n, 1.0) for n in names])
+    world.turn(*[("set_weight", 1, n, 1.0) for n in names])
     zone = dns.zone.Zone(ORIGIN)
     whole = fetch(world, zone)
-    world.turn(("line", 1, names[50], 1.5), wait=2)
+    world.turn(("set_weight", 1, names[50], 1.5), wait=2)
     step = fetch(world, zone)
     assert step < whole / 20, (step, whole)
 
@@ -582,11 +590,11 @@
     zone = dns.zone.Zone(ORIGIN)
     fetch(world, zone)
     first = zone.get_soa().serial
-    world.turn(("line", 1, "10.0.0.1:80", 2.0), wait=2)
+    world.turn(("set_weight", 1, "10.0.0.1:80", 2.0), wait=2)
     world.front.journal.entries.pop(first)
     fetch(world, zone)
     assert zone.get_soa().serial == world.front.journal.serial
-    world.turn(("line", 1, "10.0.0.1:80", 3.0), wait=2)
+    world.turn(("set_weight", 1, "10.0.0.1:80", 3.0), wait=2)
     fetch(world, zone, serial=5)  # one that never was
     other = dns.zone.Zone(ORIGIN)
     fetch(world, other)
@@ -607,7 +615,7 @@
 
 def test_a_secondary_that_does_not_fetch_holds_a_view_up_until_its_zone_expires(world):
     fetch(world, dns.zone.Zone(ORIGIN))
-    world.turn(("line", 1, "10.0.0.1:80", 2.0), wait=9)
+    world.turn(("set_weight", 1, "10.0.0.1:80", 2.0), wait=9)
     behind, front = world.now, world.front
     world.turn(wait=20)
     assert not world.core.sent.clear("dns/east")
@@ -617,7 +625,7 @@
 
 def test_a_secondary_that_fetches_is_waited_for_as_long_as_its_answers_live(world):
     fetch(world, dns.zone.Zone(ORIGIN))
-    world.turn(("line", 1, "10.0.0.1:80", 2.0), wait=9)
+    world.turn(("set_weight", 1, "10.0.0.1:80", 2.0), wait=9)
     fetch(world, dns.zone.Zone(ORIGIN))
     world.turn(wait=0.5)
     assert not world.core.sent.clear("dns/east")
--- a/tests/dns/test_server.py
+++ b/tests/dns/test_server.py
@@ -19,7 +19,7 @@
 from swiftchute.daemon.service import CannotListen, Service
 from swiftchute.fakes.resolver import Line, Resolver, Srv
 from swiftchute.observability.logging import setup
-from swiftchute.policy import Planner
+from swiftchute.policy import Reconciler
 
 ORIGIN = "lots.example."
 SRV = "_lot-estimate._tcp.lots.example."
@@ -82,7 +82,7 @@
         self.publish(servers)
         settings = folder / "planner.hcl"
         settings.write_text(SETTINGS.format(list=self.list, listen=listen, secondary=secondary, more=more))
-        self.service = Service(load(str(settings)), setup("error"), Planner)
+        self.service = Service(load(str(settings)), setup("error"), Reconciler)
 
     def publish(self, servers):
         """`servers`: by address its zone, or its zone and state."""
--- a/tests/drill/test_scenario.py
+++ b/tests/drill/test_scenario.py
@@ -18,7 +18,7 @@
 from swiftchute.drill.predict import shares
 from swiftchute.drill.report import broken, text
 from swiftchute.drill.scenario import DAYS, Runner, Trouble
-from swiftchute.policy import Planner
+from swiftchute.policy import Reconciler
 
 RULES = {
     "lost": "nobody left without a server",
@@ -35,7 +35,7 @@
 
 class OrdersRetries(Bent):
     def bend(self, verb, arguments):
-        if verb != "admit":
+        if verb != "set_admission":
             return [(verb, arguments)]
         return [(verb, (*arguments[:3], 2))]
 
@@ -69,9 +69,9 @@
     if kind == "broken":
         (day, make, loose), guard = BROKEN[rule], "off"
     elif kind == "kept":
-        day, make = KEPT[rule], Planner
+        day, make = KEPT[rule], Reconciler
     elif rule.startswith("dns"):
-        day, make = DNS, Planner
+        day, make = DNS, Reconciler
         if rule == "dns overlong":
             frontend.Lease = OverlongLease  # in this process of the pool alone, and put back below
     try:
--- a/tests/platform/test_push_encoder.py
+++ b/tests/platform/test_push_encoder.py
@@ -10,8 +10,9 @@
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
+from swiftchute.api.endpoints import EndpointRecord
+from swiftchute.api.settings import Settings
 from swiftchute.controller.assignments import Orders
-from swiftchute.interface import Settings
 from swiftchute.platform import push_encoder as module
 from swiftchute.platform.push_encoder import TooLarge, Writer
 from tests.conftest import FACTS, operation
@@ -70,22 +71,22 @@
     def __init__(self):
         self.tables, self.levels, self.common, self.shut, self.bound = {}, {}, {}, set(), {}
 
-    def line(self, table, server, weight):
+    def set_weight(self, table, server, weight):
         self.tables.setdefault(table, {})[server] = weight
         if not weight:
             del self.tables[table][server]
 
-    def clear(self, table):
+    def clear_table(self, table):
         self.tables[table] = {}
         self.levels = {k: v for k, v in self.levels.items() if k[0] != table}
 
-    def bind(self, proxy, table, mask):
+    def assign_table(self, proxy, table, mask):
         self.tables.setdefault(table, {})
         for place, name in enumerate(CLASSES):
             if not mask or mask >> place & 1:
                 self.bound[proxy, name] = table
 
-    def admit(self, table, mask, level, tries):
+    def set_admission(self, table, mask, level, tries):
         for place, name in enumerate(CLASSES):
             if not mask or mask >> place & 1:
                 if table is None:
@@ -94,7 +95,7 @@
                     self.tables.setdefault(table, {})
                     self.levels[table, name] = (level, tries)
 
-    def withdraw(self, server, out):
+    def set_ejected(self, server, out):
         (self.shut.add if out else self.shut.discard)(server)
 
     def level(self, table, name):
@@ -132,7 +133,7 @@
             getattr(self.orders, verb)(*arguments)
             getattr(self.ordered, verb)(*arguments)
         self.seal += 1
-        self.orders.mark(self.seal, False)
+        self.orders.request_ack(self.seal, False)
         done = self.orders.end()
         self.writer.begin()
         withdrawn, self.shut = self.orders.shut - self.shut, set(self.orders.shut)
@@ -151,12 +152,12 @@
 SERVERS, TABLES = st.sampled_from("abcde"), st.sampled_from((1, 2, 3))
 MASKS, WEIGHTS = st.sampled_from((0, 1, 2, 3)), st.sampled_from((0, 0.25, 1.0, 7.5))
 VERBS = st.one_of(
-    st.tuples(st.just("line"), TABLES, SERVERS, WEIGHTS),
-    st.tuples(st.just("bind"), st.sampled_from((0, 1, 2)), TABLES, MASKS),
-    st.tuples(st.just("admit"), st.one_of(st.none(), TABLES), MASKS, st.sampled_from((0.0, 0.5, 1.0)),
+    st.tuples(st.just("set_weight"), TABLES, SERVERS, WEIGHTS),
+    st.tuples(st.just("assign_table"), st.sampled_from((0, 1, 2)), TABLES, MASKS),
+    st.tuples(st.just("set_admission"), st.one_of(st.none(), TABLES), MASKS, st.sampled_from((0.0, 0.5, 1.0)),
               st.sampled_from((0, 1, 2, 3))),
-    st.tuples(st.just("withdraw"), SERVERS, st.booleans()),
-    st.tuples(st.just("clear"), TABLES),
+    st.tuples(st.just("set_ejected"), SERVERS, st.booleans()),
+    st.tuples(st.just("clear_table"), TABLES),
 )  # fmt: skip
 ROUNDS = st.lists(st.lists(VERBS, max_size=8), max_size=8)
 
@@ -238,14 +239,14 @@
     world = World()
     world.round(
         [
-            ("line", 1, "a", 1.0),
-            ("line", 2, "b", 1.0),
-            ("bind", 0, 1, 0),
-            ("bind", 1, 1, 0),
-            ("bind", 2, 2, 0),
+            ("set_weight", 1, "a", 1.0),
+            ("set_weight", 2, "b", 1.0),
+            ("assign_table", 0, 1, 0),
+            ("assign_table", 1, 1, 0),
+            ("assign_table", 2, 2, 0),
         ]
     )
-    world.orders.line(1, "a", 2.0)
+    world.orders.set_weight(1, "a", 2.0)
     world.writer.begin()
     first, second, third = (world.writer.message(p, 7)[0] for p in (0, 1, 2))
     assert first is second
@@ -259,11 +260,13 @@
     world.writer.listed([entry("b", "draining"), entry("d", started=9)], False)
     world.writer.listed([entry("b")], False)
     world.readers[0].shut = {"a", "b"}  # by its last planner; `a` restarted and `b` drained there
-    world.round([("line", 1, s, 1.0) for s in "abcd"] + [("bind", 0, 1, 0), ("bind", 1, 1, 0)])
+    world.round(
+        [("set_weight", 1, s, 1.0) for s in "abcd"] + [("assign_table", 0, 1, 0), ("assign_table", 1, 1, 0)]
+    )
     assert world.agrees()
     assert world.readers[0].shut == set()
     assert world.readers[0].lines == world.readers[1].lines + 2  # c and d nobody can have shut out
-    world.round([("line", 1, "a", 2.0)])
+    world.round([("set_weight", 1, "a", 2.0)])
     assert world.readers[0].lines == world.readers[1].lines + 2  # and no word of it again
 
 
@@ -271,11 +274,11 @@
     world = World(strange=(0,))
     world.writer.listed([entry("a", "draining", 5), entry("b")], True)
     world.readers[0].shut = {"a"}
-    world.round([("withdraw", "a", True)])
-    world.round([("line", 1, "a", 1.0), ("line", 1, "b", 1.0), ("bind", 0, 1, 0)])
+    world.round([("set_ejected", "a", True)])
+    world.round([("set_weight", 1, "a", 1.0), ("set_weight", 1, "b", 1.0), ("assign_table", 0, 1, 0)])
     assert world.readers[0].picks("read") == {"b": 1.0}
     world.writer.listed([entry("a", "ready", 7)], False)
-    world.round([("withdraw", "a", False), ("line", 1, "b", 2.0)])
+    world.round([("set_ejected", "a", False), ("set_weight", 1, "b", 2.0)])
     assert world.agrees()
     assert world.readers[0].shut == set()
 
@@ -286,18 +289,18 @@
     world.writer.listed([entry("a", "gone")], False)
     world.writer.listed([entry("a", started=9)], False)
     world.readers[0].shut = {"a"}
-    world.round([("line", 1, "a", 1.0), ("bind", 0, 1, 0)])
+    world.round([("set_weight", 1, "a", 1.0), ("assign_table", 0, 1, 0)])
     assert world.agrees()
 
 
 def test_tables_of_a_module_that_started_anew_go_whole():
     world = World()
-    world.round([("line", 1, "a", 1.0), ("bind", 0, 1, 0), ("withdraw", "z", True)])
+    world.round([("set_weight", 1, "a", 1.0), ("assign_table", 0, 1, 0), ("set_ejected", "z", True)])
     fresh = Orders(SET)
     fresh.joined(0, "east")
     world.writer.fresh(fresh)
-    fresh.line(1, "b", 1.0)
-    fresh.bind(0, 1, 0)
+    fresh.set_weight(1, "b", 1.0)
+    fresh.assign_table(0, 1, 0)
     world.writer.begin()
     world.readers[0].read(world.writer.message(0, 1)[0])
     assert world.readers[0].picks("read") == {"b": 1.0}
@@ -307,11 +310,11 @@
 def test_long_tables_go_in_parts_and_too_long_ones_not_at_all(monkeypatch):
     monkeypatch.setattr(module, "PART_LINES", 10)
     world = World()
-    world.round([("line", 1, f"s{k}", 1.0) for k in range(25)] + [("bind", 0, 1, 0)])
+    world.round([("set_weight", 1, f"s{k}", 1.0) for k in range(25)] + [("assign_table", 0, 1, 0)])
     assert world.agrees()
     for k in range(700):
-        world.orders.line(2, f"s{k}", 1.0)
-    world.orders.bind(1, 2, 0)
+        world.orders.set_weight(2, f"s{k}", 1.0)
+    world.orders.assign_table(1, 2, 0)
     with pytest.raises(TooLarge, match="70 parts"):
         world.writer.message(1, 3)
 
@@ -328,4 +331,4 @@
 
 
 def entry(server, state="ready", started=0):
-    return (server, "east", "", 0, state, 1.0, started)
+    return EndpointRecord(server, "east", "", 0, state, 1.0, started)
--- a/tests/platform/test_session_manager.py
+++ b/tests/platform/test_session_manager.py
@@ -3,9 +3,20 @@
 import json
 
 import pytest
-
+from msgspec.structs import astuple
+
+from swiftchute.api.endpoints import EndpointRecord
+from swiftchute.api.events import (
+    DemandReport,
+    EndpointListUpdate,
+    EndpointLoadReport,
+    ProxyConnected,
+    ProxyDisconnected,
+    PushAcknowledged,
+    TimerFired,
+)
+from swiftchute.api.settings import Settings
 from swiftchute.controller.policy_runner import Loop
-from swiftchute.interface import Settings
 from swiftchute.platform import session_manager as module
 from swiftchute.platform.proxy_session import FIRST_MOST, Stream
 from swiftchute.platform.session_manager import Front
@@ -30,10 +41,10 @@
 
     def __init__(self, sockets=1024, **facts):
         self.decider, self.now = Fixed(), 1000 * S
-        facts = FACTS | {"operations": (operation("read"), operation("write")), "proxies": 400} | facts
+        facts = FACTS | {"operations": (operation("read"), operation("write")), "proxy_count": 400} | facts
         loop = Loop(Settings(**facts), 7, lambda settings, seed: self.decider, self.now)
         self.front = Front(loop, sockets)
-        self.front.listed("held", [(s, "east", "", 0, "ready", 1.0, 0) for s in "abc"])
+        self.front.listed("held", [EndpointRecord(s, "east", "", 0, "ready", 1.0, 0) for s in "abc"])
 
     def open(self, *said):
         stream = self.front.opened(self.now)
@@ -44,20 +55,25 @@
     def say(self, stream, message):
         stream.received(message if isinstance(message, bytes) else text(message), self.now)
 
-    def calls(self, name):
-        return [arguments for called, arguments in self.front.loop.calls if called == name]
+    def calls(self, kind):
+        """The fields of each event of a kind that waits for the next round."""
+        return [astuple(event) for event in self.front.loop.calls if isinstance(event, kind)]
 
     def turn(self, *writes, wait=0.0):
         self.now += int(wait * S)
         self.decider.writes = list(writes)
-        self.front.loop.tell(("woke", (0,)))
+        self.front.loop.tell(TimerFired(0))
         return [(stream, data) for stream, data in self.front.turn(self.now)]
 
     def bound(self, *proxies):
         """Joined proxies on a table of a and b, which have answered for it."""
         streams = [self.open(HELLO | {"proxy": p}) for p in proxies]
-        self.turn(("line", 1, "a", 1.0), ("line", 1, "b", 1.0), *(("bind", p, 1, 0) for p in proxies),
-                  ("mark", 5, False))  # fmt: skip
+        self.turn(
+            ("set_weight", 1, "a", 1.0),
+            ("set_weight", 1, "b", 1.0),
+            *(("assign_table", p, 1, 0) for p in proxies),
+            ("request_ack", 5, False),
+        )
         for p, stream in zip(proxies, streams, strict=True):
             self.say(stream, ACK | {"proxy": p})
         return streams
@@ -94,20 +110,20 @@
 
 def test_messages_become_calls_in_the_words_of_the_interface(world):
     stream, agent = world.open(HELLO, DEMAND), world.open(AGENT, OUTCOMES)
-    assert world.calls("joined") == [(1, "east", 2.5, True)]
-    assert world.calls("arrived") == [(1, "read", 19, 0, 500 * MS)]
+    assert world.calls(ProxyConnected) == [(1, "east", 2.5, True)]
+    assert world.calls(DemandReport) == [(1, "read", 19, 0, 500 * MS)]
     load = {"in_hand": 7, "busy": 0.5}
-    assert world.calls("met") == [("east", "a", 9, 2, 41_500_000, 1000 * MS, load)]
+    assert world.calls(EndpointLoadReport) == [("east", "a", 9, 2, 41_500_000, 1000 * MS, load)]
     world.say(agent, OUTCOMES | {"tries": 2, "mean_ms": 0.0, "load": None})
-    assert world.calls("met")[1] == ("east", "a", 2, 2, 0, 1000 * MS, None)
+    assert world.calls(EndpointLoadReport)[1] == ("east", "a", 2, 2, 0, 1000 * MS, None)
     world.say(agent, DEMAND)  # usage may come by any collector
-    assert len(world.calls("arrived")) == 2
+    assert len(world.calls(DemandReport)) == 2
     # what came in one span may fail in the next: seen from a calm day, "1 of 0 failed"
     world.say(stream, DEMAND | {"tries": 0, "failed": 1})
-    assert world.calls("arrived")[2] == (1, "read", 0, 1, 500 * MS)
-    world.turn(("line", 1, "a", 1.0), ("bind", 1, 1, 0), ("mark", 5, False))
+    assert world.calls(DemandReport)[2] == (1, "read", 0, 1, 500 * MS)
+    world.turn(("set_weight", 1, "a", 1.0), ("assign_table", 1, 1, 0), ("request_ack", 5, False))
     world.say(stream, ACK)
-    assert world.calls("applied") == [(1, 5, 310_500_000)]
+    assert world.calls(PushAcknowledged) == [(1, 5, 310_500_000)]
     assert world.front.counts["spoilt"] == 0
 
 
@@ -128,7 +144,7 @@
     assert word["cause"]
     world.say(stream, HELLO)  # nothing more is heard
     assert not world.front.streams
-    assert world.calls("joined") == []
+    assert world.calls(ProxyConnected) == []
 
 
 SPOILT = [
@@ -151,7 +167,7 @@
 @pytest.mark.parametrize("spoilt", SPOILT)
 def test_a_spoilt_message_of_a_proxy_is_dropped_and_the_rest_heard(world, spoilt):
     (stream,) = world.bound(1)
-    world.turn(("line", 1, "a", 2.0), ("mark", 5, False))  # a mark is owed
+    world.turn(("set_weight", 1, "a", 2.0), ("request_ack", 5, False))  # a mark is owed
     before = list(world.front.loop.calls)
     world.say(stream, spoilt)
     assert world.front.loop.calls == before
@@ -179,7 +195,7 @@
     assert world.front.loop.calls == before
     assert agent.ended is None
     world.say(agent, OUTCOMES)
-    assert len(world.calls("met")) == 1
+    assert len(world.calls(EndpointLoadReport)) == 1
     assert not agent.out
 
 
@@ -189,7 +205,7 @@
         world.say(connection, b"\x00\x01garbage\n")
         assert connection.ended
         world.front.closed(connection, connection.ended)
-    assert world.calls("left") == [(1,)]
+    assert world.calls(ProxyDisconnected) == [(1,)]
     assert not world.front.streams
     assert not world.front.collectors
     assert not agent.out  # nothing is ever written to a collector
@@ -200,7 +216,7 @@
     padded = text(DEMAND)[:-2] + b" " * ((1 << 20) - len(text(DEMAND))) + b"}\n"
     for first in range(0, len(padded), 10_000):
         world.say(stream, padded[first : first + 10_000])
-    assert len(world.calls("arrived")) == 1
+    assert len(world.calls(DemandReport)) == 1
     assert stream.ended is None
     world.say(stream, b" " * ((1 << 20) + 1))
     assert stream.ended
@@ -210,32 +226,40 @@
 def test_the_new_stream_of_a_proxy_comes_before_the_old_one_ends(world):
     old = world.open(HELLO)
     new = world.open(HELLO | {"fresh": False, "weight": 3.0})
-    joins = [(name, arguments[0]) for name, arguments in world.front.loop.calls if name in ("joined", "left")]
-    assert joins == [("joined", 1), ("left", 1), ("joined", 1)]
+    joins = [
+        (type(event), event.proxy)
+        for event in world.front.loop.calls
+        if isinstance(event, (ProxyConnected, ProxyDisconnected))
+    ]
+    assert joins == [(ProxyConnected, 1), (ProxyDisconnected, 1), (ProxyConnected, 1)]
     assert old.ended
     assert world.front.ending == [old]
     assert not old.out
     world.front.closed(old, "the connection ended")
-    assert len(world.calls("left")) == 1
+    assert len(world.calls(ProxyDisconnected)) == 1
     assert world.front.streams == {1: new}
-    world.turn(("line", 1, "a", 1.0), ("bind", 1, 1, 0))
+    world.turn(("set_weight", 1, "a", 1.0), ("assign_table", 1, 1, 0))
     world.front.closed(new, "the connection ended")
-    assert len(world.calls("left")) == 1  # of the round since; the module heard of the first
+    assert len(world.calls(ProxyDisconnected)) == 1  # of the round since; the module heard of the first
 
 
 def test_the_old_stream_of_a_proxy_ends_before_the_new_one_comes(world):
     world.front.closed(world.open(HELLO), "the connection ended")
     world.open(HELLO)
-    joins = [name for name, _ in world.front.loop.calls if name in ("joined", "left")]
-    assert joins == ["joined", "left", "joined"]
+    joins = [
+        type(event)
+        for event in world.front.loop.calls
+        if isinstance(event, (ProxyConnected, ProxyDisconnected))
+    ]
+    assert joins == [ProxyConnected, ProxyDisconnected, ProxyConnected]
 
 
 def test_a_mark_of_the_old_stream_is_none_of_the_new(world):
     world.bound(1)
-    world.turn(("line", 1, "a", 3.0), ("mark", 6, False))
+    world.turn(("set_weight", 1, "a", 3.0), ("request_ack", 6, False))
     new = world.open(HELLO)
     world.say(new, ACK | {"mark": 6})
-    assert world.calls("applied") == []
+    assert world.calls(PushAcknowledged) == []
     assert world.front.counts["spoilt"] == 1
 
 
@@ -277,10 +301,10 @@
 def test_a_proxy_that_reads_nothing_gets_one_message_of_what_it_should_hold(world):
     slow, quick = world.bound(1, 2)
     written = {1: b"", 2: b""}
-    many = [("line", 1, f"s{k}", 1.0) for k in range(20)]
+    many = [("set_weight", 1, f"s{k}", 1.0) for k in range(20)]
     for k in range(1000):
         changed = [(verb, table, server, 1.0 + k % 7) for verb, table, server, _ in many]
-        for stream, data in world.turn(*changed, ("mark", 6 + k, False), wait=0.001):
+        for stream, data in world.turn(*changed, ("request_ack", 6 + k, False), wait=0.001):
             written[stream.proxy] += data
             if stream is quick:
                 world.say(quick, ACK | {"proxy": 2, "mark": 6 + k})
@@ -302,13 +326,13 @@
 def test_a_proxy_that_proves_nothing_is_tried_again_now_and_then(world):
     (slow,) = world.bound(1)
     slow.sent += module.UNREAD_MOST
-    assert world.turn(("line", 1, "a", 2.0), ("mark", 6, False)) == []
+    assert world.turn(("set_weight", 1, "a", 2.0), ("request_ack", 6, False)) == []
     assert len(world.turn(wait=module.HELD_WAIT / S)) == 1
 
 
 def test_a_proxy_that_owes_an_answer_and_says_nothing_has_left(world):
     quiet, talks, clear = world.bound(1, 2, 3)
-    world.turn(("line", 1, "a", 2.0), ("mark", 6, False))
+    world.turn(("set_weight", 1, "a", 2.0), ("request_ack", 6, False))
     world.say(clear, ACK | {"proxy": 3, "mark": 6})
     world.now += module.SILENT
     world.say(talks, DEMAND | {"proxy": 2})
@@ -316,19 +340,21 @@
     world.front.tend(world.now)
     assert world.front.ending == [quiet]
     assert set(world.front.streams) == {2, 3}
-    assert world.calls("left") == [(1,)]
+    assert world.calls(ProxyDisconnected) == [(1,)]
 
 
 def test_a_fault_of_the_module_keeps_streams_and_binds_anew(world):
     (stream,) = world.bound(1)
-    world.turn(("withdraw", "c", True))
-    world.turn(("line", 1, "a", float("nan")))
+    world.turn(("set_ejected", "c", True))
+    world.turn(("set_weight", 1, "a", float("nan")))
     events = [event for event, _ in world.front.loop.take_events()]
     assert "module fault" in events
     assert stream.ended is None
     world.now += S
     assert list(world.front.turn(world.now)) == []
-    ((written, data),) = world.turn(("line", 1, "b", 1.0), ("bind", 1, 1, 0), ("mark", 9, False))
+    ((written, data),) = world.turn(
+        ("set_weight", 1, "b", 1.0), ("assign_table", 1, 1, 0), ("request_ack", 9, False)
+    )
     assert written is stream
     assert json.loads(data)["endpoints"] == [["b", 1.0]]
     assert json.loads(data)["full"]
@@ -336,7 +362,7 @@
 
 def fault(world):
     """The module fails and is started anew."""
-    world.turn(("line", 1, "a", float("nan")))
+    world.turn(("set_weight", 1, "a", float("nan")))
     assert "module fault" in [event for event, _ in world.front.loop.take_events()]
     world.now += S
     assert list(world.front.turn(world.now)) == []
@@ -345,27 +371,29 @@
 def test_a_module_started_anew_lets_back_only_what_is_listed_as_ready(world):
     """A proxy that waits for its bind holds tables of others: what drains has to stay shut out there."""
     world.open(HELLO)
-    world.front.listed("changes", [("b", "east", "", 0, "draining", 1.0, 0)])
-    ((_, data),) = world.turn(("withdraw", "b", True), ("withdraw", "c", True), ("mark", 5, False))
+    world.front.listed("changes", [EndpointRecord("b", "east", "", 0, "draining", 1.0, 0)])
+    ((_, data),) = world.turn(
+        ("set_ejected", "b", True), ("set_ejected", "c", True), ("request_ack", 5, False)
+    )
     assert json.loads(data)["eject"] == ["b", "c"]
     fault(world)
-    ((_, data),) = world.turn(("mark", 1, True))
+    ((_, data),) = world.turn(("request_ack", 1, True))
     assert json.loads(data)["restore"] == ["c"]
-    world.front.listed("changes", [("b", "east", "", 0, "ready", 1.0, 0)])
-    ((_, data),) = world.turn(("mark", 2, True))
+    world.front.listed("changes", [EndpointRecord("b", "east", "", 0, "ready", 1.0, 0)])
+    ((_, data),) = world.turn(("request_ack", 2, True))
     assert json.loads(data)["restore"] == ["b"]
 
 
 def test_an_answer_to_a_module_that_failed_is_none_to_the_next_one(world):
     (stream,) = world.bound(1)
-    world.turn(("line", 1, "a", 2.0), ("mark", 1, False))
+    world.turn(("set_weight", 1, "a", 2.0), ("request_ack", 1, False))
     fault(world)
-    world.turn(("line", 1, "b", 1.0), ("bind", 1, 1, 0), ("mark", 1, False))
+    world.turn(("set_weight", 1, "b", 1.0), ("assign_table", 1, 1, 0), ("request_ack", 1, False))
     world.say(stream, ACK | {"mark": 1})  # two are owed: it answers the first
-    assert world.calls("applied") == []
+    assert world.calls(PushAcknowledged) == []
     assert world.front.counts["acks"] == 2
     world.say(stream, ACK | {"mark": 1})
-    assert world.calls("applied") == [(1, 1, 310_500_000)]
+    assert world.calls(PushAcknowledged) == [(1, 1, 310_500_000)]
     assert not stream.marks
     assert world.front.counts["spoilt"] == 0
 
@@ -373,7 +401,7 @@
 def test_what_comes_while_the_module_waits_to_be_started_anew_is_kept_or_void(world):
     stays, goes = world.bound(1, 2)
     for _ in range(6):  # it fails again and again, and so waits
-        world.turn(("line", 1, "a", float("nan")), wait=0.01)
+        world.turn(("set_weight", 1, "a", float("nan")), wait=0.01)
         list(world.front.turn(world.now))
     assert world.front.loop.planner is None
     late = world.open(HELLO | {"proxy": 3})
@@ -381,14 +409,14 @@
     again = world.open(HELLO | {"proxy": 2, "fresh": False})
     agent = world.open(AGENT, OUTCOMES)
     world.say(stays, DEMAND)
-    world.front.listed("changes", [("d", "east", "", 0, "ready", 1.0, 0),
-                                   ("b", "east", "", 0, "gone", 1.0, 0)])  # fmt: skip
+    world.front.listed("changes", [EndpointRecord("d", "east", "", 0, "ready", 1.0, 0),
+                                   EndpointRecord("b", "east", "", 0, "gone", 1.0, 0)])  # fmt: skip
     assert list(world.front.turn(world.now)) == []
     world.now += 10 * S
     seen = []
-    world.decider.decide = lambda now, calls, writer: seen.extend(calls)
+    world.decider.reconcile = lambda now, calls, writer: seen.extend(calls)
     list(world.front.turn(world.now))
-    (scope, entries), *joins = [arguments for _, arguments in seen]
+    (scope, entries), *joins = [astuple(event) for event in seen]
     assert scope == "held"
     assert [entry[0] for entry in entries] == ["a", "c", "d"]
     assert sorted(joins) == [(p, "east", 2.5, False) for p in (1, 2, 3)]
@@ -398,8 +426,16 @@
 def test_a_joining_in_the_same_read_as_the_end_leaves_nothing(world):
     stream = world.open(text(HELLO) + text(DEMAND) + b'{"msg":"ack","pro')
     world.front.closed(stream, "the connection ended")
-    assert [name for name, _ in world.front.loop.calls] == ["listed", "joined", "arrived", "left"]
-    assert list(world.turn(("line", 1, "a", 1.0), ("bind", 1, 1, 0), ("mark", 5, True))) == []
+    assert [type(event) for event in world.front.loop.calls] == [
+        EndpointListUpdate,
+        ProxyConnected,
+        DemandReport,
+        ProxyDisconnected,
+    ]
+    assert (
+        list(world.turn(("set_weight", 1, "a", 1.0), ("assign_table", 1, 1, 0), ("request_ack", 5, True)))
+        == []
+    )
     assert not world.front.streams
     assert not world.front.writer.proxies
     assert not world.front.loop.orders.proxies
@@ -409,23 +445,23 @@
     for _ in range(1000):
         world.front.closed(world.open(), "the connection broke")
     assert not world.front.unjoined
-    assert [name for name, _ in world.front.loop.calls] == ["listed"]
+    assert [type(event) for event in world.front.loop.calls] == [EndpointListUpdate]
 
 
 @pytest.mark.parametrize("first", ["old end", "new answer"])
 def test_the_old_streams_late_end_and_an_answer_on_the_new_one_in_both_orders(world, first):
     (old,) = world.bound(1)
-    world.turn(("line", 1, "a", 2.0), ("mark", 6, False))
+    world.turn(("set_weight", 1, "a", 2.0), ("request_ack", 6, False))
     new = world.open(HELLO | {"fresh": False})
-    world.turn(("bind", 1, 1, 0), ("mark", 7, False))
+    world.turn(("assign_table", 1, 1, 0), ("request_ack", 7, False))
     if first == "old end":
         world.front.closed(old, "the connection broke")
     world.say(old, ACK | {"mark": 6})  # its bytes lay in the socket
     world.say(new, ACK | {"mark": 7})
     if first != "old end":
         world.front.closed(old, "the connection broke")
-    assert world.calls("applied") == [(1, 7, 310_500_000)]
-    assert world.calls("left") == []
+    assert world.calls(PushAcknowledged) == [(1, 7, 310_500_000)]
+    assert world.calls(ProxyDisconnected) == []
     assert world.front.streams == {1: new}
     assert world.front.counts["left"] == 1
 
@@ -444,8 +480,8 @@
 def test_state_levels_off_over_many_servers_and_streams(world):
     for k in range(10_000):
         name = f"s{k}"
-        world.front.listed("changes", [(name, "east", "", 0, "ready", 1.0, 0)])
-        world.front.listed("changes", [(name, "east", "", 0, "gone", 1.0, 0)])
+        world.front.listed("changes", [EndpointRecord(name, "east", "", 0, "ready", 1.0, 0)])
+        world.front.listed("changes", [EndpointRecord(name, "east", "", 0, "gone", 1.0, 0)])
         stream = world.open(HELLO | {"proxy": k % 400})
         world.front.closed(stream, "the connection ended")
         world.turn()
@@ -467,7 +503,7 @@
     (stream,) = world.bound(1)
     for k in range(300):  # it reads and answers nothing: small messages, many marks
         stream.pushed(0, 0, world.now)
-        world.turn(("line", 1, "a", 2.0 + k), ("mark", 10 + k, False))
+        world.turn(("set_weight", 1, "a", 2.0 + k), ("request_ack", 10 + k, False))
         stream.read = stream.sent
     assert len(stream.marks) == 256
     assert world.front.counts["marks_lost"] > 0
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -12,7 +12,7 @@
 from swiftchute.platform.endpoint_list import Catalog
 from swiftchute.platform.session_manager import Front
 from swiftchute.platform.settings import BadSettings
-from swiftchute.policy import Planner, S
+from swiftchute.policy import Reconciler, S
 from tests.platform.test_server import MEMBERS, wire_settings
 
 NAMES = st.text(min_size=1, max_size=20)
@@ -74,20 +74,20 @@
     """Every proxy gets a table of every class, through reports that tell of any share of errors."""
     _, told = read(tmp_path_factory, configuration(made, servers))
     now = 1_700_000_000 * S
-    loop = Loop(told.settings, told.seed, Planner, now)
+    loop = Loop(told.settings, told.seed, Reconciler, now)
     front = Front(loop, told.sockets)
     news = Catalog(told.settings.zones).held(told.known)
     assert not news.passed
     front.listed("held", news.entries)
     names = [c["name"] for c in made["classes"]]
-    mean = min(told.settings.operations[0].objective, told.settings.operations[0].timeout) / 1e6
+    mean = min(told.settings.operations[0].latency_objective_ns, told.settings.operations[0].timeout_ns) / 1e6
     streams, served = [], set()
 
     def say(stream, **message):
         stream.received(json.dumps(message).encode() + b"\n", now)
         assert not stream.out
 
-    for proxy in range(told.settings.proxies):
+    for proxy in range(told.settings.proxy_count):
         streams.append(front.opened(now))
         zone = made["dcs"][proxy % len(made["dcs"])]
         say(streams[-1], msg="hello", proxy=proxy, zone=zone, weight=2.0, fresh=True)
@@ -113,7 +113,7 @@
                         mean_ms=mean, span_ms=500.0)  # fmt: skip
     assert loop.counts["faults"] == 0, loop.take_events()
     assert front.counts["spoilt"] == 0
-    assert served == {(p, name) for p in range(told.settings.proxies) for name in names}
+    assert served == {(p, name) for p in range(told.settings.proxy_count) for name in names}
 
 
 PLACES = [
@@ -184,7 +184,7 @@
     def __init__(self, made):
         told = module._told("config.json", configuration(made))
         self.made, self.now, self.written = made, 1_700_000_000 * S, []
-        self.loop = Loop(told.settings, 7, Planner, self.now)
+        self.loop = Loop(told.settings, 7, Reconciler, self.now)
         self.front = Front(self.loop, told.sockets)
         self.front.listed("held", Catalog(told.settings.zones).held(told.known).entries)
         zones = made["dcs"]
--- a/tests/policy/test_reconciler.py
+++ b/tests/policy/test_reconciler.py
@@ -4,6 +4,14 @@
 
 import pytest
 
+from swiftchute.api.events import (
+    EndpointListUpdate,
+    EndpointLoadReport,
+    KeyRangeAssigned,
+    KeyRangeEntryRestored,
+    ProxyConnected,
+    PushAcknowledged,
+)
 from swiftchute.policy import LEVEL, LEVEL_LEAST, TUNED, S
 from tests.conftest import operation
 
@@ -11,21 +19,21 @@
 
 
 def lines(out, table):
-    return {server: weight for number, server, weight in out.of("line") if number == table.number}
+    return {server: weight for number, server, weight in out.of("set_weight") if number == table.number}
 
 
 def test_busiest_proxies_are_bound_first(bench):
     made = bench()
     entries = [made.server("e0")]
-    joins = [("joined", (number, "east", rate, True)) for number, rate in enumerate((5.0, 50.0, 20.0))]
-    out = made.turn(("listed", ("held", entries)), *joins)
-    assert [proxy for proxy, _, _ in out.of("bind")] == [1, 2, 0]
+    joins = [ProxyConnected(number, "east", rate, True) for number, rate in enumerate((5.0, 50.0, 20.0))]
+    out = made.turn(EndpointListUpdate("held", entries), *joins)
+    assert [proxy for proxy, _, _ in out.of("assign_table")] == [1, 2, 0]
 
 
 def test_mass_rejoin_stays_under_half_the_channel(bench):
-    made = bench(channel_limit=100.0)
+    made = bench(egress_queue_limit_entries=100.0)
     out = made.start(proxies=("east",) * 30)
-    assert 0 < len(out.of("bind")) < 30
+    assert 0 < len(out.of("assign_table")) < 30
     assert made.planner.unread <= 50
     made.run(5)
     assert all(proxy.group is not None for proxy in made.planner.proxies.values())
@@ -33,69 +41,71 @@
 
 def test_changes_are_gathered_and_only_they_are_sent(started):
     made = started
-    assert made.turn(("listed", ("changes", [made.server("e8")])), wait=1.5).of("line") == []
-    assert made.turn(("listed", ("changes", [made.server("e9")])), wait=0.1).of("line") == []
+    assert made.turn(EndpointListUpdate("changes", [made.server("e8")]), wait=1.5).of("set_weight") == []
+    assert made.turn(EndpointListUpdate("changes", [made.server("e9")]), wait=0.1).of("set_weight") == []
     out = made.turn(wait=0.3)
     assert set(lines(out, made.table())) == {"e8", "e9"}
-    assert out.of("bind") == []
+    assert out.of("assign_table") == []
 
 
 def test_steady_stream_of_changes_waits_a_second_at_most(started):
     made, sent = started, 0
     made.run(1.5)
     for k in range(12):
-        sent += bool(made.turn(("listed", ("changes", [made.server(f"n{k}")])), wait=0.1).of("line"))
+        sent += bool(
+            made.turn(EndpointListUpdate("changes", [made.server(f"n{k}")]), wait=0.1).of("set_weight")
+        )
     assert sent == 1
 
 
 @pytest.mark.parametrize("state", ["draining", "gone"])
 def test_drained_server_leaves_all_tables_at_once(started, state):
-    out = started.turn(("listed", ("changes", [started.server("e0", state=state)])), wait=0.01)
+    out = started.turn(EndpointListUpdate("changes", [started.server("e0", state=state)]), wait=0.01)
     assert lines(out, started.table())["e0"] == 0
     assert "e0" not in started.table().sent
 
 
 def test_a_drain_is_told_to_proxies_not_bound_yet_by_their_bind(bench):
-    made = bench(channel_limit=250.0)
+    made = bench(egress_queue_limit_entries=250.0)
     made.start(proxies=("east",) * 9)
     made.run(0.5)
-    gone = ("listed", ("changes", [made.server("e0", state="draining")]))
-    joins = [("joined", (number, "east", 1.0, True)) for number in range(20, 26)]
+    gone = EndpointListUpdate("changes", [made.server("e0", state="draining")])
+    joins = [ProxyConnected(number, "east", 1.0, True) for number in range(20, 26)]
     out = made.turn(gone, *joins)
     assert lines(out, made.table())["e0"] == 0
-    assert {proxy for proxy, *_ in out.of("bind")} == set(range(20, 26))
+    assert {proxy for proxy, *_ in out.of("assign_table")} == set(range(20, 26))
     assert 0.5 * 250 < made.planner.unread <= 0.7 * 250  # past half of the channel
-    assert out.of("withdraw") == []
+    assert out.of("set_ejected") == []
 
 
 def test_drained_server_is_shut_out_for_proxies_that_there_is_no_room_to_bind(bench):
-    made = bench(channel_limit=24.0)
+    made = bench(egress_queue_limit_entries=24.0)
     made.start(proxies=("east",))
     made.run(1)
-    gone = ("listed", ("changes", [made.server("e0", state="draining")]))
-    out = made.turn(gone, ("joined", (20, "east", 1.0, True)))
-    assert out.of("withdraw") == [("e0", True)]
-    assert out.of("bind") == []
-    assert [proxy for proxy, *_ in made.run(2).of("bind")] == [20]
-    back = made.turn(("listed", ("changes", [made.server("e0", age=0.5)])), wait=1.0)
+    gone = EndpointListUpdate("changes", [made.server("e0", state="draining")])
+    out = made.turn(gone, ProxyConnected(20, "east", 1.0, True))
+    assert out.of("set_ejected") == [("e0", True)]
+    assert out.of("assign_table") == []
+    assert [proxy for proxy, *_ in made.run(2).of("assign_table")] == [20]
+    back = made.turn(EndpointListUpdate("changes", [made.server("e0", age=0.5)]), wait=1.0)
     back.all += made.run(2).all
-    assert back.of("withdraw") == [("e0", False)]
+    assert back.of("set_ejected") == [("e0", False)]
 
 
 def test_list_that_drops_servers_is_not_believed_against_their_answers(bench):
     """Only a drain binds here: a dropped server leaves when its tries fail too, a drained one at once."""
-    made = bench(gone_binds=False)
+    made = bench(removal_is_binding=False)
     made.start()
     made.run(2, CALM)
-    made.turn(("listed", ("whole", [made.server(f"w{k}", "west") for k in range(4)])))
-    made.turn(("listed", ("changes", [made.server("e1", state="draining")])))
+    made.turn(EndpointListUpdate("whole", [made.server(f"w{k}", "west") for k in range(4)]))
+    made.turn(EndpointListUpdate("changes", [made.server("e1", state="draining")]))
     made.run(3, CALM | {"e0": (9, 9, 0)})
     assert made.table().want.keys() - {LEVEL} == {"e2", "e3"}
 
 
 def test_zone_without_servers_uses_the_other(started):
     entries = [started.server(f"e{k}", state="gone") for k in range(4)]
-    out = started.turn(("listed", ("changes", entries)))
+    out = started.turn(EndpointListUpdate("changes", entries))
     assert {server for server, weight in lines(out, started.table()).items() if weight} == {
         "w0",
         "w1",
@@ -106,20 +116,20 @@
 
 def test_groups_borrow_parts_and_a_zone_without_servers_is_never_bare(bench):
     """A large fleet: were all borrowed by all, connections would grow as proxies times servers."""
-    made = bench(standing=2)
+    made = bench(subset_size=2)
     made.start(east=8, west=8)
-    made.turn(("listed", ("changes", [made.server(f"e{k}", state="gone") for k in range(8)])))
+    made.turn(EndpointListUpdate("changes", [made.server(f"e{k}", state="gone") for k in range(8)]))
     borrowed = [t.want.keys() - {LEVEL} for t in made.planner.all_tables() if t.zone == "east"]
     assert [len(lines) for lines in borrowed] == [2, 2, 2, 2]
     assert len(set.union(*borrowed)) == 8
     left = {next(iter(borrowed[0]))}
     gone = [made.server(f"w{k}", "west", "gone") for k in range(8) if f"w{k}" not in left]
-    made.turn(("listed", ("changes", gone)))
+    made.turn(EndpointListUpdate("changes", gone))
     assert all(t.want.keys() - {LEVEL} == left for t in made.planner.all_tables())
 
 
 def test_operation_that_stays_at_home_gets_no_foreign_line(bench):
-    made = bench(operations=(operation("read"), operation("write", own_zone=True)))
+    made = bench(operations=(operation("read"), operation("write", zone_local=True)))
     made.start()
     made.run(8, dict.fromkeys(CALM, (20, 0, 0.9)))
     assert any(name[0] == "w" for name in made.table().want if name)
@@ -128,7 +138,7 @@
 
 def test_new_server_ramps_from_a_quarter(started):
     started.run(5, CALM, arrive=10)
-    started.turn(("listed", ("changes", [started.server("e9", age=0)])))
+    started.turn(EndpointListUpdate("changes", [started.server("e9", age=0)]))
     seen = []
     for _ in range(20):
         started.run(1, CALM, arrive=1)
@@ -143,7 +153,7 @@
     """All but one of a zone's servers come back cold: a quarter each would be nearly everything."""
     started.run(6, CALM, arrive=40)
     entries = [started.server(f"e{k}", age=0) for k in range(1, 4)]
-    started.turn(("listed", ("changes", entries)), wait=1.1)
+    started.turn(EndpointListUpdate("changes", entries), wait=1.1)
     want = {n: w for n, w in started.table().want.items() if n != LEVEL}
     rate = started.planner.demand(started.planner.proxies[0])
     server = started.planner.servers["e1"]
@@ -155,13 +165,13 @@
     made = bench(zones=("east",))
     made.start(west=0, proxies=("east",))
     made.run(6, {f"e{k}": (5, 0, 0.1) for k in range(4)}, arrive=40)
-    made.turn(("listed", ("changes", [made.server(f"e{k}", age=0) for k in range(4)])), wait=1.1)
+    made.turn(EndpointListUpdate("changes", [made.server(f"e{k}", age=0) for k in range(4)]), wait=1.1)
     assert 0 < abs(made.table().want[LEVEL]) < 0.5
 
 
 def test_flooded_zone_takes_cold_servers_out(started):
     started.run(5, CALM)
-    started.turn(("listed", ("changes", [started.server("e9", age=0)])))
+    started.turn(EndpointListUpdate("changes", [started.server("e9", age=0)]))
     assert "e9" in started.table().want
     started.run(3, {f"e{k}": (20, 19, 0.9) for k in range(4)}, arrive=40)
     assert "e9" not in started.table().want
@@ -171,7 +181,7 @@
     """The first news is of the proxies that joined first; the others may bring a flood."""
     made = bench()
     made.start()
-    made.turn(("listed", ("changes", [made.server("e9", age=1)])))
+    made.turn(EndpointListUpdate("changes", [made.server("e9", age=1)]))
     made.run(2, CALM)
     assert "e9" not in made.table().want
     made.run(3, CALM)
@@ -199,13 +209,13 @@
 
 def test_restart_forgets_what_was_measured(started):
     started.planner.servers["e0"].tuned = 0.05
-    started.turn(("listed", ("changes", [started.server("e0", age=0)])))
+    started.turn(EndpointListUpdate("changes", [started.server("e0", age=0)]))
     assert started.planner.servers["e0"].tuned == 1.0
     assert len(started.planner.servers["e0"].samples) == 0
 
 
 def test_returning_server_does_not_look_fast(started):
-    started.turn(("listed", ("changes", [started.server("e0", age=0)])))
+    started.turn(EndpointListUpdate("changes", [started.server("e0", age=0)]))
     started.run(8, CALM | {"e0": (10, 0, 0.01)})
     assert started.planner.servers["e0"].tuned <= 1.0
 
@@ -256,7 +266,7 @@
 def test_no_further_tries_beside_cold_servers(started):
     started.run(5, CALM)
     assert started.table().want[LEVEL] == 1.0
-    started.turn(("listed", ("changes", [started.server("e9", age=0)])))
+    started.turn(EndpointListUpdate("changes", [started.server("e9", age=0)]))
     assert started.table().want[LEVEL] == -1.0
 
 
@@ -268,7 +278,7 @@
 def test_message_allowance_leaves_room_for_drains(started):
     for k in range(30):
         started.turn(
-            ("listed", ("changes", [started.server("e9", state=("gone", "ready")[k % 2])])), wait=0.3
+            EndpointListUpdate("changes", [started.server("e9", state=("gone", "ready")[k % 2])]), wait=0.3
         )
         assert all(len(proxy.messages) < 10 for proxy in started.planner.proxies.values())
     for k in range(40):
@@ -282,13 +292,13 @@
     started.run(1)
     started.planner.proxies[0].unread, started.planner.unread = {4: 400, 5: 590}, 1000
     started.planner.servers["e0"].tuned = 0.6
-    assert started.run(5, CALM, answer=False).of("line") == []
-    assert started.turn(("applied", (0, 5, S))).of("line")
+    assert started.run(5, CALM, answer=False).of("set_weight") == []
+    assert started.turn(PushAcknowledged(0, 5, S)).of("set_weight")
     assert started.planner.unread < 100
 
 
 def test_overfull_group_gives_up_no_more_than_its_excess(bench):
-    made = bench(standing=2)
+    made = bench(subset_size=2)
     made.start(east=4, west=0, proxies=("east",) * 4)
     for number, proxy in made.planner.proxies.items():
         proxy.group, proxy.waits, proxy.rate = 0, False, (40.0, 10.0, 9.0, 1.0)[number]
@@ -301,37 +311,37 @@
 def test_proxy_that_moves_is_booked_at_its_old_group_until_bound(started):
     """It holds the old tables: lines written to them reach it, and left out they overfill the channel."""
     started.planner.proxies[0].waits = True
-    started.turn(("listed", ("changes", [started.server("e0", state="draining")])))
+    started.turn(EndpointListUpdate("changes", [started.server("e0", state="draining")]))
     assert 0 in started.planner.touched
 
 
 def test_line_that_waits_to_be_taken_away_is_urgent_once_its_server_drains(started):
     started.planner.servers["e0"].group = 9  # of another group now: its line goes with the next push
     started.turn()
-    out = started.turn(("listed", ("changes", [started.server("e0", state="draining")])))
-    assert (started.table().number, "e0", 0) in out.of("line")
+    out = started.turn(EndpointListUpdate("changes", [started.server("e0", state="draining")]))
+    assert (started.table().number, "e0", 0) in out.of("set_weight")
 
 
 def test_drain_does_not_wait_for_room_for_the_lines_beside_it(bench):
-    made = bench(channel_limit=100.0)
+    made = bench(egress_queue_limit_entries=100.0)
     made.start(east=12, proxies=("east",))
     made.run(3, CALM)
     made.planner.proxies[0].unread, made.planner.unread = {9999: 70}, 70
     for server in made.planner.servers.values():
         server.tuned = 1.3
-    out = made.turn(("listed", ("changes", [made.server("e0", state="draining")])))
-    assert [(server, weight) for _, server, weight in out.of("line")] == [("e0", 0)]
+    out = made.turn(EndpointListUpdate("changes", [made.server("e0", state="draining")]))
+    assert [(server, weight) for _, server, weight in out.of("set_weight")] == [("e0", 0)]
 
 
 def test_work_that_may_not_repeat_gets_no_risky_further_try(bench):
-    risky = replace(operation("pay"), repeats="side-effecting")
-    out = bench(operations=(operation("read"), risky), usual_tries=2).start()
-    assert {tries for _, _, _, tries in out.of("admit")} == {1}
+    risky = replace(operation("pay"), idempotency="side-effecting")
+    out = bench(operations=(operation("read"), risky), default_retry_policy=2).start()
+    assert {tries for _, _, _, tries in out.of("set_admission")} == {1}
 
 
 def test_rates_are_not_taken_for_shares(bench):
-    out = bench(admission="rate").start()
-    assert all(level > 1000 for _, _, level, _ in out.of("admit"))
+    out = bench(admission_mode="rate").start()
+    assert all(level > 1000 for _, _, level, _ in out.of("set_admission"))
 
 
 def test_staff_are_told_of_a_cut_server_once_each_way(started):
@@ -342,33 +352,33 @@
 
 
 def test_lost_subscription_is_asked_for_again_later_each_time(bench):
-    made = bench(asks_list=True)
-    assert made.turn().of("watch") == [(True,)]
+    made = bench(list_needs_subscription=True)
+    assert made.turn().of("subscribe") == [(True,)]
     waits = []
     for _ in range(3):
-        made.turn(("listed", ("lost", [])))
+        made.turn(EndpointListUpdate("lost", []))
         waits.append(made.planner.retry_at - made.now)
-        assert made.turn(wait=8).of("watch") == [(True,)]
+        assert made.turn(wait=8).of("subscribe") == [(True,)]
     assert waits[0] <= S < waits[2] <= 4 * S
 
 
 def test_slice_keeps_its_line_until_the_server_goes(bench):
-    made = bench(slices=2, single_owner=True)
+    made = bench(key_range_count=2, single_owner=True)
     entries = [made.server("e0"), made.server("e1")]
-    given = [("slice_given", (1,)), ("slice_line", (1, "e0", 1.0))]
-    assert made.turn(("listed", ("held", entries)), *given).of("line") == []
-    out = made.turn(("listed", ("changes", [made.server("e0", state="draining")])))
-    assert out.of("line") == [(1, "e1", 1)]
+    given = [KeyRangeAssigned(1), KeyRangeEntryRestored(1, "e0", 1.0)]
+    assert made.turn(EndpointListUpdate("held", entries), *given).of("set_weight") == []
+    out = made.turn(EndpointListUpdate("changes", [made.server("e0", state="draining")]))
+    assert out.of("set_weight") == [(1, "e1", 1)]
 
 
 def test_slow_way_is_not_borrowed_over_and_is_no_load(bench):
     """The servers behind it answer their own zone well; its tries tell neither of them nor of load."""
     made = bench(zones=("east", "west", "south"))
     entries = [made.server(f"{zone[0]}{k}", zone) for zone in made.planner.set.zones for k in range(4)]
-    made.turn(("listed", ("held", entries)), ("joined", (0, "east", 10.0, True)))
+    made.turn(EndpointListUpdate("held", entries), ProxyConnected(0, "east", 10.0, True))
     for _ in range(16):
-        own = [("met", ("east", f"e{k}", 20, 0, S * 35 // 100, S // 2, None)) for k in range(4)]
-        far = [("met", ("east", f"w{k}", 20, 5, S * 16 // 10, S // 2, None)) for k in range(4)]
+        own = [EndpointLoadReport("east", f"e{k}", 20, 0, S * 35 // 100, S // 2, None) for k in range(4)]
+        far = [EndpointLoadReport("east", f"w{k}", 20, 5, S * 16 // 10, S // 2, None) for k in range(4)]
         made.turn(*own, *far, wait=0.5)
     want = made.table().want
     assert {name[0] for name in want if name} == {"e", "s"}
@@ -384,13 +394,13 @@
     planner = made.planner
     assert planner.unread == 0
     planner.proxies[0].group = None  # it waits for a bind and may hold whatever it came with
-    out = made.turn(("listed", ("changes", [made.server("w0", "west", "gone")])))
-    assert out.of("withdraw") == [("w0", True)]
-    assert out.of("line") == [(3, "w0", 0)]
-    cost = planner.set.message_lines + 1 + 1  # head, mark and a line
+    out = made.turn(EndpointListUpdate("changes", [made.server("w0", "west", "gone")]))
+    assert out.of("set_ejected") == [("w0", True)]
+    assert out.of("set_weight") == [(3, "w0", 0)]
+    cost = planner.set.message_overhead_entries + 1 + 1  # head, mark and a line
     assert [sum(x.unread.values()) for x in planner.proxies.values()] == [cost, cost]
-    out = made.turn(("listed", ("changes", [made.server("z", state="gone")])))
-    assert out.of("withdraw") == [("z", True)]  # which no table names
+    out = made.turn(EndpointListUpdate("changes", [made.server("z", state="gone")]))
+    assert out.of("set_ejected") == [("z", True)]  # which no table names
     assert sum(planner.proxies[1].unread.values()) == cost
     assert planner.unread == sum(sum(x.unread.values()) for x in planner.proxies.values())
 
@@ -412,8 +422,10 @@
 
 def test_a_cold_server_is_judged_step_by_step_also_after_a_start(bench):
     made = bench()
-    made.turn(("listed", ("held", [made.server(f"e{k}") for k in range(4)] + [made.server("c", age=0.1)])),
-              ("joined", (0, "east", 10.0, True)))  # fmt: skip
+    made.turn(
+        EndpointListUpdate("held", [made.server(f"e{k}") for k in range(4)] + [made.server("c", age=0.1)]),
+        ProxyConnected(0, "east", 10.0, True),
+    )
     made.run(1.5, {f"e{k}": (20, 0, 0.2) for k in range(4)} | {"c": (20, 0, 0.8)})
     assert made.planner.servers["c"].tuned == pytest.approx(0.25**0.25, abs=0.05)
 
@@ -423,9 +435,9 @@
     made.start()
     planner = made.planner
     for k in range(2_000):
-        made.turn(("listed", ("changes", [made.server(f"n{k}", age=0.0)])), wait=0.01)
-        made.turn(("listed", ("changes", [made.server(f"n{k}", state="gone")])),
-                  *[("applied", (p, planner.seal, S)) for p in planner.proxies], wait=0.5)  # fmt: skip
+        made.turn(EndpointListUpdate("changes", [made.server(f"n{k}", age=0.0)]), wait=0.01)
+        made.turn(EndpointListUpdate("changes", [made.server(f"n{k}", state="gone")]),
+                  *[PushAcknowledged(p, planner.seal, S) for p in planner.proxies], wait=0.5)  # fmt: skip
     assert len(planner.servers) <= 8 + 200
     assert planner.listings == 8 + 2_000
     assert {"e0", "w3"} <= planner.servers.keys()
@@ -440,12 +452,12 @@
     made.planner.proxies[0].group = None  # it waits for a bind
     made.planner.proxies[0].waits = False
     for k in range(300):
-        made.turn(("listed", ("changes", [made.server(f"n{k}", state="gone")])))
+        made.turn(EndpointListUpdate("changes", [made.server(f"n{k}", state="gone")]))
     assert len(made.planner.servers) == 308
     made.planner.proxies[0].group = 0
     out = made.turn(wait=0.1)
     assert len(made.planner.servers) == 208
-    assert all(not back for _, back in out.of("withdraw"))
+    assert all(not back for _, back in out.of("set_ejected"))
     assert len(made.planner.shut) <= 200
 
 
@@ -469,7 +481,7 @@
     planner = made.planner
     for k in range(250):
         planner.modes.add(f"cut n{k}")
-        made.turn(("listed", ("changes", [made.server(f"n{k}", state="gone")])))
+        made.turn(EndpointListUpdate("changes", [made.server(f"n{k}", state="gone")]))
     assert len(planner.modes) <= 200
     assert "cut n249" in planner.modes
 
@@ -487,7 +499,7 @@
         while self.waits and self.waits[0][2] <= self.room:
             proxy, seal, lines, when = self.waits.pop(0)
             self.room -= lines
-            answers.append(("applied", (proxy, seal, self.made.now - when + int(wait * S))))
+            answers.append(PushAcknowledged(proxy, seal, self.made.now - when + int(wait * S)))
         self.room = min(self.room, self.pace) if self.waits else 0.0
         out = self.made.turn(*answers, *calls, wait=wait)
         for proxy, state in self.made.planner.proxies.items():
@@ -503,21 +515,23 @@
 
     Each drain was told to them by a withdrawal, up to a gate past that of binds, which tell of all at once.
     """
-    made = bench(channel_limit=8200.0, message_lines=25.0, message_limit=30, standing=6)
+    made = bench(
+        egress_queue_limit_entries=8200.0, message_overhead_entries=25.0, message_quota=30, subset_size=6
+    )
     names = [f"e{k}" for k in range(120)]
-    joins = [("joined", (p, "east", 10.0, False)) for p in range(240)]
+    joins = [ProxyConnected(p, "east", 10.0, False) for p in range(240)]
     channel = Channel(made, 800.0)
-    channel.turn(("listed", ("held", [made.server(name) for name in names])), *joins[:50], wait=0.01)
+    channel.turn(EndpointListUpdate("held", [made.server(name) for name in names]), *joins[:50], wait=0.01)
     for _ in range(200):
         channel.turn(wait=0.05)
     assert not any(x.waits for x in made.planner.proxies.values())
-    drain = [("listed", ("changes", [made.server(name, state="draining")])) for name in names[:90]]
+    drain = [EndpointListUpdate("changes", [made.server(name, state="draining")]) for name in names[:90]]
     bound, waiting = {}, []
     for step in range(400):
         calls = drain[:60] if step == 0 else drain[60 + step // 20 : 61 + step // 20] * (step % 20 == 0)
         calls = [*calls, *joins[50 + 95 * step : 145 + 95 * step]]
         out = channel.turn(*calls, wait=0.05)
-        bound |= {p: step for p, *_ in out.of("bind") if p >= 50 and p not in bound}
+        bound |= {p: step for p, *_ in out.of("assign_table") if p >= 50 and p not in bound}
         waiting.append([p for p, x in made.planner.proxies.items() if x.group is None])
     assert max(len(proxies) for proxies in waiting) > 20
     assert not waiting[-1]
@@ -526,11 +540,11 @@
 
 def test_a_cold_server_is_bound_by_what_comes_to_its_own_group(bench):
     """Seen on releases at full size: in a zone of eleven groups they got an eleventh of what they may."""
-    made = bench(standing=2)
+    made = bench(subset_size=2)
     made.start(proxies=("east",) * 4)
     assert made.planner.groups["east"] == 2
     made.run(6, {f"e{k}": (5, 0, 0.1) for k in range(4)}, arrive=5)
-    made.turn(("listed", ("changes", [made.server("e9", age=0)])))
+    made.turn(EndpointListUpdate("changes", [made.server("e9", age=0)]))
     made.run(3, {f"e{k}": (5, 0, 0.1) for k in range(4)}, arrive=5)
     (table,) = [t for t in made.planner.all_tables() if "e9" in t.want]
     server = made.planner.servers["e9"]
@@ -543,14 +557,19 @@
     """Half of a channel, which a drain waits behind, is a second of it only at its usual pace."""
     deepest, paces = {}, {}
     for pace in (4100.0, 800.0):
-        made = bench(channel_limit=8200.0, channel_pace=4100.0, message_lines=10.0, message_limit=0)
+        made = bench(
+            egress_queue_limit_entries=8200.0,
+            egress_rate_entries_per_s=4100.0,
+            message_overhead_entries=10.0,
+            message_quota=0,
+        )
         names = [f"e{k}" for k in range(120)]
         channel, depths = Channel(made, pace), []
-        joins = [("joined", (p, "east", 10.0, False)) for p in range(200)]
-        channel.turn(("listed", ("held", [made.server(name) for name in names])), *joins, wait=0.01)
+        joins = [ProxyConnected(p, "east", 10.0, False) for p in range(200)]
+        channel.turn(EndpointListUpdate("held", [made.server(name) for name in names]), *joins, wait=0.01)
         for step in range(400):  # times that swing, so that there is always something to push
             slow = [3 * ((k // 6 + step // 60) % 2) for k in range(120)]
-            met = [("met", ("east", name, 20, 0, S // 10 * (1 + slow[k]), S // 2, None))
+            met = [EndpointLoadReport("east", name, 20, 0, S // 10 * (1 + slow[k]), S // 2, None)
                    for k, name in enumerate(names)]  # fmt: skip
             channel.turn(*met if step % 10 == 0 else (), wait=0.05)
             depths.append(made.planner.unread)
@@ -570,7 +589,7 @@
     made.start(proxies=("east",) * 4)
     made.run(6, {f"e{k}": (5, 0, 0.1) for k in range(4)}, arrive=5)
     names = [f"c{k}" for k in range(cold)]
-    made.turn(("listed", ("changes", [made.server(name, age=8) for name in names])))
+    made.turn(EndpointListUpdate("changes", [made.server(name, age=8) for name in names]))
     made.planner.pressed["east"] = 2.0
     table = made.table()
     lines = dict.fromkeys(["e0", "e1", "e2", "e3", *names], 1.0)
--- a/tests/proxy/test_server.py
+++ b/tests/proxy/test_server.py
@@ -17,7 +17,7 @@
 from swiftchute.daemon.service import Service
 from swiftchute.fakes.backend import SERVICE, Facts, Worker
 from swiftchute.observability.logging import setup
-from swiftchute.policy import Planner
+from swiftchute.policy import Reconciler
 from swiftchute.proxy.http_framing import Http2, Message
 from swiftchute.proxy.request import Core, Limits, Operation
 from swiftchute.proxy.server import Proxy
@@ -453,7 +453,7 @@
         publish({one.address: "ready", two.address: "ready"})
         settings = tmp_path / "planner.hcl"
         settings.write_text(PLANNER.format(list=listed, port=0))
-        async with Started(Service(load(str(settings)), setup("error"), Planner)) as planner:
+        async with Started(Service(load(str(settings)), setup("error"), Reconciler)) as planner:
             made = daemon(planner.at[1])
             async with Started(made) as proxy:
                 await settled(made, {one.address, two.address})
--- a/tests/safety/test_validator.py
+++ b/tests/safety/test_validator.py
@@ -13,7 +13,8 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from swiftchute.interface import Settings
+from swiftchute.api.events import EndpointLoadReport
+from swiftchute.api.settings import Settings
 from swiftchute.safety.observed_traffic import Seen, by_kind
 from swiftchute.safety.publish_gate import Gate
 from swiftchute.safety.stale_list import worst
@@ -276,7 +277,7 @@
 
 
 def test_a_list_that_calls_most_gone_while_they_serve_is_not_obeyed_where_gone_does_not_bind():
-    settings = Settings(**(FACTS | {"operations": SETTINGS.operations, "gone_binds": False}))
+    settings = Settings(**(FACTS | {"operations": SETTINGS.operations, "removal_is_binding": False}))
     facts = {f"s{k}": fact(state="gone" if k else "ready") for k in range(5)}
     verdict = Guard(settings, Rules()).judge({1: table(**dict.fromkeys(facts, 1.0))}, {}, facts, Known(), NOW)
     assert verdict.refusals == []
@@ -308,7 +309,7 @@
     of 2.50)."""
     seen, facts = Seen(), {"a": fact()}
     for k in range(20):
-        seen.told(("met", ("east", "a", 9 if k % 5 else 27, 0, 1, S, None)), k * S)
+        seen.told(EndpointLoadReport("east", "a", 9 if k % 5 else 27, 0, 1, S, None), k * S)
         full = by_kind(seen.used(facts, lambda n: True, k * S))
     assert full == {"east": pytest.approx((4 * 9 + 27) / 5)}
     assert seen.used(facts, lambda n: True, 300 * S) == {}  # old news is none
@@ -323,8 +324,8 @@
     facts = {"a": fact(), "w": fact("west")}
     facts = {n: Fact(f.zone, f.state, f.started, f.weight, "std") for n, f in facts.items()}
     for k in range(6):
-        seen.told(("met", ("east", "a", 10, 0, 1, S, None)), k * S)
-        seen.told(("met", ("east", "w", 1, 0, 1, S, None)), k * S)
+        seen.told(EndpointLoadReport("east", "a", 10, 0, 1, S, None), k * S)
+        seen.told(EndpointLoadReport("east", "w", 1, 0, 1, S, None), k * S)
         used = seen.used(facts, lambda n: True, k * S)
     assert used == {("east", "std"): 10.0, ("west", "std"): 1.0}
     assert by_kind(used) == {"std": 10.0}
@@ -344,7 +345,7 @@
 
 def test_servers_called_gone_that_answer_are_open_where_gone_does_not_bind():
     """A list called most of a zone gone while it served: tables of those servers were refused as cold."""
-    settings = Settings(**(FACTS | {"operations": SETTINGS.operations, "gone_binds": False}))
+    settings = Settings(**(FACTS | {"operations": SETTINGS.operations, "removal_is_binding": False}))
     facts = {"a": fact(), "g": fact(state="gone"), "h": fact(state="gone")}
     asked = {1: table(g=1.0, h=1.0)}
     judged = Guard(settings, Rules()).judge(asked, {}, facts, Known(answering={"g", "h"}), NOW)
@@ -499,8 +500,8 @@
 
 def test_a_zone_is_ill_whose_servers_fail_more_than_half_of_their_tries():
     seen, facts = Seen(), {"a": fact(), "w": fact("west")}
-    seen.told(("met", ("east", "a", 10, 6, 1, S, None)), S)
-    seen.told(("met", ("east", "w", 10, 4, 1, S, None)), S)
+    seen.told(EndpointLoadReport("east", "a", 10, 6, 1, S, None), S)
+    seen.told(EndpointLoadReport("east", "w", 10, 4, 1, S, None), S)
     assert seen.ill(facts, 2 * S) == {"east"}
     assert seen.ill(facts, 100 * S) == frozenset()
 
--- a/tests/simulator/test_host.py
+++ b/tests/simulator/test_host.py
@@ -5,6 +5,7 @@
 
 import pytest
 
+from swiftchute.api.events import EndpointListUpdate, EndpointLoadReport
 from swiftchute.simulator.host import serve
 
 PROFILE = {
@@ -34,7 +35,7 @@
     def __init__(self, settings, seed):
         self.settings, self.seed = settings, seed
 
-    def decide(self, now, calls, writer):
+    def reconcile(self, now, calls, writer):
         Noted.rounds.append((self.seed, now, calls))
         if Noted.act:
             Noted.act(writer)
@@ -79,18 +80,18 @@
     ((seed, now, calls),) = Noted.rounds
     assert (seed, now) == (7, 5000)
     assert calls == [
-        ("listed", ("held", [("a:1", "east", "k", 2, "ready", 1.5, 0)])),
-        ("met", ("east", "a:1", 4, 1, 250000, 500000, None)),
+        EndpointListUpdate("held", [("a:1", "east", "k", 2, "ready", 1.5, 0)]),
+        EndpointLoadReport("east", "a:1", 4, 1, 250000, 500000, None),
     ]
 
 
 def test_decisions_become_actions(play):
     def act(writer):
-        writer.line(1, "a:1", 0.5)
-        writer.bind(4, 1, 3)
-        writer.admit(None, 0, 0.75, 1)
-        writer.tell(None, b"hi")
-        writer.timer(1500, 2)
+        writer.set_weight(1, "a:1", 0.5)
+        writer.assign_table(4, 1, 3)
+        writer.set_admission(None, 0, 0.75, 1)
+        writer.send_to_peer(None, b"hi")
+        writer.start_timer(1500, 2)
 
     Noted.act = act
     code, replies, _ = play(batch(HELLO))
--- a/tests/versions/test_history.py
+++ b/tests/versions/test_history.py
@@ -9,6 +9,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
+from swiftchute.api.endpoints import EndpointRecord
+from swiftchute.api.events import TimerFired
 from swiftchute.discovery.endpoint_list import News
 from swiftchute.versions import encoding
 from swiftchute.versions.encoding import BadForm, Delta, Mismatch, Table, apply, decode, diff, encode, name
@@ -335,20 +337,20 @@
 def planner(fixed):
     """A core with a table of three servers, pushed and acknowledged: (core, decider, round)."""
     core, decider = fixed
-    entries = [(n, "east", "", 0, "ready", 1.0, 0) for n in "abd"]
+    entries = [EndpointRecord(n, "east", "", 0, "ready", 1.0, 0) for n in "abd"]
     core.listed(News("held", tuple(entries), ()))
     core.joined("p", "east", 1.0, True)
 
     def play(now, *writes):
         decider.writes = list(writes)
-        core.calls.append(("woke", (0,)))
+        core.calls.append(TimerFired(0))
         pushed = [p for p, _ in core.turn(now).pushes + core.turn(now + S // 2).pushes]
         if "p" in pushed:
             core.held("p")
             core.settled("p", NOW)
         return pushed
 
-    play(NOW, *[("line", 1, n, 1.0) for n in "abd"], ("bind", "p", 1, 0))
+    play(NOW, *[("set_weight", 1, n, 1.0) for n in "abd"], ("assign_table", "p", 1, 0))
     return core, play
 
 
@@ -358,17 +360,17 @@
 
 def test_versions_carry_their_causes(planner):
     core, play = planner
-    play(NOW + S, ("line", 1, "a", 2.0))
-    play(NOW + 2 * S, ("admit", 1, 0, 0.5, 1))
+    play(NOW + S, ("set_weight", 1, "a", 2.0))
+    play(NOW + 2 * S, ("set_admission", 1, 0, 0.5, 1))
     core.listed(News(
-        "changes", (("b", "east", "", 0, "draining", 1.0, 0),), ()))  # fmt: skip
-    play(NOW + 3 * S, ("line", 1, "b", 0.0))
+        "changes", (EndpointRecord("b", "east", "", 0, "draining", 1.0, 0),), ()))  # fmt: skip
+    play(NOW + 3 * S, ("set_weight", 1, "b", 0.0))
     assert [c.cause for c in core.history.log("0.1")] == ["list", "level", "health", "start"]
 
 
 def test_a_rollback_is_a_wanted_state_that_ends_by_itself(planner):
     core, play = planner
-    play(NOW + S, ("line", 1, "a", 50.0), ("admit", 1, 0, 0.5, 1))
+    play(NOW + S, ("set_weight", 1, "a", 50.0), ("set_admission", 1, 0, 0.5, 1))
     bad = core.history.current("0.1")
     core.pin("0.1", "~1", 60 * S, False, "rollback", NOW + 2 * S)
     assert play(NOW + 2 * S) == ["p"]
@@ -377,10 +379,10 @@
     (row,) = core.explain(NOW + 3 * S)
     assert [(line["server"], line["why"][:8]) for line in row["lines"]] == [("a", "held at ")]
     # the module's orders meanwhile change nothing, and a drain leaves the pinned table
-    play(NOW + 4 * S, ("line", 1, "a", 70.0))
+    play(NOW + 4 * S, ("set_weight", 1, "a", 70.0))
     assert weights(core)["a"] == 1.0
     core.listed(News(
-        "changes", (("b", "east", "", 0, "draining", 1.0, 0),), ()))  # fmt: skip
+        "changes", (EndpointRecord("b", "east", "", 0, "draining", 1.0, 0),), ()))  # fmt: skip
     play(NOW + 5 * S)
     play(NOW + 6 * S)
     assert weights(core) == {"a": 1.0, "d": 1.0}
@@ -392,8 +394,8 @@
 
 def test_two_rollbacks_at_once_the_later_counts(planner):
     core, play = planner
-    play(NOW + S, ("line", 1, "a", 2.0))
-    play(NOW + 2 * S, ("line", 1, "a", 3.0))
+    play(NOW + S, ("set_weight", 1, "a", 2.0))
+    play(NOW + 2 * S, ("set_weight", 1, "a", 3.0))
     core.pin("0.1", "#0", 60 * S, False, "rollback", NOW + 3 * S)
     core.pin("0.1", "#1", 60 * S, False, "rollback", NOW + 3 * S)
     play(NOW + 3 * S)
@@ -407,9 +409,9 @@
     core, play = planner
     for p in "qr":
         core.joined(p, "east", 1.0, True)
-    play(NOW + S, ("bind", "q", 1, 0), ("bind", "r", 1, 0))
+    play(NOW + S, ("assign_table", "q", 1, 0), ("assign_table", "r", 1, 0))
     good = core.history.current("0.1").version
-    play(NOW + 2 * S, ("line", 1, "a", 99.0))
+    play(NOW + 2 * S, ("set_weight", 1, "a", 99.0))
     assert core.history.current("0.1").version != good
     core.refused("q", ["0.1"], NOW + 3 * S)
     assert not core.pins.by
@@ -422,9 +424,9 @@
 def test_staff_see_who_holds_which_version(planner):
     core, play = planner
     core.joined("q", "east", 1.0, True)
-    play(NOW + S, ("bind", "q", 1, 0))
+    play(NOW + S, ("assign_table", "q", 1, 0))
     first = core.history.current("0.1").version
-    play(NOW + 2 * S, ("line", 1, "a", 2.0))
+    play(NOW + 2 * S, ("set_weight", 1, "a", 2.0))
     second = core.history.current("0.1").version
     assert core.sent.states("0.1") == {second: (1, 1), first: (0, 1)}
 
--- a/tests/xds/test_server.py
+++ b/tests/xds/test_server.py
@@ -20,7 +20,7 @@
 from swiftchute.fakes.backend import Facts, Worker
 from swiftchute.fakes.gateway import Gateway
 from swiftchute.observability.logging import setup
-from swiftchute.policy import Planner
+from swiftchute.policy import Reconciler
 from swiftchute.proxy.xds_client import Client
 from swiftchute.xds import names
 from swiftchute.xds.server import ADS, Raw
@@ -28,14 +28,14 @@
 SETTINGS = Path("examples/planner.hcl").read_text(encoding="utf-8")
 
 
-class Shaped(Planner):
+class Shaped(Reconciler):
     """The module, with weights and levels that a test sets."""
 
     weights: dict[str, float] = {}
     level = 1.0
 
-    def decide(self, now, calls, writer):
-        super().decide(now, calls, Shaping(writer))
+    def reconcile(self, now, calls, writer):
+        super().reconcile(now, calls, Shaping(writer))
 
 
 class Shaping:
@@ -47,11 +47,11 @@
     def __getattr__(self, verb):
         return getattr(self.writer, verb)
 
-    def line(self, table, server, weight):
-        self.writer.line(table, server, weight and Shaped.weights.get(server, weight))
+    def set_weight(self, table, server, weight):
+        self.writer.set_weight(table, server, weight and Shaped.weights.get(server, weight))
 
-    def admit(self, table, mask, level, tries):
-        self.writer.admit(table, mask, min(level, Shaped.level), tries)
+    def set_admission(self, table, mask, level, tries):
+        self.writer.set_admission(table, mask, min(level, Shaped.level), tries)
 
 
 class Place:
@@ -76,7 +76,7 @@
         new.write_text(json.dumps(rows))
         new.replace(self.list)
 
-    async def start(self, workers=4, make=Planner, port=0):
+    async def start(self, workers=4, make=Reconciler, port=0):
         for k in range(workers):
             worker = Worker(Facts({"lot-estimate": 0.0005}), "north", 1.0, k)
             await worker.start()
--- a/tests/xds/test_stream.py
+++ b/tests/xds/test_stream.py
@@ -5,8 +5,8 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
+from swiftchute.api.settings import Settings
 from swiftchute.controller.controller import Content, Holding
-from swiftchute.interface import Settings
 from swiftchute.proxy.xds_client import Client
 from swiftchute.xds import names
 from swiftchute.xds.messages import Request, Violation, decode, encode
