--- /dev/null
+++ b/tests/policy/test_key_ranges.py
@@ -0,0 +1,82 @@
+"""Commands for key ranges: which endpoint owns a range, and what is written when one drains or is removed."""
+
+import pytest
+
+from swiftchute.api.events import (
+    EndpointListUpdate,
+    KeyRangeAssigned,
+    KeyRangeDemandReport,
+    KeyRangeEntryRestored,
+    KeyRangeRevoked,
+    ProxyConnected,
+    TimerFired,
+)
+
+S = 1_000_000_000
+
+
+def rounds(made):
+    """The fixed list of events, one list a round."""
+
+    def listed(scope, **states):
+        return EndpointListUpdate(scope, [made.server(name, state=state) for name, state in states.items()])
+
+    ready = dict.fromkeys(("a", "b", "c"), "ready")
+    return [
+        [KeyRangeAssigned(1), KeyRangeAssigned(2), KeyRangeAssigned(3)],  # before any list
+        [listed("held", **ready)],
+        [KeyRangeAssigned(4), KeyRangeEntryRestored(4, "b", 0.5), KeyRangeEntryRestored(4, "c", 2.0)],
+        [KeyRangeDemandReport(1, "read", 40, 1, S), ProxyConnected(0, "east", 10.0, True)],
+        [listed("changes", a="draining")],
+        [listed("changes", a="gone")],
+        [KeyRangeRevoked(2), KeyRangeEntryRestored(5, "a", 1.0)],  # restored without an assignment
+        [listed("changes", a="ready", d="ready"), TimerFired(1)],
+        [listed("whole", d="ready", c="draining")],  # b is removed without draining
+        [KeyRangeAssigned(3), KeyRangeEntryRestored(3, "c", 1.0), KeyRangeRevoked(9)],
+        [listed("lost")],
+        [listed("changes", d="gone")],  # none is left
+        [listed("whole", e="ready", f="ready")],
+        [KeyRangeAssigned(1)],
+    ]
+
+
+# What each round writes, as (key range, endpoint, weight); a weight of 0 gives the old owner's entry up.
+WRITTEN = [
+    [],
+    [(1, "a", 1), (2, "b", 1), (3, "c", 1)],
+    [],
+    [],
+    [(1, "b", 1), (1, "a", 0)],
+    [],
+    [(5, "b", 1), (5, "a", 0)],
+    [],
+    [(1, "d", 1), (1, "b", 0), (3, "d", 1), (3, "c", 0), (4, "d", 1), (4, "b", 0), (4, "c", 0), (5, "d", 1),
+     (5, "b", 0)],
+    [(3, "d", 1), (3, "c", 0)],
+    [],
+    [],
+    [(1, "e", 1), (1, "d", 0), (3, "f", 1), (3, "d", 0), (4, "e", 1), (4, "d", 0), (5, "f", 1), (5, "d", 0)],
+    [(1, "e", 1)],
+]  # fmt: skip
+TIMER_ROUNDS, LOG_ROUNDS = [3, 7], [10, 11]
+
+
+@pytest.mark.parametrize("single_owner", [False, True])
+def test_commands_for_a_fixed_list_of_key_range_events(bench, single_owner):
+    made = bench(key_range_count=5, single_owner=single_owner)
+    for number, events in enumerate(rounds(made)):
+        written = made.turn(*events, wait=0.1).all
+        # with a single owner a new owner takes the old one's place, and no entry is written to remove it
+        weights = [entry for entry in WRITTEN[number] if entry[2] or not single_owner]
+        timers = [("start_timer", (100_000_000, 1))] if number in TIMER_ROUNDS else []
+        assert [command for command in written if command[0] != "log"] == [
+            *(("set_weight", entry) for entry in weights),
+            *timers,
+        ]
+        assert [verb for verb, _ in written].count("log") == (number in LOG_ROUNDS)
+
+
+def test_key_ranges_write_no_tables_and_assign_no_proxies(bench):
+    made = bench(key_range_count=5)
+    verbs = {verb for events in rounds(made) for verb, _ in made.turn(*events, wait=1.5).all}
+    assert verbs == {"set_weight", "start_timer", "subscribe", "log"}
