--- a/tests/policy/test_command_digests.py
+++ b/tests/policy/test_command_digests.py
@@ -211,7 +211,7 @@
     "one zone": ({"zones": ("east",)}, 1116, "ae88a5dcc48c1fbf"),
     "costly zones": ({"cross_zone_price": 0.6}, 1882, "f951d9031b739f47"),
     "long warm-up": ({"max_warmup_ns": 60 * S, "overload_multiple": 1.2}, 2212, "9c26f960535cb626"),
-    "more removed endpoints than are remembered": ({"endpoints": 450}, ),
+    "more removed endpoints than are remembered": ({"endpoints": 450}, 17650, "ee54864be7ad5d8e"),
 }  # fmt: skip
 
 
