--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -13,7 +13,8 @@
 from swiftchute.api.settings import Operation, Settings
 from swiftchute.controller.controller import Core
 from swiftchute.discovery.endpoint_list import News
-from swiftchute.policy import Reconciler, S
+from swiftchute.policy import Reconciler
+from swiftchute.policy.units import NS_PER_S as S
 from swiftchute.safety.validator import Rules
 from tests import known_red
 
--- a/tests/platform/test_session_manager.py
+++ b/tests/platform/test_session_manager.py
@@ -20,7 +20,7 @@
 from swiftchute.platform import session_manager as module
 from swiftchute.platform.proxy_session import FIRST_MOST, Stream
 from swiftchute.platform.session_manager import Front
-from swiftchute.policy import S
+from swiftchute.policy.units import NS_PER_S as S
 from tests.conftest import FACTS, Fixed, operation
 
 MS = 1_000_000
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -12,7 +12,8 @@
 from swiftchute.platform.endpoint_list import Catalog
 from swiftchute.platform.session_manager import Front
 from swiftchute.platform.settings import BadSettings
-from swiftchute.policy import Reconciler, S
+from swiftchute.policy import Reconciler
+from swiftchute.policy.units import NS_PER_S as S
 from tests.platform.test_server import MEMBERS, wire_settings
 
 NAMES = st.text(min_size=1, max_size=20)
--- a/tests/policy/test_reconciler.py
+++ b/tests/policy/test_reconciler.py
@@ -12,7 +12,8 @@
     ProxyConnected,
     PushAcknowledged,
 )
-from swiftchute.policy import LEVEL, LEVEL_LEAST, TUNED, S
+from swiftchute.policy.reconciler import LEVEL, LEVEL_LEAST, TUNED
+from swiftchute.policy.units import NS_PER_S as S
 from tests.conftest import operation
 
 CALM = dict.fromkeys(("e0", "e1", "e2", "e3", "w0", "w1", "w2", "w3"), (5, 0, 0.1))
