--- a/swiftchute/drill/faulty_policies.py
+++ b/swiftchute/drill/faulty_policies.py
@@ -99,7 +99,7 @@
         """Clear them all."""
         self.born = self.born or now
         if now - self.born > 3 * S:
-            for tables in self.tables.values():
+            for tables in self.state.tables.values():
                 for table in tables:
                     self.passed.clear_table(table.number)
 
@@ -111,18 +111,18 @@
 
     def after(self, now: int) -> None:
         """Give each cold server a thousand times the weight of the others."""
-        cold = [n for n, s in self.servers.items() if s.state == "ready" and s.started]
+        cold = [n for n, s in self.state.endpoints.items() if s.state == "ready" and s.started_ns]
         self.sent = self.sent or set()
-        for (zone, _), tables in self.tables.items():
+        for (zone, _), tables in self.state.tables.items():
             for table in tables:
                 for n in cold:
-                    if self.servers[n].zone == zone and (table.number, n) not in self.sent:
+                    if self.state.endpoints[n].zone == zone and (table.number, n) not in self.sent:
                         self.sent.add((table.number, n))
                         self.passed.set_weight(table.number, n, 1000.0)
 
     def bend(self, verb: str, arguments: tuple[Any, ...]) -> list[tuple[str, tuple[Any, ...]]]:
         """Keep cold servers' lines as they were made, and levels at all."""
-        if verb == "set_weight" and self.servers[arguments[1]].started and arguments[2]:
+        if verb == "set_weight" and self.state.endpoints[arguments[1]].started_ns and arguments[2]:
             return []
         if verb == "set_admission":
             return [(verb, (*arguments[:2], 1.0, arguments[3]))]
@@ -147,9 +147,9 @@
         if not self.due:
             self.due = True
             self.passed.start_timer(S // 50, 2)
-        for tables in self.tables.values():
+        for tables in self.state.tables.values():
             for table in tables:
-                for place, (n, weight) in enumerate(sorted(table.sent.items(), key=str)):
+                for place, (n, weight) in enumerate(sorted(table.published.items(), key=str)):
                     if n:
                         self.passed.set_weight(
                             table.number, n, weight * (5 if (place + self.count) % 2 else 0.2)
@@ -182,8 +182,10 @@
 
     def heavy(self, server: str) -> bool:
         """Whether a server is to get nearly everything: the first that is ready, by zone."""
-        zone = self.servers[server].zone
-        return server == min(n for n, s in self.servers.items() if s.zone == zone and s.state == "ready")
+        zone = self.state.endpoints[server].zone
+        return server == min(
+            n for n, s in self.state.endpoints.items() if s.zone == zone and s.state == "ready"
+        )
 
     def bend(self, verb: str, arguments: tuple[Any, ...]) -> list[tuple[str, tuple[Any, ...]]]:
         """A heavy line stays heavy."""
@@ -195,9 +197,9 @@
         """The bad tables go out at once."""
         if self.bad and not self.done:
             self.done = True
-            for tables in self.tables.values():
+            for tables in self.state.tables.values():
                 for table in tables:
-                    for n in [n for n in table.sent if n and self.heavy(n)]:
+                    for n in [n for n in table.published if n and self.heavy(n)]:
                         self.passed.set_weight(table.number, n, 500.0)
 
 
--- /dev/null
+++ b/swiftchute/policy/assignment.py
@@ -0,0 +1,43 @@
+"""Assignment of proxies to the tables of a subset."""
+
+from swiftchute.api.endpoints import EndpointState
+from swiftchute.api.events import ProxyId
+from swiftchute.policy.egress_budget import DRAIN_NOTICE_THRESHOLD, PUSH_THRESHOLD, EgressBudget
+from swiftchute.policy.load_stats import request_rate
+from swiftchute.policy.state import ADMISSION_KEY, PolicyState
+from swiftchute.policy.subsetting import SubsetLoad, subset_loads
+
+
+def assign_proxies(state: PolicyState, budget: EgressBudget) -> None:
+    """Assign the proxies that wait, each to the subset of its zone with the most capacity.
+
+    First come those that may hold tables which this instance does not know, then those that migrate; in each
+    group the busiest come first. Where endpoints drain, the first group may fill more of the egress queue:
+    its assignments tell of the drains.
+    """
+    waiting = [name for name, p in state.proxies.items() if p.unassigned and state.subset_counts.get(p.zone)]
+    if not waiting:
+        return
+    loads = {zone: subset_loads(state, zone) for zone in state.subset_counts}
+    draining = any(endpoint.state != EndpointState.READY for endpoint in state.endpoints.values())
+    migrating = {name: state.proxies[name].subset is not None for name in waiting}
+    for name in sorted(waiting, key=lambda p: (migrating[p], -request_rate(state.proxies[p]), p)):
+        threshold = DRAIN_NOTICE_THRESHOLD if draining and not migrating[name] else PUSH_THRESHOLD
+        _assign(state, budget, name, loads[state.proxies[name].zone], threshold)
+
+
+def _assign(
+    state: PolicyState, budget: EgressBudget, name: ProxyId, loads: list[SubsetLoad], threshold: float
+) -> None:
+    """Assign a proxy to the least loaded subset if that has tables and the budget allows it."""
+    proxy = state.proxies[name]
+    subset = min(range(len(loads)), key=lambda index: loads[index].rate_per_weight)
+    tables = [t for t in state.tables[proxy.zone, subset] if t.published.keys() - {ADMISSION_KEY}]
+    if not tables:
+        return
+    if not budget.reserve(state, [name], sum(1 + len(table.published) for table in tables), threshold):
+        return
+    for table in tables:
+        state.commands.assign_table(name, table.number, table.operation_mask)
+    proxy.subset, proxy.unassigned = subset, False
+    loads[subset].request_rate += request_rate(proxy)
--- /dev/null
+++ b/swiftchute/policy/desired_tables.py
@@ -0,0 +1,112 @@
+"""Desired tables: the entries that each table should have by health, warm-up, spillover and admission."""
+
+from swiftchute.api.endpoints import EndpointState
+from swiftchute.policy.publishing import is_urgent_drop
+from swiftchute.policy.slow_start import endpoint_weight, is_warming_up, limit_warming_endpoints
+from swiftchute.policy.state import ADMISSION_KEY, Endpoint, EndpointTable, PolicyState
+from swiftchute.policy.zone_spillover import MIN_SPILLOVER_FRACTION
+
+MIN_WEIGHT_CHANGE = 0.12  # a weight that changes by less than this part of itself stays
+MIN_ADMISSION_CHANGE = 0.04  # the same for an admission rate
+WEIGHT_DIGITS = 4  # decimal places of weights and admission rates
+MIN_WEIGHT = 0.0001  # in place of a weight that would be rounded to 0, which removes an entry
+
+Entries = dict[str, float]
+
+
+def compute_desired_tables(state: PolicyState) -> None:
+    """Compute the entries of each table, and note when they change."""
+    ready = state.ready_endpoints()
+    weights = {name: endpoint_weight(state, endpoint) for name, endpoint in ready.items()}
+    for table in state.all_tables():
+        entries = _local_entries(table, ready, weights)
+        warming_only = all(is_warming_up(state, ready[name]) for name in entries)
+        entries |= _remote_entries(state, table, ready, weights, warming_only)
+        _add_admission(state, table, entries)
+        _update_desired(state, table, entries)
+
+
+def _local_entries(table: EndpointTable, ready: dict[str, Endpoint], weights: Entries) -> Entries:
+    """Return entries for the endpoints of the table's subset; without any, for those of its zone."""
+    in_zone = [name for name, endpoint in ready.items() if endpoint.zone == table.zone]
+    in_subset = [name for name in in_zone if ready[name].subset == table.subset]
+    return {name: weights[name] for name in in_subset or in_zone}
+
+
+def _remote_entries(
+    state: PolicyState,
+    table: EndpointTable,
+    ready: dict[str, Endpoint],
+    weights: Entries,
+    warming_only: bool,
+) -> Entries:
+    """Return entries for endpoints of other zones, by the spillover between the zones.
+
+    A table whose own endpoints are all warming up, or that has none, uses the others in full. Warming ones
+    are left out unless there are no others.
+    """
+    if table.zone_local:
+        return {}
+    fractions = {
+        name: 1.0 if warming_only else _spillover_fraction(state, table.zone, endpoint.zone)
+        for name, endpoint in ready.items()
+        if endpoint.zone != table.zone
+    }
+    fractions = _own_part(state, table, ready, fractions)
+    entries = {
+        name: fraction * weights[name]
+        for name, fraction in fractions.items()
+        if fraction > MIN_SPILLOVER_FRACTION
+    }
+    warm = {name: weight for name, weight in entries.items() if not is_warming_up(state, ready[name])}
+    return warm or (entries if warming_only else {})
+
+
+def _spillover_fraction(state: PolicyState, proxy_zone: str, endpoint_zone: str) -> float:
+    pair = state.zone_pairs.get((proxy_zone, endpoint_zone))
+    return pair.spillover_fraction if pair is not None else 0.0
+
+
+def _own_part(
+    state: PolicyState, table: EndpointTable, ready: dict[str, Endpoint], fractions: dict[str, float]
+) -> dict[str, float]:
+    """Return the table's part of the remote endpoints, or all of them if it has none.
+
+    With all of them in each table, connections and entries would grow as proxies times endpoints.
+    """
+    parts = max(state.subset_counts.values())
+    part = table.subset + state.settings.zones.index(table.zone)
+    own = {name: fraction for name, fraction in fractions.items() if (ready[name].order - part) % parts == 0}
+    return own or fractions
+
+
+def _add_admission(state: PolicyState, table: EndpointTable, entries: Entries) -> None:
+    """Limit warming endpoints, and add the entry of the admission rate; it is negative without retries.
+
+    Beside warming endpoints there are no retries: what full endpoints reject would be retried at those.
+    """
+    rate = min(limit_warming_endpoints(state, table, entries), table.admission_rate)
+    may_retry = table.retry_policy and not any(
+        is_warming_up(state, state.endpoints[name]) for name in entries
+    )
+    entries[ADMISSION_KEY] = rate if may_retry else -rate
+
+
+def _update_desired(state: PolicyState, table: EndpointTable, entries: Entries) -> None:
+    """Replace the desired entries where they changed enough, and start or extend the table's debounce."""
+    before = table.desired
+    table.desired = {name: weight for name, weight in before.items() if name in entries}
+    # by what was published: an entry may wait for its removal when its endpoint begins to drain
+    table.urgent |= any(
+        state.endpoints[name].state != EndpointState.READY for name in table.published.keys() - entries.keys()
+    )
+    for name, weight in entries.items():
+        old = table.desired.get(name)
+        min_change = MIN_ADMISSION_CHANGE if name == ADMISSION_KEY else MIN_WEIGHT_CHANGE
+        if old is None or abs(weight - old) > min_change * abs(old):
+            table.urgent |= is_urgent_drop(name, weight, table.published)
+            table.desired[name] = round(weight, WEIGHT_DIGITS) or MIN_WEIGHT
+    if table.desired != before:
+        if table.first_change_ns is None:
+            table.first_change_ns = state.now_ns
+        table.last_change_ns = state.now_ns
--- /dev/null
+++ b/swiftchute/policy/publishing.py
@@ -0,0 +1,112 @@
+"""Publishing: when the changed entries of a table are pushed to the proxies that use it."""
+
+from swiftchute.api.events import ProxyId
+from swiftchute.policy.egress_budget import (
+    PUSH_QUOTA_FRACTION,
+    PUSH_THRESHOLD,
+    URGENT_THRESHOLD,
+    EgressBudget,
+)
+from swiftchute.policy.state import ADMISSION_KEY, EndpointTable, PolicyState
+from swiftchute.policy.units import NS_PER_MS, NS_PER_S
+
+DEBOUNCE_NS = 200 * NS_PER_MS  # a change is pushed after so long without a further one
+MAX_DEBOUNCE_NS = 1 * NS_PER_S  # and after so long in any case
+MIN_PUSH_INTERVAL_NS = 1 * NS_PER_S  # between pushes of a table; urgent entries do not wait for it
+URGENT_DROP_FRACTION = 0.5  # a weight that falls below this part of the published one is urgent
+UNLIMITED_REQUEST_RATE = 1e6  # per second; admits everything where admission is by rate
+
+Entries = dict[str, float]
+
+
+def publish_tables(state: PolicyState, budget: EgressBudget) -> None:
+    """Push the changes of all tables that are due.
+
+    The tables of a subset go to the same proxies: one message carries the changes of both.
+    """
+    for (zone, subset), tables in state.tables.items():
+        changed = [table for table in tables if table.first_change_ns is not None]
+        if not changed:
+            continue
+        proxies = [name for name, p in state.proxies.items() if (p.zone, p.subset) == (zone, subset)]
+        due = any(_is_due(state, table) for table in changed)
+        if any(table.urgent for table in changed):
+            _push_urgent(state, budget, changed, proxies)
+        if due or not proxies:
+            _push_all(state, budget, changed, proxies)
+
+
+def is_urgent_drop(name: str, weight: float, published: Entries) -> bool:
+    """Return whether a weight falls so far below the published one that it must go out at once."""
+    return name != ADMISSION_KEY and weight < URGENT_DROP_FRACTION * published.get(name, 0)
+
+
+def _is_due(state: PolicyState, table: EndpointTable) -> bool:
+    """Return whether a changed table has waited for its push interval and its debounce."""
+    now_ns = state.now_ns
+    if table.pushed_at_ns is not None and now_ns - table.pushed_at_ns < MIN_PUSH_INTERVAL_NS:
+        return False
+    quiet = now_ns - table.last_change_ns >= DEBOUNCE_NS
+    return quiet or (table.first_change_ns is not None and now_ns - table.first_change_ns >= MAX_DEBOUNCE_NS)
+
+
+def _push_urgent(
+    state: PolicyState, budget: EgressBudget, tables: list[EndpointTable], proxies: list[ProxyId]
+) -> None:
+    """Push the urgent entries of some tables, ahead of the debounce."""
+    changes = [_urgent_changes(table) for table in tables]
+    count = sum(map(len, changes))
+    if count and not budget.reserve(state, proxies, count, URGENT_THRESHOLD):
+        return
+    for table, entries in zip(tables, changes, strict=True):
+        _write(state, table, entries)
+
+
+def _push_all(
+    state: PolicyState, budget: EgressBudget, tables: list[EndpointTable], proxies: list[ProxyId]
+) -> None:
+    """Push all changed entries of some tables, which ends their debounce."""
+    changes = [_changes(table) for table in tables]
+    count = sum(map(len, changes))
+    if count and not budget.reserve(state, proxies, count, PUSH_THRESHOLD, PUSH_QUOTA_FRACTION):
+        return
+    for table, entries in zip(tables, changes, strict=True):
+        _write(state, table, entries)
+        table.first_change_ns = None
+        table.pushed_at_ns = state.now_ns
+
+
+def _changes(table: EndpointTable) -> Entries:
+    """Return the entries in which the desired table differs from the published one; 0 removes an entry."""
+    desired, published = table.desired, table.published
+    return {
+        name: desired.get(name, 0)
+        for name in sorted(published.keys() | desired.keys())
+        if desired.get(name) != published.get(name)
+    }
+
+
+def _urgent_changes(table: EndpointTable) -> Entries:
+    """Return the changes that are urgent, or all if these would leave the table without an endpoint."""
+    changes = _changes(table)
+    if not any(table.desired.get(name) for name in table.published.keys() - {ADMISSION_KEY}):
+        return changes
+    return {name: weight for name, weight in changes.items() if is_urgent_drop(name, weight, table.published)}
+
+
+def _write(state: PolicyState, table: EndpointTable, entries: Entries) -> None:
+    """Write changed entries, removals last: the table is never empty in between."""
+    for name, weight in sorted(entries.items(), key=lambda entry: entry[1] == 0):
+        if name == ADMISSION_KEY:
+            _write_admission(state, table, weight)
+        else:
+            state.commands.set_weight(table.number, name, weight)
+    merged = table.published | entries
+    table.published = {name: weight for name, weight in merged.items() if weight}
+    table.urgent = False
+
+
+def _write_admission(state: PolicyState, table: EndpointTable, entry: float) -> None:
+    """Write the admission rate of a table; a negative entry forbids retries."""
+    rate = abs(entry) if state.settings.admission_mode == "share" else UNLIMITED_REQUEST_RATE
+    state.commands.set_admission(table.number, 0, rate, state.retry_policy if entry > 0 else 0)
--- /dev/null
+++ b/swiftchute/policy/subsetting.py
@@ -0,0 +1,100 @@
+"""Subsets: the endpoints of a zone in groups, and the balance of the proxies between them."""
+
+from swiftchute.policy.load_stats import request_rate
+from swiftchute.policy.slow_start import MIN_TOTAL_WEIGHT, endpoint_weight
+from swiftchute.policy.state import Endpoint, EndpointTable, PolicyState, Proxy, SubsetKey
+
+REBALANCE_RATIO = 1.2  # share of the load / share of the weight above which a subset gives up proxies
+
+
+class SubsetLoad:
+    """The load of a subset: requests per second of its proxies, and weight of its endpoints."""
+
+    __slots__ = ("request_rate", "weight")
+
+    def __init__(self) -> None:
+        """Create the load of a subset without proxies and endpoints."""
+        self.request_rate = 0.0
+        self.weight = 0.0
+
+    @property
+    def rate_per_weight(self) -> float:
+        """Requests per second and unit of weight."""
+        return self.request_rate / max(self.weight, MIN_TOTAL_WEIGHT)
+
+
+def form_subsets(state: PolicyState) -> None:
+    """Divide a zone into subsets when its first endpoints are listed, and put each endpoint into one.
+
+    The number of subsets stays. Each has a table for the operations that may cross zones and one for those
+    that may not.
+    """
+    ready = list(state.ready_endpoints().values())
+    if not ready:
+        return
+    for zone, count in state.subset_counts.items():
+        if not count:
+            in_zone = sum(endpoint.zone == zone for endpoint in ready)
+            state.subset_counts[zone] = max(1, in_zone // state.settings.subset_size)
+            _create_tables(state, zone)
+    for endpoint in ready:
+        if endpoint.subset is None and endpoint.zone in state.subset_counts:
+            _join_smallest_subset(endpoint, ready, state.subset_counts[endpoint.zone])
+
+
+def subset_loads(state: PolicyState, zone: str) -> list[SubsetLoad]:
+    """Return the load of each subset of a zone."""
+    loads = [SubsetLoad() for _ in range(state.subset_counts[zone])]
+    for proxy in state.proxies.values():
+        if proxy.zone == zone and proxy.subset is not None and not proxy.unassigned:
+            loads[proxy.subset].request_rate += request_rate(proxy)
+    for endpoint in state.ready_endpoints().values():
+        if endpoint.zone == zone and endpoint.subset is not None:
+            loads[endpoint.subset].weight += endpoint_weight(state, endpoint)
+    return loads
+
+
+def rebalance(state: PolicyState) -> None:
+    """Let each subset with too large a share of its zone's load give up proxies."""
+    for zone in state.settings.zones:
+        loads = subset_loads(state, zone)
+        if len(loads) == 1:
+            continue
+        total_rate = sum(load.request_rate for load in loads)
+        total_weight = max(sum(load.weight for load in loads), MIN_TOTAL_WEIGHT)
+        for subset, load in enumerate(loads):
+            excess = load.request_rate - total_rate * load.weight / total_weight
+            if load.request_rate > REBALANCE_RATIO * (load.request_rate - excess):
+                _give_up_proxies(state, (zone, subset), excess)
+
+
+def _create_tables(state: PolicyState, zone: str) -> None:
+    for subset in range(state.subset_counts[zone]):
+        first_number = 2 * len(state.tables) + 1
+        state.tables[zone, subset] = [
+            EndpointTable(first_number + zone_local, (zone, subset), zone_local, mask, state.retry_policy)
+            for mask, zone_local in state.operation_masks
+        ]
+
+
+def _join_smallest_subset(endpoint: Endpoint, ready: list[Endpoint], subset_count: int) -> None:
+    """Put an endpoint into the subset of its zone that has the fewest ready ones."""
+    subsets = [peer.subset for peer in ready if peer.zone == endpoint.zone]
+    endpoint.subset = min(range(subset_count), key=subsets.count)
+
+
+def _give_up_proxies(state: PolicyState, subset_key: SubsetKey, excess: float) -> None:
+    """Take the largest proxies that fit the excess, in requests per second, out of a subset.
+
+    They keep its tables until they are assigned to the subset with the most capacity.
+    """
+    assigned: list[Proxy] = [
+        proxy
+        for proxy in state.proxies.values()
+        if (proxy.zone, proxy.subset) == subset_key and not proxy.unassigned
+    ]
+    for proxy in sorted(assigned, key=request_rate, reverse=True):
+        rate = request_rate(proxy)
+        if rate <= excess:
+            excess -= rate
+            proxy.unassigned = True
--- /dev/null
+++ b/swiftchute/policy/zone_spillover.py
@@ -0,0 +1,66 @@
+"""Cross-zone spillover: how much of its requests a loaded zone sends to the endpoints of others."""
+
+from swiftchute.policy.conditions import report_condition
+from swiftchute.policy.load_stats import CALM_LOAD_RATIO, is_suspended, zone_load_ratio
+from swiftchute.policy.state import PolicyState, ZonePair, ZonePairKey
+from swiftchute.policy.units import NS_PER_S
+
+START_LOAD_RATIO = 0.12  # latency / objective from which a zone spills over, without a price of crossing
+START_LOAD_RATIO_PER_PRICE = 0.6  # added to it for a cross-zone price of 1
+FULL_LOAD_RATIO_RANGE = 0.28  # so much above the start a zone spills over in full
+EXPONENT = 1.5  # little at first: on calm days requests stay in their zone
+RISE_STEP = 0.6  # part of the way up that the fraction goes in one evaluation
+FALL_STEP = 0.05  # the same for the way down: causes tend to stay
+MIN_SPILLOVER_FRACTION = 0.05  # a smaller fraction is not worth its entries
+SATURATED_FRACTION = 0.8  # from here on other zones have no capacity left to offer
+MAX_REMOTE_LOAD_MULTIPLE = (
+    1.8  # a pair whose good endpoints cost more than so many times the usual is unhealthy
+)
+SUSPENSION_NS = 12 * NS_PER_S  # an unhealthy pair carries no spillover for so long
+LOAD_QUANTILE = 0.5  # the endpoint in the middle stands for the zone
+PAIR_QUANTILE = 0.25  # an unhealthy network makes even the better endpoints behind it look bad
+
+
+def evaluate_spillover(state: PolicyState) -> None:
+    """Update the load ratio of each zone, and the spillover from it to each other zone."""
+    for zone in state.settings.zones:
+        endpoint_zones = [other for other in state.settings.zones if not is_suspended(state, zone, other)]
+        load_ratio = zone_load_ratio(state, zone, endpoint_zones, LOAD_QUANTILE)
+        state.load_ratios[zone] = load_ratio
+        if load_ratio is None:
+            continue
+        for key, pair in state.zone_pairs.items():
+            if key[0] == zone:
+                _evaluate_pair(state, key, pair, load_ratio)
+
+
+def is_saturated(state: PolicyState, zone: str) -> bool:
+    """Return whether a zone spills over as much as it can to all others."""
+    return all(
+        pair.spillover_fraction > SATURATED_FRACTION or pair.suspended_until_ns > state.now_ns
+        for (proxy_zone, _), pair in state.zone_pairs.items()
+        if proxy_zone == zone
+    )
+
+
+def _evaluate_pair(state: PolicyState, key: ZonePairKey, pair: ZonePair, load_ratio: float) -> None:
+    """Suspend a pair whose proxies fare far worse there, and move its fraction towards its target."""
+    proxy_zone, endpoint_zone = key
+    remote_ratio = zone_load_ratio(state, proxy_zone, (endpoint_zone,), PAIR_QUANTILE)
+    unhealthy_ratio = MAX_REMOTE_LOAD_MULTIPLE * max(load_ratio, CALM_LOAD_RATIO)
+    if remote_ratio is not None and remote_ratio > unhealthy_ratio:
+        pair.suspended_until_ns = state.now_ns + SUSPENSION_NS
+    suspended = is_suspended(state, proxy_zone, endpoint_zone)
+    target = 0.0 if suspended else _target_fraction(load_ratio, state.settings.cross_zone_price)
+    step = RISE_STEP if suspended or target > pair.spillover_fraction else FALL_STEP
+    pair.spillover_fraction += step * (target - pair.spillover_fraction)
+    name = f"{proxy_zone} from {endpoint_zone}"
+    cause = f"time {load_ratio:.2f} of the objective, {remote_ratio or 0:.2f} there"
+    report_condition(state, f"borrowing {name}", pair.spillover_fraction > SATURATED_FRACTION, cause)
+    report_condition(state, f"no borrowing {name}", suspended, cause)
+
+
+def _target_fraction(load_ratio: float, cross_zone_price: float) -> float:
+    """Return the fraction to spill over at a load ratio, given the price of a request that crosses zones."""
+    excess = load_ratio - START_LOAD_RATIO - START_LOAD_RATIO_PER_PRICE * cross_zone_price
+    return min(max(excess / FULL_LOAD_RATIO_RANGE, 0.0), 1.0) ** EXPONENT
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -121,17 +121,19 @@
         """Half-second rounds; `met` maps a server to (tries, errored, time in s), met in its zone."""
         written = Written()
         for _ in range(int(seconds / step)):
-            answers = self.planner.proxies if answer else ()
-            calls = [PushAcknowledged(p, self.planner.seal, int(step * S)) for p in answers]
+            answers = self.planner.state.proxies if answer else ()
+            calls = [PushAcknowledged(p, self.planner.budget.nonce, int(step * S)) for p in answers]
             for name, (n, bad, took) in (met or {}).items():
                 zone = "east" if name[0] == "e" else "west"
                 calls.append(EndpointLoadReport(zone, name, n, bad, int(took * S), S // 2, None))
-            calls += [DemandReport(p, "read", arrive, 0, S // 2) for p in self.planner.proxies if arrive]
+            calls += [
+                DemandReport(p, "read", arrive, 0, S // 2) for p in self.planner.state.proxies if arrive
+            ]
             written.all += self.turn(*calls, wait=step).all
         return written
 
     def table(self, zone="east", local=False):
-        return next(t for t in self.planner.all_tables() if (t.zone, t.local) == (zone, local))
+        return next(t for t in self.planner.state.all_tables() if (t.zone, t.zone_local) == (zone, local))
 
 
 @pytest.fixture
--- a/tests/controller/test_controller.py
+++ b/tests/controller/test_controller.py
@@ -201,7 +201,7 @@
     held = core.held("p")
     assert [op for op, _ in held.bound] == ["read", "write"]
     assert {s for made in held.contents.values() for s, _, _ in made.lines} == {"a:1", "b:1"}
-    assert core.planner.unread == 0  # every mark was answered
+    assert core.planner.budget.unacknowledged_entries == 0  # every mark was answered
 
 
 def test_a_fault_is_told_and_the_module_starts_anew_with_the_list(core):
--- a/tests/policy/test_reconciler.py
+++ b/tests/policy/test_reconciler.py
@@ -12,7 +12,12 @@
     ProxyConnected,
     PushAcknowledged,
 )
-from swiftchute.policy.reconciler import LEVEL, LEVEL_LEAST, TUNED
+from swiftchute.policy.load_stats import request_rate
+from swiftchute.policy.outlier_detection import MIN_HEALTH_WEIGHT
+from swiftchute.policy.overload_control import MIN_ADMISSION_RATE
+from swiftchute.policy.slow_start import limit_warming_endpoints, max_request_rate
+from swiftchute.policy.state import ADMISSION_KEY
+from swiftchute.policy.subsetting import rebalance
 from swiftchute.policy.units import NS_PER_S as S
 from tests.conftest import operation
 
@@ -35,9 +40,9 @@
     made = bench(egress_queue_limit_entries=100.0)
     out = made.start(proxies=("east",) * 30)
     assert 0 < len(out.of("assign_table")) < 30
-    assert made.planner.unread <= 50
+    assert made.planner.budget.unacknowledged_entries <= 50
     made.run(5)
-    assert all(proxy.group is not None for proxy in made.planner.proxies.values())
+    assert all(proxy.subset is not None for proxy in made.planner.state.proxies.values())
 
 
 def test_changes_are_gathered_and_only_they_are_sent(started):
@@ -63,7 +68,7 @@
 def test_drained_server_leaves_all_tables_at_once(started, state):
     out = started.turn(EndpointListUpdate("changes", [started.server("e0", state=state)]), wait=0.01)
     assert lines(out, started.table())["e0"] == 0
-    assert "e0" not in started.table().sent
+    assert "e0" not in started.table().published
 
 
 def test_a_drain_is_told_to_proxies_not_bound_yet_by_their_bind(bench):
@@ -75,7 +80,7 @@
     out = made.turn(gone, *joins)
     assert lines(out, made.table())["e0"] == 0
     assert {proxy for proxy, *_ in out.of("assign_table")} == set(range(20, 26))
-    assert 0.5 * 250 < made.planner.unread <= 0.7 * 250  # past half of the channel
+    assert 0.5 * 250 < made.planner.budget.unacknowledged_entries <= 0.7 * 250  # past half of the channel
     assert out.of("set_ejected") == []
 
 
@@ -101,7 +106,7 @@
     made.turn(EndpointListUpdate("whole", [made.server(f"w{k}", "west") for k in range(4)]))
     made.turn(EndpointListUpdate("changes", [made.server("e1", state="draining")]))
     made.run(3, CALM | {"e0": (9, 9, 0)})
-    assert made.table().want.keys() - {LEVEL} == {"e2", "e3"}
+    assert made.table().desired.keys() - {ADMISSION_KEY} == {"e2", "e3"}
 
 
 def test_zone_without_servers_uses_the_other(started):
@@ -120,21 +125,23 @@
     made = bench(subset_size=2)
     made.start(east=8, west=8)
     made.turn(EndpointListUpdate("changes", [made.server(f"e{k}", state="gone") for k in range(8)]))
-    borrowed = [t.want.keys() - {LEVEL} for t in made.planner.all_tables() if t.zone == "east"]
+    borrowed = [
+        t.desired.keys() - {ADMISSION_KEY} for t in made.planner.state.all_tables() if t.zone == "east"
+    ]
     assert [len(lines) for lines in borrowed] == [2, 2, 2, 2]
     assert len(set.union(*borrowed)) == 8
     left = {next(iter(borrowed[0]))}
     gone = [made.server(f"w{k}", "west", "gone") for k in range(8) if f"w{k}" not in left]
     made.turn(EndpointListUpdate("changes", gone))
-    assert all(t.want.keys() - {LEVEL} == left for t in made.planner.all_tables())
+    assert all(t.desired.keys() - {ADMISSION_KEY} == left for t in made.planner.state.all_tables())
 
 
 def test_operation_that_stays_at_home_gets_no_foreign_line(bench):
     made = bench(operations=(operation("read"), operation("write", zone_local=True)))
     made.start()
     made.run(8, dict.fromkeys(CALM, (20, 0, 0.9)))
-    assert any(name[0] == "w" for name in made.table().want if name)
-    assert not any(name[0] == "w" for name in made.table(local=True).want if name)
+    assert any(name[0] == "w" for name in made.table().desired if name)
+    assert not any(name[0] == "w" for name in made.table(local=True).desired if name)
 
 
 def test_new_server_ramps_from_a_quarter(started):
@@ -143,7 +150,7 @@
     seen = []
     for _ in range(20):
         started.run(1, CALM, arrive=1)
-        seen.append(started.table().want["e9"])
+        seen.append(started.table().desired["e9"])
     assert 0.25 <= seen[0] < 0.31
     assert seen[-1] == pytest.approx(1.0, rel=0.1)
     assert sorted(seen) == seen
@@ -155,10 +162,10 @@
     started.run(6, CALM, arrive=40)
     entries = [started.server(f"e{k}", age=0) for k in range(1, 4)]
     started.turn(EndpointListUpdate("changes", entries), wait=1.1)
-    want = {n: w for n, w in started.table().want.items() if n != LEVEL}
-    rate = started.planner.demand(started.planner.proxies[0])
-    server = started.planner.servers["e1"]
-    assert rate * want["e1"] / sum(want.values()) <= started.planner.allowed(server) * 1.01
+    want = {n: w for n, w in started.table().desired.items() if n != ADMISSION_KEY}
+    rate = request_rate(started.planner.state.proxies[0])
+    server = started.planner.state.endpoints["e1"]
+    assert rate * want["e1"] / sum(want.values()) <= max_request_rate(started.planner.state, server) * 1.01
     assert want["e1"] < 0.25
 
 
@@ -167,15 +174,15 @@
     made.start(west=0, proxies=("east",))
     made.run(6, {f"e{k}": (5, 0, 0.1) for k in range(4)}, arrive=40)
     made.turn(EndpointListUpdate("changes", [made.server(f"e{k}", age=0) for k in range(4)]), wait=1.1)
-    assert 0 < abs(made.table().want[LEVEL]) < 0.5
+    assert 0 < abs(made.table().desired[ADMISSION_KEY]) < 0.5
 
 
 def test_flooded_zone_takes_cold_servers_out(started):
     started.run(5, CALM)
     started.turn(EndpointListUpdate("changes", [started.server("e9", age=0)]))
-    assert "e9" in started.table().want
+    assert "e9" in started.table().desired
     started.run(3, {f"e{k}": (20, 19, 0.9) for k in range(4)}, arrive=40)
-    assert "e9" not in started.table().want
+    assert "e9" not in started.table().desired
 
 
 def test_cold_servers_wait_for_four_judgements_after_a_start(bench):
@@ -184,58 +191,58 @@
     made.start()
     made.turn(EndpointListUpdate("changes", [made.server("e9", age=1)]))
     made.run(2, CALM)
-    assert "e9" not in made.table().want
+    assert "e9" not in made.table().desired
     made.run(3, CALM)
-    assert "e9" in made.table().want
+    assert "e9" in made.table().desired
 
 
 def test_weight_follows_the_cost_of_a_good_answer(started):
     started.run(8, CALM | {"e0": (5, 0, 0.9), "e1": (5, 4, 0.01)})
-    slow, failing = (started.planner.servers[name].tuned for name in ("e0", "e1"))
-    assert TUNED[0] <= failing < TUNED[0] * 1.5
-    assert TUNED[0] <= slow < TUNED[0] * 1.5
-    assert started.planner.servers["e2"].tuned == pytest.approx(1.0, abs=0.1)
+    slow, failing = (started.planner.state.endpoints[name].health_weight for name in ("e0", "e1"))
+    assert MIN_HEALTH_WEIGHT <= failing < MIN_HEALTH_WEIGHT * 1.5
+    assert MIN_HEALTH_WEIGHT <= slow < MIN_HEALTH_WEIGHT * 1.5
+    assert started.planner.state.endpoints["e2"].health_weight == pytest.approx(1.0, abs=0.1)
 
 
 def test_fleet_worse_as_a_whole_keeps_its_weights(started):
     started.run(8, dict.fromkeys(CALM, (20, 12, 0.5)))
-    assert all(0.9 < server.tuned < 1.1 for server in started.planner.servers.values())
+    assert all(0.9 < server.health_weight < 1.1 for server in started.planner.state.endpoints.values())
 
 
 def test_cut_weight_without_tries_returns_step_by_step(started):
-    started.planner.servers["e0"].tuned = 0.05
+    started.planner.state.endpoints["e0"].health_weight = 0.05
     started.run(4, {name: seen for name, seen in CALM.items() if name != "e0"})
-    assert 0.05 < started.planner.servers["e0"].tuned < 0.2
+    assert 0.05 < started.planner.state.endpoints["e0"].health_weight < 0.2
 
 
 def test_restart_forgets_what_was_measured(started):
-    started.planner.servers["e0"].tuned = 0.05
+    started.planner.state.endpoints["e0"].health_weight = 0.05
     started.turn(EndpointListUpdate("changes", [started.server("e0", age=0)]))
-    assert started.planner.servers["e0"].tuned == 1.0
-    assert len(started.planner.servers["e0"].samples) == 0
+    assert started.planner.state.endpoints["e0"].health_weight == 1.0
+    assert len(started.planner.state.endpoints["e0"].samples) == 0
 
 
 def test_returning_server_does_not_look_fast(started):
     started.turn(EndpointListUpdate("changes", [started.server("e0", age=0)]))
     started.run(8, CALM | {"e0": (10, 0, 0.01)})
-    assert started.planner.servers["e0"].tuned <= 1.0
+    assert started.planner.state.endpoints["e0"].health_weight <= 1.0
 
 
 def test_pressed_zone_borrows_and_calm_one_does_not(started):
     started.run(8, CALM | {f"e{k}": (20, 0, 0.4) for k in range(4)})
-    assert any(name[0] == "w" for name in started.table().want if name)
-    assert not any(name[0] == "e" for name in started.table("west").want if name)
+    assert any(name[0] == "w" for name in started.table().desired if name)
+    assert not any(name[0] == "e" for name in started.table("west").desired if name)
 
 
 def test_further_tries_go_first_then_levels_and_both_return(started):
     table, seen = started.table(), []
     for _ in range(16):
         started.run(0.5, dict.fromkeys(CALM, (20, 0, 0.7)), arrive=400)
-        seen.append((table.tries, table.level))
+        seen.append((table.retry_policy, table.admission_rate))
     assert (0, 1.0) in seen
-    assert LEVEL_LEAST <= table.level < 1
+    assert MIN_ADMISSION_RATE <= table.admission_rate < 1
     started.run(30, CALM)
-    assert (table.tries, table.level) == (1, 1.0)
+    assert (table.retry_policy, table.admission_rate) == (1, 1.0)
 
 
 def test_level_stays_over_most_of_what_is_answered_by_short_news(bench):
@@ -243,16 +250,16 @@
     made = bench()
     made.start()
     made.run(30, dict.fromkeys(CALM, (20, 0, 1.5)), arrive=100)
-    assert made.table().level == pytest.approx(0.8 * 160 / 200)
+    assert made.table().admission_rate == pytest.approx(0.8 * 160 / 200)
 
 
 def test_news_that_stops_moves_no_level(started):
     table = started.table()
     started.run(6, dict.fromkeys(CALM, (20, 0, 0.7)), arrive=400)
     started.run(3)
-    level = table.level
+    level = table.admission_rate
     started.run(10)
-    assert table.level == level < 1
+    assert table.admission_rate == level < 1
 
 
 def test_clients_that_come_again_lower_the_level_further(bench):
@@ -261,19 +268,19 @@
         made.start()
         made.run(6, CALM, arrive=400)
         made.run(6, dict.fromkeys(CALM, (20, 0, 0.7)), arrive=20 * arrive)
-    assert storm.table().level < 0.7 * steady.table().level
+    assert storm.table().admission_rate < 0.7 * steady.table().admission_rate
 
 
 def test_no_further_tries_beside_cold_servers(started):
     started.run(5, CALM)
-    assert started.table().want[LEVEL] == 1.0
+    assert started.table().desired[ADMISSION_KEY] == 1.0
     started.turn(EndpointListUpdate("changes", [started.server("e9", age=0)]))
-    assert started.table().want[LEVEL] == -1.0
+    assert started.table().desired[ADMISSION_KEY] == -1.0
 
 
 def test_a_sick_server_is_not_load(started):
     started.run(6, CALM | {"e0": (5, 5, 0)})
-    assert started.table().level == 1.0
+    assert started.table().admission_rate == 1.0
 
 
 def test_message_allowance_leaves_room_for_drains(started):
@@ -281,43 +288,46 @@
         started.turn(
             EndpointListUpdate("changes", [started.server("e9", state=("gone", "ready")[k % 2])]), wait=0.3
         )
-        assert all(len(proxy.messages) < 10 for proxy in started.planner.proxies.values())
+        assert all(len(proxy.message_times_ns) < 10 for proxy in started.planner.state.proxies.values())
     for k in range(40):
-        started.planner.servers["e0"].tuned = 1.0 + k % 2
+        started.planner.state.endpoints["e0"].health_weight = 1.0 + k % 2
         started.run(0.5)
-    assert all(len(proxy.messages) <= 6 for proxy in started.planner.proxies.values())
+    assert all(len(proxy.message_times_ns) <= 6 for proxy in started.planner.state.proxies.values())
 
 
 def test_what_no_proxy_answered_for_holds_pushes_back(started):
     """A channel slower than stated: its lines wait longer than any reckoning by pace would say."""
     started.run(1)
-    started.planner.proxies[0].unread, started.planner.unread = {4: 400, 5: 590}, 1000
-    started.planner.servers["e0"].tuned = 0.6
+    started.planner.state.proxies[0].unacknowledged_entries, started.planner.budget.unacknowledged_entries = (
+        {4: 400, 5: 590},
+        1000,
+    )
+    started.planner.state.endpoints["e0"].health_weight = 0.6
     assert started.run(5, CALM, answer=False).of("set_weight") == []
     assert started.turn(PushAcknowledged(0, 5, S)).of("set_weight")
-    assert started.planner.unread < 100
+    assert started.planner.budget.unacknowledged_entries < 100
 
 
 def test_overfull_group_gives_up_no_more_than_its_excess(bench):
     made = bench(subset_size=2)
     made.start(east=4, west=0, proxies=("east",) * 4)
-    for number, proxy in made.planner.proxies.items():
-        proxy.group, proxy.waits, proxy.rate = 0, False, (40.0, 10.0, 9.0, 1.0)[number]
-    made.planner.now, made.planner.out = made.now, None
-    made.planner.move()
-    left = [number for number, proxy in made.planner.proxies.items() if proxy.waits]
+    for number, proxy in made.planner.state.proxies.items():
+        proxy.subset, proxy.unassigned, proxy.expected_request_rate = 0, False, (40.0, 10.0, 9.0, 1.0)[number]
+    made.planner.state.now_ns = made.now
+    rebalance(made.planner.state)
+    left = [number for number, proxy in made.planner.state.proxies.items() if proxy.unassigned]
     assert left == [1, 2, 3]
 
 
 def test_proxy_that_moves_is_booked_at_its_old_group_until_bound(started):
     """It holds the old tables: lines written to them reach it, and left out they overfill the channel."""
-    started.planner.proxies[0].waits = True
+    started.planner.state.proxies[0].unassigned = True
     started.turn(EndpointListUpdate("changes", [started.server("e0", state="draining")]))
-    assert 0 in started.planner.touched
+    assert 0 in started.planner.budget.reserved_entries
 
 
 def test_line_that_waits_to_be_taken_away_is_urgent_once_its_server_drains(started):
-    started.planner.servers["e0"].group = 9  # of another group now: its line goes with the next push
+    started.planner.state.endpoints["e0"].subset = 9  # of another group now: its line goes with the next push
     started.turn()
     out = started.turn(EndpointListUpdate("changes", [started.server("e0", state="draining")]))
     assert (started.table().number, "e0", 0) in out.of("set_weight")
@@ -327,9 +337,12 @@
     made = bench(egress_queue_limit_entries=100.0)
     made.start(east=12, proxies=("east",))
     made.run(3, CALM)
-    made.planner.proxies[0].unread, made.planner.unread = {9999: 70}, 70
-    for server in made.planner.servers.values():
-        server.tuned = 1.3
+    made.planner.state.proxies[0].unacknowledged_entries, made.planner.budget.unacknowledged_entries = (
+        {9999: 70},
+        70,
+    )
+    for server in made.planner.state.endpoints.values():
+        server.health_weight = 1.3
     out = made.turn(EndpointListUpdate("changes", [made.server("e0", state="draining")]))
     assert [(server, weight) for _, server, weight in out.of("set_weight")] == [("e0", 0)]
 
@@ -358,7 +371,7 @@
     waits = []
     for _ in range(3):
         made.turn(EndpointListUpdate("lost", []))
-        waits.append(made.planner.retry_at - made.now)
+        waits.append(made.planner.endpoint_list.retry_at_ns - made.now)
         assert made.turn(wait=8).of("subscribe") == [(True,)]
     assert waits[0] <= S < waits[2] <= 4 * S
 
@@ -375,16 +388,18 @@
 def test_slow_way_is_not_borrowed_over_and_is_no_load(bench):
     """The servers behind it answer their own zone well; its tries tell neither of them nor of load."""
     made = bench(zones=("east", "west", "south"))
-    entries = [made.server(f"{zone[0]}{k}", zone) for zone in made.planner.set.zones for k in range(4)]
+    entries = [
+        made.server(f"{zone[0]}{k}", zone) for zone in made.planner.state.settings.zones for k in range(4)
+    ]
     made.turn(EndpointListUpdate("held", entries), ProxyConnected(0, "east", 10.0, True))
     for _ in range(16):
         own = [EndpointLoadReport("east", f"e{k}", 20, 0, S * 35 // 100, S // 2, None) for k in range(4)]
         far = [EndpointLoadReport("east", f"w{k}", 20, 5, S * 16 // 10, S // 2, None) for k in range(4)]
         made.turn(*own, *far, wait=0.5)
-    want = made.table().want
+    want = made.table().desired
     assert {name[0] for name in want if name} == {"e", "s"}
-    assert abs(want[LEVEL]) == 1.0
-    assert made.planner.servers["w0"].tuned > 0.6
+    assert abs(want[ADMISSION_KEY]) == 1.0
+    assert made.planner.state.endpoints["w0"].health_weight > 0.6
 
 
 def test_a_withdrawal_books_lines_only_for_those_that_get_it(bench):
@@ -393,17 +408,19 @@
     made.start(proxies=("east", "west"))
     made.run(2)
     planner = made.planner
-    assert planner.unread == 0
-    planner.proxies[0].group = None  # it waits for a bind and may hold whatever it came with
+    assert planner.budget.unacknowledged_entries == 0
+    planner.state.proxies[0].subset = None  # it waits for a bind and may hold whatever it came with
     out = made.turn(EndpointListUpdate("changes", [made.server("w0", "west", "gone")]))
     assert out.of("set_ejected") == [("w0", True)]
     assert out.of("set_weight") == [(3, "w0", 0)]
-    cost = planner.set.message_overhead_entries + 1 + 1  # head, mark and a line
-    assert [sum(x.unread.values()) for x in planner.proxies.values()] == [cost, cost]
+    cost = planner.state.settings.message_overhead_entries + 1 + 1  # head, mark and a line
+    assert [sum(x.unacknowledged_entries.values()) for x in planner.state.proxies.values()] == [cost, cost]
     out = made.turn(EndpointListUpdate("changes", [made.server("z", state="gone")]))
     assert out.of("set_ejected") == [("z", True)]  # which no table names
-    assert sum(planner.proxies[1].unread.values()) == cost
-    assert planner.unread == sum(sum(x.unread.values()) for x in planner.proxies.values())
+    assert sum(planner.state.proxies[1].unacknowledged_entries.values()) == cost
+    assert planner.budget.unacknowledged_entries == sum(
+        sum(x.unacknowledged_entries.values()) for x in planner.state.proxies.values()
+    )
 
 
 def test_the_first_judgements_after_a_start_go_further(bench):
@@ -412,13 +429,13 @@
     made.start()
     sick = {f"{zone}{k}": (20, 0, 0.2) for zone in "ew" for k in range(4)} | {"e0": (20, 0, 0.8)}
     made.run(1.5, sick)
-    first = made.planner.servers["e0"].tuned
+    first = made.planner.state.endpoints["e0"].health_weight
     assert first == pytest.approx(0.5, abs=0.1)  # half of the way in logarithms: 0.25 ** 0.5
     made.run(12, sick)
-    assert made.planner.judgements > 10
-    made.planner.servers["e0"].tuned = 1.0
+    assert made.planner.outlier_detector.evaluation_count > 10
+    made.planner.state.endpoints["e0"].health_weight = 1.0
     made.run(1, sick)
-    assert made.planner.servers["e0"].tuned == pytest.approx(0.25**0.25, abs=0.05)
+    assert made.planner.state.endpoints["e0"].health_weight == pytest.approx(0.25**0.25, abs=0.05)
 
 
 def test_a_cold_server_is_judged_step_by_step_also_after_a_start(bench):
@@ -428,7 +445,7 @@
         ProxyConnected(0, "east", 10.0, True),
     )
     made.run(1.5, {f"e{k}": (20, 0, 0.2) for k in range(4)} | {"c": (20, 0, 0.8)})
-    assert made.planner.servers["c"].tuned == pytest.approx(0.25**0.25, abs=0.05)
+    assert made.planner.state.endpoints["c"].health_weight == pytest.approx(0.25**0.25, abs=0.05)
 
 
 def test_servers_that_are_gone_are_forgotten_past_a_bound(bench):
@@ -437,29 +454,31 @@
     planner = made.planner
     for k in range(2_000):
         made.turn(EndpointListUpdate("changes", [made.server(f"n{k}", age=0.0)]), wait=0.01)
-        made.turn(EndpointListUpdate("changes", [made.server(f"n{k}", state="gone")]),
-                  *[PushAcknowledged(p, planner.seal, S) for p in planner.proxies], wait=0.5)  # fmt: skip
-    assert len(planner.servers) <= 8 + 200
-    assert planner.listings == 8 + 2_000
-    assert {"e0", "w3"} <= planner.servers.keys()
-    assert sorted(n for n in planner.servers if n[0] == "n")[-1] == "n1999"
-    places = [server.place for server in planner.servers.values()]
+        acknowledged = [PushAcknowledged(p, planner.budget.nonce, S) for p in planner.state.proxies]
+        made.turn(
+            EndpointListUpdate("changes", [made.server(f"n{k}", state="gone")]), *acknowledged, wait=0.5
+        )
+    assert len(planner.state.endpoints) <= 8 + 200
+    assert planner.endpoint_list.listed_count == 8 + 2_000
+    assert {"e0", "w3"} <= planner.state.endpoints.keys()
+    assert sorted(n for n in planner.state.endpoints if n[0] == "n")[-1] == "n1999"
+    places = [server.order for server in planner.state.endpoints.values()]
     assert len(set(places)) == len(places)
 
 
 def test_no_server_is_forgotten_while_a_proxy_may_hold_it(bench):
     made = bench()
     made.start()
-    made.planner.proxies[0].group = None  # it waits for a bind
-    made.planner.proxies[0].waits = False
+    made.planner.state.proxies[0].subset = None  # it waits for a bind
+    made.planner.state.proxies[0].unassigned = False
     for k in range(300):
         made.turn(EndpointListUpdate("changes", [made.server(f"n{k}", state="gone")]))
-    assert len(made.planner.servers) == 308
-    made.planner.proxies[0].group = 0
+    assert len(made.planner.state.endpoints) == 308
+    made.planner.state.proxies[0].subset = 0
     out = made.turn(wait=0.1)
-    assert len(made.planner.servers) == 208
+    assert len(made.planner.state.endpoints) == 208
     assert all(not back for _, back in out.of("set_ejected"))
-    assert len(made.planner.shut) <= 200
+    assert len(made.planner.ejections.ejected) <= 200
 
 
 def test_a_server_that_fails_nearly_all_is_cut_at_once(bench):
@@ -469,11 +488,11 @@
     calm = {f"{zone}{k}": (20, 0, 0.2) for zone in "ew" for k in range(4)}
     made.run(8, calm)
     for name in ("e0", "e1"):
-        made.planner.servers[name].samples.clear()  # what was told before has grown old
+        made.planner.state.endpoints[name].samples.clear()  # what was told before has grown old
     made.run(1, calm | {"e0": (20, 19, 0.2), "e1": (20, 10, 0.2)})
-    assert made.planner.servers["e0"].tuned == pytest.approx(0.25)
-    assert made.planner.servers["e1"].tuned > 0.5
-    assert made.table().sent["e0"] < 0.3
+    assert made.planner.state.endpoints["e0"].health_weight == pytest.approx(0.25)
+    assert made.planner.state.endpoints["e1"].health_weight > 0.5
+    assert made.table().published["e0"] < 0.3
 
 
 def test_the_modes_of_a_server_are_forgotten_with_it(bench):
@@ -481,10 +500,10 @@
     made.start()
     planner = made.planner
     for k in range(250):
-        planner.modes.add(f"cut n{k}")
+        planner.state.conditions.add(f"cut n{k}")
         made.turn(EndpointListUpdate("changes", [made.server(f"n{k}", state="gone")]))
-    assert len(planner.modes) <= 200
-    assert "cut n249" in planner.modes
+    assert len(planner.state.conditions) <= 200
+    assert "cut n249" in planner.state.conditions
 
 
 class Channel:
@@ -503,8 +522,8 @@
             answers.append(PushAcknowledged(proxy, seal, self.made.now - when + int(wait * S)))
         self.room = min(self.room, self.pace) if self.waits else 0.0
         out = self.made.turn(*answers, *calls, wait=wait)
-        for proxy, state in self.made.planner.proxies.items():
-            for seal, lines in state.unread.items():
+        for proxy, state in self.made.planner.state.proxies.items():
+            for seal, lines in state.unacknowledged_entries.items():
                 if (proxy, seal) not in self.known:
                     self.known.add((proxy, seal))
                     self.waits.append((proxy, seal, lines, self.made.now))
@@ -525,7 +544,7 @@
     channel.turn(EndpointListUpdate("held", [made.server(name) for name in names]), *joins[:50], wait=0.01)
     for _ in range(200):
         channel.turn(wait=0.05)
-    assert not any(x.waits for x in made.planner.proxies.values())
+    assert not any(x.unassigned for x in made.planner.state.proxies.values())
     drain = [EndpointListUpdate("changes", [made.server(name, state="draining")]) for name in names[:90]]
     bound, waiting = {}, []
     for step in range(400):
@@ -533,7 +552,7 @@
         calls = [*calls, *joins[50 + 95 * step : 145 + 95 * step]]
         out = channel.turn(*calls, wait=0.05)
         bound |= {p: step for p, *_ in out.of("assign_table") if p >= 50 and p not in bound}
-        waiting.append([p for p, x in made.planner.proxies.items() if x.group is None])
+        waiting.append([p for p, x in made.planner.state.proxies.items() if x.subset is None])
     assert max(len(proxies) for proxies in waiting) > 20
     assert not waiting[-1]
     assert max(bound.values()) * 0.05 < 12  # what the channel itself takes for 190 tables
@@ -543,15 +562,17 @@
     """Seen on releases at full size: in a zone of eleven groups they got an eleventh of what they may."""
     made = bench(subset_size=2)
     made.start(proxies=("east",) * 4)
-    assert made.planner.groups["east"] == 2
+    assert made.planner.state.subset_counts["east"] == 2
     made.run(6, {f"e{k}": (5, 0, 0.1) for k in range(4)}, arrive=5)
     made.turn(EndpointListUpdate("changes", [made.server("e9", age=0)]))
     made.run(3, {f"e{k}": (5, 0, 0.1) for k in range(4)}, arrive=5)
-    (table,) = [t for t in made.planner.all_tables() if "e9" in t.want]
-    server = made.planner.servers["e9"]
-    came = sum(made.planner.demand(x) for x in made.planner.proxies.values() if x.group == table.group)
-    share = table.want["e9"] / sum(w for n, w in table.want.items() if n != LEVEL)
-    assert share * came == pytest.approx(min(made.planner.allowed(server), 0.3 * came), rel=0.3)
+    (table,) = [t for t in made.planner.state.all_tables() if "e9" in t.desired]
+    server = made.planner.state.endpoints["e9"]
+    came = sum(request_rate(x) for x in made.planner.state.proxies.values() if x.subset == table.subset)
+    share = table.desired["e9"] / sum(w for n, w in table.desired.items() if n != ADMISSION_KEY)
+    assert share * came == pytest.approx(
+        min(max_request_rate(made.planner.state, server), 0.3 * came), rel=0.3
+    )
 
 
 def test_gates_follow_the_pace_that_answers_show(bench):
@@ -573,12 +594,12 @@
             met = [EndpointLoadReport("east", name, 20, 0, S // 10 * (1 + slow[k]), S // 2, None)
                    for k, name in enumerate(names)]  # fmt: skip
             channel.turn(*met if step % 10 == 0 else (), wait=0.05)
-            depths.append(made.planner.unread)
-        deepest[pace], paces[pace] = max(depths[200:]), made.planner.pace
+            depths.append(made.planner.budget.unacknowledged_entries)
+        deepest[pace], paces[pace] = max(depths[200:]), made.planner.budget.channel_speed_ratio
     assert paces[4100.0] == pytest.approx(1, abs=0.01)
     assert 0.15 < paces[800.0] < 0.5
     assert deepest[800.0] < 0.2 * 8200
-    assert "slow channel" in made.planner.modes
+    assert "slow channel" in made.planner.state.conditions
 
 
 @pytest.mark.parametrize("cold, stay", [(8, True), (1, False)])
@@ -591,9 +612,9 @@
     made.run(6, {f"e{k}": (5, 0, 0.1) for k in range(4)}, arrive=5)
     names = [f"c{k}" for k in range(cold)]
     made.turn(EndpointListUpdate("changes", [made.server(name, age=8) for name in names]))
-    made.planner.pressed["east"] = 2.0
+    made.planner.state.load_ratios["east"] = 2.0
     table = made.table()
     lines = dict.fromkeys(["e0", "e1", "e2", "e3", *names], 1.0)
-    made.planner.guard_cold(table, lines)
+    limit_warming_endpoints(made.planner.state, table, lines)
     assert (set(names) <= lines.keys()) == stay
     assert not stay or all(0 < lines[name] <= 1.0 for name in names)
