--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -50,6 +50,12 @@
     assert "[XPASS(strict)]" in said
 
 
+def test_a_flaky_test_may_pass_or_fail_and_another_name_is_not_let_off(outcomes):
+    code, said = outcomes("test_some.py::test_many, flaky: one of two, issue 1\n")
+    assert code == 1  # of test_red, which nobody named
+    assert "1 failed, 1 passed, 1 xfailed, 1 xpassed" in said
+
+
 @pytest.mark.parametrize("lines, cause", [
     ("a.py::a, b, 1\na.py::b, b, 1\na.py::c, b, 1\na.py::d, b, 1\n", "4 lines; 3 at most"),
     ("test_some.py::test_red, issue 1\n", "is not 'test, cause, issue'"),
