--- a/swiftchute/admin/__init__.py
+++ b/swiftchute/admin/__init__.py
@@ -1,1 +1,1 @@
-"""A running planner asked and told by its staff, over a Unix socket of its own."""
+"""The admin interface: operators send commands to a running instance over a Unix socket of its own."""
--- a/swiftchute/admin/client.py
+++ b/swiftchute/admin/client.py
@@ -1,4 +1,4 @@
-"""Asks a running planner over its control socket, and waits for the reply."""
+"""A blocking client of the admin socket."""
 
 import contextlib
 import socket
@@ -7,31 +7,45 @@
 import msgspec
 
 from swiftchute.admin import protocol
+from swiftchute.admin.errors import NoReplyError
 
-
-class Unanswered(Exception):
-    """No reply came, or one that says why not."""
+RECEIVE_BYTES = 65_536
 
 
 def call(path: str, command: str, timeout: float = 5.0, **arguments: Any) -> Any:
-    """The result of one command. Raises `Unanswered` with a plain cause."""
+    """Send one command to the instance that listens at a path and return its result.
+
+    Args:
+        path: Path of the Unix socket.
+        command: Name of the command.
+        timeout: Seconds to wait for each step of the exchange.
+        **arguments: Arguments of the command.
+
+    Raises:
+        NoReplyError: Nobody listens, no reply came in time, or the reply is an error.
+    """
     try:
-        with socket.socket(socket.AF_UNIX) as way:
-            way.settimeout(timeout)
-            way.connect(path)
-            with contextlib.suppress(BrokenPipeError):  # turned away unread: the cause is there to be read
-                way.sendall(protocol.ask(command, **arguments))
-            data = b""
-            while not data.endswith(b"\n"):
-                more = way.recv(65_536)
-                if not more:
-                    raise Unanswered(f"{path}: the planner ended the connection")
-                data += more
+        data = _exchange(path, protocol.encode_request(command, **arguments), timeout)
     except TimeoutError:
-        raise Unanswered(f"{path}: no reply within {timeout:g} s") from None
-    except OSError as why:
-        raise Unanswered(f"{path}: {why.strerror or why}") from None
-    answer = msgspec.json.decode(data, type=protocol.Reply)
-    if answer.error:
-        raise Unanswered(answer.error)
-    return answer.result
+        raise NoReplyError(f"{path}: no reply within {timeout:g} s") from None
+    except OSError as error:
+        raise NoReplyError(f"{path}: {error.strerror or error}") from None
+    reply = msgspec.json.decode(data, type=protocol.Reply)
+    if reply.error:
+        raise NoReplyError(reply.error)
+    return reply.result
+
+
+def _exchange(path: str, request: bytes, timeout: float) -> bytes:
+    with socket.socket(socket.AF_UNIX) as connection:
+        connection.settimeout(timeout)
+        connection.connect(path)
+        with contextlib.suppress(BrokenPipeError):  # rejected before it was read: the cause can be received
+            connection.sendall(request)
+        data = b""
+        while not data.endswith(b"\n"):
+            received = connection.recv(RECEIVE_BYTES)
+            if not received:
+                raise NoReplyError(f"{path}: the planner ended the connection")
+            data += received
+        return data
--- a/swiftchute/admin/server.py
+++ b/swiftchute/admin/server.py
@@ -1,8 +1,8 @@
-"""The control socket: a Unix socket that only the planner's own user (and root) may speak to.
+"""The admin server: a Unix socket that only the user who runs the instance, and root, may use.
 
-Its file is made for the owner alone and the caller's user is asked of the kernel (SO_PEERCRED) besides, as a
-directory that others may write to would let them put another socket in its place. Connections are few, idle
-ones end, and one that does not read its replies is cut off.
+The socket file is created for its owner alone. The peer's user is read from the kernel (SO_PEERCRED) as
+well, since in a directory that others may write to the file could be replaced. Connections are bounded, idle
+ones are closed, and a client that does not read its replies is disconnected.
 """
 
 import asyncio
@@ -12,122 +12,146 @@
 import stat
 import struct
 from collections.abc import Callable
-from typing import Any
+from typing import Any, cast
 
 from swiftchute.admin import protocol
+from swiftchute.admin.errors import CommandRejectedError, RequestError
 
-CONNECTIONS = 16
-IDLE = 30.0  # seconds without a request
-UNREAD = 8 * 2**20  # bytes of replies that may wait for a caller
+MAX_CONNECTIONS = 16
+IDLE_TIMEOUT_S = 30.0  # without a request
+MAX_UNREAD_BYTES = 8 * 2**20  # replies that may wait for a client
+PROBE_TIMEOUT_S = 1.0
+SOCKET_UMASK = 0o177  # read and write for the owner alone
 
+Command = Callable[..., Any]
 
-class Denied(Exception):
-    """The command cannot be done; its text says why."""
 
+class _AdminConnection(asyncio.Protocol):
+    """One connection of a client."""
 
-class _Caller(asyncio.Protocol):
-    """One connection."""
-
-    def __init__(self, control: "Control") -> None:
-        self.control, self.session = control, protocol.Session()
-        self.transport: asyncio.Transport | None = None
-        self.idle: asyncio.TimerHandle | None = None
+    def __init__(self, server: "AdminServer") -> None:
+        self._server = server
+        self._parser = protocol.RequestParser()
+        self._transport: asyncio.Transport
+        self._idle_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = transport
-        user = _user(transport.get_extra_info("socket"))
+        """Accept the client, or close the connection with the cause."""
+        self._transport = cast(asyncio.Transport, transport)
+        user = _peer_user_id(transport.get_extra_info("socket"))
         if user not in (0, os.geteuid()):
-            self._end(f"user {user} may not control this planner")
-        elif len(self.control.callers) >= CONNECTIONS:
-            self._end(f"{CONNECTIONS} callers at once, the most allowed")
+            self._close(f"user {user} may not control this planner")
+        elif len(self._server.connections) >= MAX_CONNECTIONS:
+            self._close(f"{MAX_CONNECTIONS} callers at once, the most allowed")
         else:
-            self.control.callers.add(self)
-            self._wait()
-
-    def _wait(self) -> None:
-        if self.idle is not None:
-            self.idle.cancel()
-        self.idle = asyncio.get_running_loop().call_later(IDLE, self._end, f"nothing asked for {IDLE:g} s")
-
-    def _end(self, cause: str) -> None:
-        if self.transport is not None:
-            self.transport.write(protocol.fault(cause))
-            self.transport.close()
+            self._server.connections.add(self)
+            self._restart_idle_timer()
 
     def data_received(self, data: bytes) -> None:
-        if self not in self.control.callers:
+        """Execute the requests that are complete."""
+        if self not in self._server.connections:
             return
-        self._wait()
+        self._restart_idle_timer()
         try:
-            for request in self.session.feed(data):
-                self.transport.write(self.control.answer(request))
-        except protocol.BadRequest as why:
-            self._end(str(why))
+            for request in self._parser.feed(data):
+                self._transport.write(self._server.execute(request))
+        except RequestError as error:
+            self._close(str(error))
             return
-        if self.transport.get_write_buffer_size() > UNREAD:
-            self.transport.abort()
-
-    def connection_lost(self, why: Exception | None) -> None:
-        self.control.callers.discard(self)
-        if self.idle is not None:
-            self.idle.cancel()
-
-
-class Control:
-    """Serves commands by name; each is called with what the request gives it and returns plain data."""
-
-    def __init__(self, path: str, commands: dict[str, Callable[..., Any]]) -> None:
-        """`path` of the socket's file."""
-        self.path, self.commands = path, commands
-        self.callers: set[_Caller] = set()
-        self.server: asyncio.AbstractServer | None = None
-
-    def answer(self, request: protocol.Request) -> bytes:
-        """The reply to one request."""
-        command = self.commands.get(request.command)
+        if self._transport.get_write_buffer_size() > MAX_UNREAD_BYTES:
+            self._transport.abort()
+
+    def connection_lost(self, error: Exception | None) -> None:
+        """Forget the connection."""
+        self._server.connections.discard(self)
+        if self._idle_timer is not None:
+            self._idle_timer.cancel()
+
+    def abort(self) -> None:
+        """Close the connection at once; replies that were not sent are lost."""
+        self._transport.abort()
+
+    def _restart_idle_timer(self) -> None:
+        if self._idle_timer is not None:
+            self._idle_timer.cancel()
+        cause = f"nothing asked for {IDLE_TIMEOUT_S:g} s"
+        self._idle_timer = asyncio.get_running_loop().call_later(IDLE_TIMEOUT_S, self._close, cause)
+
+    def _close(self, cause: str) -> None:
+        self._transport.write(protocol.encode_error(cause))
+        self._transport.close()
+
+
+class AdminServer:
+    """Serves commands by name; each takes the arguments of its request and returns plain data."""
+
+    def __init__(self, path: str, commands: dict[str, Command]) -> None:
+        """Create a server that does not listen yet.
+
+        Args:
+            path: Path of the Unix socket.
+            commands: The commands by name.
+        """
+        self.connections: set[_AdminConnection] = set()
+        self._path = path
+        self._commands = commands
+        self._listener: asyncio.AbstractServer | None = None
+
+    def execute(self, request: protocol.Request) -> bytes:
+        """Execute one request and return the encoded reply."""
+        command = self._commands.get(request.command)
         if command is None:
-            return protocol.fault(
-                f"no command {request.command!r}; there are {', '.join(sorted(self.commands))}"
-            )
+            names = ", ".join(sorted(self._commands))
+            return protocol.encode_error(f"no command {request.command!r}; there are {names}")
         try:
-            return protocol.reply(command(**request.arguments))
-        except (Denied, TypeError, ValueError) as why:
-            return protocol.fault(f"{request.command}: {why}")
+            return protocol.encode_result(command(**request.arguments))
+        except (CommandRejectedError, TypeError, ValueError) as error:
+            return protocol.encode_error(f"{request.command}: {error}")
 
     async def start(self) -> None:
-        """Take callers. Raises `OSError` with a plain cause if another planner listens there, or a file that
-        is no socket is in the way."""
-        with contextlib.suppress(FileNotFoundError):
-            if not stat.S_ISSOCK(os.lstat(self.path).st_mode):
-                raise OSError(f"{self.path} is there and is no socket")
-            if _listens(self.path):
-                raise OSError(f"{self.path}: another planner listens there")
-            os.unlink(self.path)  # left by one that was killed
-        loop, mask = asyncio.get_running_loop(), os.umask(0o177)
+        """Listen at the path.
+
+        Raises:
+            OSError: Another instance listens there, or the path is not a socket.
+        """
+        self._remove_stale_socket()
+        loop = asyncio.get_running_loop()
+        previous_umask = os.umask(SOCKET_UMASK)
         try:
-            self.server = await loop.create_unix_server(lambda: _Caller(self), self.path)
+            self._listener = await loop.create_unix_server(lambda: _AdminConnection(self), self._path)
         finally:
-            os.umask(mask)
+            os.umask(previous_umask)
 
     async def stop(self) -> None:
-        """Take no more, and let those here go."""
-        if self.server is None:  # not started: the socket there may be another planner's
+        """Stop listening and close all connections."""
+        if self._listener is None:  # never started: the socket may be another instance's
             return
-        self.server.close()
-        for caller in list(self.callers):
-            caller.transport.abort()
+        self._listener.close()
+        for connection in list(self.connections):
+            connection.abort()
+        with contextlib.suppress(FileNotFoundError):
+            os.unlink(self._path)
+
+    def _remove_stale_socket(self) -> None:
+        """Remove the socket of an instance that was killed."""
         with contextlib.suppress(FileNotFoundError):
-            os.unlink(self.path)
+            if not stat.S_ISSOCK(os.lstat(self._path).st_mode):
+                raise OSError(f"{self._path} is there and is no socket")
+            if _accepts_connections(self._path):
+                raise OSError(f"{self._path}: another planner listens there")
+            os.unlink(self._path)
 
 
-def _user(opened: Any) -> int:
+def _peer_user_id(connection: socket.socket) -> int:
     size = struct.calcsize("3i")
-    return struct.unpack("3i", opened.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, size))[1]
+    credentials = connection.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, size)
+    _, user_id, _ = struct.unpack("3i", credentials)
+    return user_id
 
 
-def _listens(path: str) -> bool:
+def _accepts_connections(path: str) -> bool:
     with socket.socket(socket.AF_UNIX) as probe:
-        probe.settimeout(1.0)
+        probe.settimeout(PROBE_TIMEOUT_S)
         try:
             probe.connect(path)
         except OSError:
--- a/swiftchute/cli/main.py
+++ b/swiftchute/cli/main.py
@@ -245,7 +245,8 @@
 
 def _asked(config: str, command: str, **arguments: Any) -> Any:
     """The running planner's answer; without one the command ends with exit code 2."""
-    from swiftchute.admin.client import Unanswered, call
+    from swiftchute.admin.client import call
+    from swiftchute.admin.errors import NoReplyError
 
     found = _load(config)
     if found.control is None:
@@ -255,7 +256,7 @@
         sys.exit(2)
     try:
         return call(found.control, command, **arguments)
-    except Unanswered as why:
+    except NoReplyError as why:
         click.echo(f"swiftchute: {why}", err=True)
         sys.exit(2)
 
--- a/swiftchute/daemon/commands.py
+++ b/swiftchute/daemon/commands.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from swiftchute.admin.server import Denied
+from swiftchute.admin.errors import CommandRejectedError
 from swiftchute.controller.controller import Core
 from swiftchute.versions import encoding
 from swiftchute.versions.history import Change, Unknown
@@ -35,7 +35,7 @@
             try:
                 return command(**given)
             except (Unknown, Impossible) as why:
-                raise Denied(str(why)) from None
+                raise CommandRejectedError(str(why)) from None
 
         return run
 
@@ -43,10 +43,10 @@
         """Why tables go out as they do."""
         gate = self.core.gate
         if gate is None:
-            raise Denied("the guard is off")
+            raise CommandRejectedError("the guard is off")
         tables = self.core.explain(self.clock())
         if table is not None and table not in (names := [row["table"] for row in tables]):
-            raise Denied(f"no table {table!r} in use; there are {', '.join(names) or 'none'}")
+            raise CommandRejectedError(f"no table {table!r} in use; there are {', '.join(names) or 'none'}")
         return {
             "enforced": gate.enforce,
             "tables": [row for row in tables if table in (None, row["table"])],
@@ -79,7 +79,7 @@
         change = self.core.history.find(table, version)
         content = self.core.history.get(change.version)
         if content is None:
-            raise Denied(f"version {change.version.hex()[:12]} is no longer kept")
+            raise CommandRejectedError(f"version {change.version.hex()[:12]} is no longer kept")
         return change, content
 
     def show(self, table: str, version: str = "~0") -> dict[str, Any]:
--- a/swiftchute/daemon/service.py
+++ b/swiftchute/daemon/service.py
@@ -5,7 +5,7 @@
 import time
 from typing import Any
 
-from swiftchute.admin.server import Control
+from swiftchute.admin.server import AdminServer
 from swiftchute.config import Config
 from swiftchute.controller.controller import Core, Keep
 from swiftchute.daemon.commands import Commands
@@ -64,7 +64,7 @@
             self.dns = DnsShell(answers, config.settings.zone, self.clock, log)
         self.shell = Shell(self.front, config.settings, xds, self.kick, self.clock, log)
         commands = Commands(self.core, self.clock, self.kick).all()
-        self.control = Control(config.control, commands) if config.control else None
+        self.control = AdminServer(config.control, commands) if config.control else None
         self.stop, self.fault = asyncio.Event(), None
         self.past, self.tell_past = self._past_bounds(), 0
         self.handle: asyncio.TimerHandle | None = None
--- a/swiftchute/drill/fault_actions.py
+++ b/swiftchute/drill/fault_actions.py
@@ -13,7 +13,8 @@
 import time
 from typing import Any
 
-from swiftchute.admin.client import Unanswered, call
+from swiftchute.admin.client import call
+from swiftchute.admin.errors import NoReplyError
 from swiftchute.fakes.backend import Worker
 from swiftchute.fakes.gateway import Gateway
 from swiftchute.fakes.relay import Relay
@@ -159,7 +160,7 @@
         while time.monotonic() - order < 10:
             try:
                 logs = [await asyncio.to_thread(call, way, "tables.log", most=1000) for way in ways]
-            except Unanswered as why:  # it was killed between the orders and the answers
+            except NoReplyError as why:  # it was killed between the orders and the answers
                 self.notes.append(f"{tables} tables ordered back in {took:.2f} s, then: {why}")
                 return
             back = [_settled(log) for log in logs]
--- a/tests/admin/test_server.py
+++ b/tests/admin/test_server.py
@@ -11,12 +11,20 @@
 from click.testing import CliRunner
 
 from swiftchute.admin import protocol, server
-from swiftchute.admin.client import Unanswered, call
-from swiftchute.admin.server import Control, Denied
+from swiftchute.admin.client import call
+from swiftchute.admin.errors import CommandRejectedError, NoReplyError, RequestError
+from swiftchute.admin.server import AdminServer
 from swiftchute.cli.main import main
 from swiftchute.daemon.commands import Commands
 
-COMMANDS = {"add": lambda a, b: a + b, "deny": lambda: (_ for _ in ()).throw(Denied("not today"))}
+def deny():
+    raise CommandRejectedError("not today")
+
+
+COMMANDS = {"add": lambda a, b: a + b, "deny": deny}
+    "add": lambda a, b: a + b,
+    "deny": lambda: (_ for _ in ()).throw(CommandRejectedError("not today")),
+}
 
 
 @pytest.fixture
@@ -26,7 +34,7 @@
 
     def run(play, commands=COMMANDS):
         async def main():
-            control = Control(path, commands)
+            control = AdminServer(path, commands)
             await control.start()
             try:
                 return await play(control)
@@ -45,24 +53,24 @@
 
 @pytest.mark.parametrize("cut", range(1, 40))
 def test_a_request_cut_anywhere_is_whole_at_its_end(cut):
-    session, data = protocol.Session(), protocol.ask("add", a=1, b=2)
+    session, data = protocol.RequestParser(), protocol.encode_request("add", a=1, b=2)
     found = session.feed(data[:cut]) + session.feed(data[cut:])
     assert [(r.command, r.arguments) for r in found] == [("add", {"a": 1, "b": 2})]
 
 
 @pytest.mark.parametrize("data", [b"{\n", b"[]\n", b'{"command": 3}\n', b'{"comand": "x"}\n', b"\xff\n"])
-def test_what_is_no_request_is_said_to_be_none(data):
-    with pytest.raises(protocol.BadRequest, match="not a request"):
-        protocol.Session().feed(data)
+def test_bytes_that_are_not_a_request_are_an_error(data):
+    with pytest.raises(RequestError, match="not a request"):
+        protocol.RequestParser().feed(data)
 
 
 def test_a_line_past_the_bound_ends_the_session():
-    session = protocol.Session(most=100)
-    with pytest.raises(protocol.BadRequest, match="more than 100 bytes"):
+    session = protocol.RequestParser(max_line_bytes=100)
+    with pytest.raises(RequestError, match="more than 100 bytes"):
         session.feed(b"x" * 101)
 
 
-def test_commands_are_answered_and_faults_are_said(served):
+def test_commands_return_results_and_errors(served):
     async def play(control):
         assert stat.S_IMODE(os.stat(served.path).st_mode) == 0o600
         assert await asked(served.path, "add", a=2, b=3) == 5
@@ -71,30 +79,30 @@
             ("deny", {}, "deny: not today"),
             ("add", {"a": 1}, "missing 1 required"),
         ):
-            with pytest.raises(Unanswered, match=cause):
+            with pytest.raises(NoReplyError, match=cause):
                 await asked(served.path, command, **named)
 
     served(play)
     assert not os.path.exists(served.path)
 
 
-def test_another_user_is_turned_away(served, monkeypatch):
-    monkeypatch.setattr(server, "_user", lambda opened: 12345)
+def test_another_user_is_rejected(served, monkeypatch):
+    monkeypatch.setattr(server, "_peer_user_id", lambda opened: 12345)
 
     async def play(control):
-        with pytest.raises(Unanswered, match="user 12345 may not"):
+        with pytest.raises(NoReplyError, match="user 12345 may not"):
             await asked(served.path, "add", a=2, b=3)
 
     served(play)
 
 
-def test_callers_past_the_bound_and_idle_ones_are_let_go(served, monkeypatch):
-    monkeypatch.setattr(server, "IDLE", 0.3)
+def test_connections_past_the_limit_and_idle_ones_are_closed(served, monkeypatch):
+    monkeypatch.setattr(server, "IDLE_TIMEOUT_S", 0.3)
 
     async def play(control):
-        held = [await asyncio.open_unix_connection(served.path) for _ in range(server.CONNECTIONS)]
+        held = [await asyncio.open_unix_connection(served.path) for _ in range(server.MAX_CONNECTIONS)]
         await asyncio.sleep(0.05)
-        with pytest.raises(Unanswered, match="16 callers at once"):
+        with pytest.raises(NoReplyError, match="16 callers at once"):
             await asked(served.path, "add", a=2, b=3)
         for reader, writer in held:
             assert b"nothing asked" in await asyncio.wait_for(reader.read(), 5)
@@ -111,7 +119,7 @@
     async def play(control):
         assert await asked(served.path, "add", a=2, b=3) == 5
         with pytest.raises(OSError, match="another planner listens there"):
-            await asyncio.to_thread(lambda: asyncio.run(Control(served.path, {}).start()))
+            await asyncio.to_thread(lambda: asyncio.run(AdminServer(served.path, {}).start()))
 
     served(play)
     (tmp_path / "c.sock").write_text("a file")
