--- a/tests/admin/test_server.py
+++ b/tests/admin/test_server.py
@@ -21,9 +21,6 @@
     raise CommandRejectedError("not today")
 
 
-COMMANDS = {"add": lambda a, b: a + b, "deny": deny}
-    "add": lambda a, b: a + b,
-    "deny": lambda: (_ for _ in ()).throw(CommandRejectedError("not today")),
 }
 
 
