--- a/tests/admin/test_server.py
+++ b/tests/admin/test_server.py
@@ -17,11 +17,12 @@
 from swiftchute.cli.main import main
 from swiftchute.daemon.commands import Commands
 
+
 def deny():
     raise CommandRejectedError("not today")
 
 
-}
+COMMANDS = {"add": lambda a, b: a + b, "deny": deny}
 
 
 @pytest.fixture
