--- a/swiftchute/cli/main.py
+++ b/swiftchute/cli/main.py
@@ -7,13 +7,13 @@
 
 import click
 
-from swiftchute.config import BadConfig, load
+from swiftchute.config import ConfigError, load
 
 
 def _load(path: str, read: Any = load) -> Any:
     try:
         return read(path)
-    except BadConfig as why:
+    except ConfigError as why:
         for problem in why.problems:
             click.echo(f"swiftchute: {problem}", err=True)
         sys.exit(2)
--- a/swiftchute/config/__init__.py
+++ b/swiftchute/config/__init__.py
@@ -1,6 +1,7 @@
-"""HCL in, checked settings out: `load(path)` gives a `Config` or raises `BadConfig` with all that is
-wrong."""
+"""Configuration files in HCL, checked field by field before anything starts."""
 
-from swiftchute.config.schema import BadConfig, Config, load
+from swiftchute.config.errors import ConfigError
+from swiftchute.config.loader import load
+from swiftchute.config.schema import Config
 
-__all__ = ["BadConfig", "Config", "load"]
+__all__ = ["Config", "ConfigError", "load"]
--- a/swiftchute/config/reader.py
+++ b/swiftchute/config/reader.py
@@ -1,108 +1,146 @@
-"""An HCL file as blocks and attributes that remember their lines.
+"""Reads an HCL file into blocks and attributes that remember their lines.
 
-`read(path)` returns the file's body as a `Block`; a file that is no HCL raises `Problem` with line and cause.
 Only plain values are taken (strings, numbers, true, false, null, lists of them): no expressions, no
 functions.
 """
 
+from collections.abc import Iterator
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, NamedTuple
 
 from hcl2.api import parses_to_tree
 from lark import Token, Tree
 from lark.exceptions import UnexpectedInput
 
+from swiftchute.config.errors import ConfigError, Problem
 
-class Problem(Exception):
-    """One thing wrong in a file: path, line (from 1), the field it concerns and the cause."""
+_LITERALS = {"true": True, "false": False, "null": None}
 
-    def __init__(self, path: str, line: int, name: str, cause: str) -> None:
-        super().__init__(f"{path}:{line}: {name + ': ' if name else ''}{cause}")
-        self.path, self.line, self.name, self.cause = path, line, name, cause
+
+class Value(NamedTuple):
+    """The value of an attribute and the line of its name, from 1."""
+
+    value: Any
+    line: int
 
 
 @dataclass
 class Block:
-    """A block's labels, its attributes with their lines, and the blocks within."""
+    """A block: its labels, its attributes by name, and the blocks within."""
 
     name: str
     labels: tuple[str, ...]
     line: int
-    values: dict[str, tuple[Any, int]] = field(default_factory=dict)
+    values: dict[str, Value] = field(default_factory=dict)
     blocks: list["Block"] = field(default_factory=list)
 
+    @property
+    def full_name(self) -> str:
+        """The name with its labels."""
+        return " ".join([self.name, *self.labels])
+
 
 def read(path: str) -> Block:
-    """The body of the file at `path`; raises `Problem` (OSError too becomes one, at line 0)."""
+    """Return the body of a file as a block without a name.
+
+    Raises:
+        ConfigError: The file cannot be read or is not HCL with plain values; one problem, with its line.
+    """
     try:
         with open(path, encoding="utf-8") as source:
             tree = parses_to_tree(source.read())
-    except OSError as why:
-        raise Problem(path, 0, "", f"cannot be read: {why.strerror}") from None
-    except UnicodeDecodeError as why:
-        raise Problem(path, 0, "", f"is not UTF-8: byte {why.start}") from None
-    except UnexpectedInput as why:
-        token = getattr(why, "token", None)
-        found = (
-            "the end of the file"
-            if token is not None and token.type == "$END"
-            else repr(str(token or why.char))
-        )
-        raise Problem(path, max(why.line, 1), "", f"is not HCL: unexpected {found}") from None
-    top = Block("", (), 1)
-    _body(path, tree, top)
-    return top
-
-
-def _tokens(tree: Any) -> list[Token]:
-    return (
-        [tree] if isinstance(tree, Token) else [t for child in tree.children if child for t in _tokens(child)]
-    )
+    except OSError as error:
+        raise _error(path, 0, "", f"cannot be read: {error.strerror}") from None
+    except UnicodeDecodeError as error:
+        raise _error(path, 0, "", f"is not UTF-8: byte {error.start}") from None
+    except UnexpectedInput as error:
+        cause = f"is not HCL: unexpected {_unexpected(error)}"
+        raise _error(path, max(error.line, 1), "", cause) from None
+    body = Block("", (), 1)
+    _Reader(path).read_body(tree, body)
+    return body
+
+
+def _error(path: str, line: int, field_name: str, cause: str) -> ConfigError:
+    return ConfigError([Problem(path, line, field_name, cause)])
+
+
+def _unexpected(error: Any) -> str:
+    token = getattr(error, "token", None)
+    if token is not None and token.type == "$END":
+        return "the end of the file"
+    return repr(str(token or error.char))
+
+
+class _Reader:
+    """Turns the syntax tree of one file into blocks."""
+
+    def __init__(self, path: str) -> None:
+        self._path = path
+
+    def read_body(self, tree: Any, block: Block) -> None:
+        """Add the attributes and blocks of a body to a block."""
+        for child in tree.children:
+            kind = getattr(child, "data", None)
+            if kind == "body":
+                self.read_body(child, block)
+            elif kind == "attribute":
+                self._read_attribute(child, block)
+            elif kind == "block":
+                self._read_block(child, block)
+
+    def _read_attribute(self, tree: Tree, block: Block) -> None:
+        parts = [child for child in tree.children if isinstance(child, Tree)]
+        name, line = _text(parts[0]), _line(parts[0])
+        if name in block.values:
+            raise _error(self._path, line, name, f"set twice, first on line {block.values[name].line}")
+        block.values[name] = Value(self._plain_value(name, parts[-1]), line)
+
+    def _read_block(self, tree: Tree, parent: Block) -> None:
+        heads = [
+            child
+            for child in tree.children
+            if isinstance(child, Tree) and child.data in ("identifier", "string")
+        ]
+        labels = tuple(_text(head).strip('"') for head in heads[1:])
+        block = Block(_text(heads[0]), labels, _line(heads[0]))
+        parent.blocks.append(block)
+        for child in tree.children:
+            if getattr(child, "data", None) == "body":
+                self.read_body(child, block)
+
+    def _plain_value(self, name: str, tree: Any) -> Any:
+        while isinstance(tree, Tree) and str(tree.data) == "expr_term" and len(tree.children) == 1:
+            tree = tree.children[0]
+        text = _text(tree) if isinstance(tree, Tree) else str(tree).strip()
+        kind = str(getattr(tree, "data", getattr(tree, "type", "")))
+        if kind == "string" and "${" not in text:
+            return text[1:-1]
+        if kind == "tuple":
+            items = [c for c in tree.children if isinstance(c, Tree) and str(c.data) == "expr_term"]
+            return [self._plain_value(name, item) for item in items]
+        if text in _LITERALS:
+            return _LITERALS[text]
+        for number in (int, float):
+            try:
+                return number(text.replace(" ", ""))
+            except ValueError:
+                continue
+        raise _error(self._path, _line(tree), name, f"{text!r} is not a plain value")
+
+
+def _tokens(tree: Any) -> Iterator[Token]:
+    if isinstance(tree, Token):
+        yield tree
+        return
+    for child in tree.children:
+        if child:
+            yield from _tokens(child)
 
 
 def _line(tree: Any) -> int:
-    return next((t.line for t in _tokens(tree) if t.line), 1)
+    return next((token.line for token in _tokens(tree) if token.line), 1)
 
 
 def _text(tree: Tree) -> str:
     return "".join(_tokens(tree)).strip()
-
-
-def _body(path: str, tree: Tree, into: Block) -> None:
-    for child in tree.children:
-        kind = getattr(child, "data", None)
-        if kind == "body":
-            _body(path, child, into)
-        elif kind == "attribute":
-            parts = [c for c in child.children if isinstance(c, Tree)]
-            name, line = _text(parts[0]), _line(parts[0])
-            if name in into.values:
-                raise Problem(path, line, name, f"set twice, first on line {into.values[name][1]}")
-            into.values[name] = (_value(path, name, parts[-1]), line)
-        elif kind == "block":
-            heads = [c for c in child.children if isinstance(c, Tree) and c.data in ("identifier", "string")]
-            block = Block(_text(heads[0]), tuple(_text(h).strip('"') for h in heads[1:]), _line(heads[0]))
-            into.blocks.append(block)
-            for inner in child.children:
-                if getattr(inner, "data", None) == "body":
-                    _body(path, inner, block)
-
-
-def _value(path: str, name: str, tree: Any) -> Any:
-    while isinstance(tree, Tree) and str(tree.data) == "expr_term" and len(tree.children) == 1:
-        tree = tree.children[0]
-    text = _text(tree) if isinstance(tree, Tree) else str(tree).strip()
-    kind = str(getattr(tree, "data", getattr(tree, "type", "")))
-    if kind == "string" and "${" not in text:
-        return text[1:-1]
-    if kind == "tuple":
-        inner = [c for c in tree.children if isinstance(c, Tree) and str(c.data) == "expr_term"]
-        return [_value(path, name, c) for c in inner]
-    if text in ("true", "false", "null"):
-        return {"true": True, "false": False, "null": None}[text]
-    for number in (int, float):
-        try:
-            return number(text.replace(" ", ""))
-        except ValueError:
-            continue
-    raise Problem(path, _line(tree), name, f"{text!r} is not a plain value")
--- a/swiftchute/drill/faults.py
+++ b/swiftchute/drill/faults.py
@@ -1,6 +1,6 @@
 """Troubles by name, as a day's script in HCL gives them or chance draws them.
 
-    day = load("my-day.hcl")                    # raises BadConfig, each problem with file, line, field and
+    day = load("my-day.hcl")                    # raises ConfigError, each problem with file, line, field and
     cause day = drawn(seed, count=2)                  # troubles of different kinds, within bounds text =
     script(day)                          # the same day as HCL
 
@@ -26,8 +26,9 @@
 from dataclasses import dataclass, fields, replace
 from typing import Any
 
-from swiftchute.config.reader import Problem, read
-from swiftchute.config.schema import BadConfig, Check, number, one_of, span
+from swiftchute.config.checker import Checker, Field
+from swiftchute.config.reader import read
+from swiftchute.config.values import duration, number, one_of
 from swiftchute.drill.fault_actions import ZONES
 from swiftchute.drill.scenario import DAYS, Day, Trouble
 
@@ -88,14 +89,14 @@
 }
 _TIMES = {"lasts", "every", "length", "delay"}
 _DAY = {
-    "seconds": (span(5 * S, 600 * S), 30 * S, None),
-    "workers": (number(3, 200, True), 15, None),
-    "gateways": (number(3, 500, True), 18, None),
-    "planners": (number(1, 5, True), 2, None),
-    "callers": (number(0, 100, True), 0, None),
-    "rate": (number(0.1, 1000), 5.0, None),
-    "grace": (span(S, 60 * S), 3 * S, None),
-    "bare_limit": (span(S, 60 * S), 3 * S, None),
+    "seconds": Field(duration(5 * S, 600 * S), 30 * S),
+    "workers": Field(number(3, 200, True), 15),
+    "gateways": Field(number(3, 500, True), 18),
+    "planners": Field(number(1, 5, True), 2),
+    "callers": Field(number(0, 100, True), 0),
+    "rate": Field(number(0.1, 1000), 5.0),
+    "grace": Field(duration(S, 60 * S), 3 * S),
+    "bare_limit": Field(duration(S, 60 * S), 3 * S),
 }
 BASE = replace(DAYS["quiet"], about="drawn", seconds=30.0, gateways=18)
 
@@ -104,38 +105,33 @@
     if isinstance(bounds[0], str):
         return one_of(*bounds)
     if name in _TIMES:
-        return span(1, 600 * S)
+        return duration(1, 600 * S)
     # a script may go past what chance draws within, but not past what can be
     return number(0, 1 if name in ("share", "part") else 1e9, isinstance(bounds[0], int))
 
 
 def load(where: str) -> Day:
-    """A day of a script's. Raises `BadConfig`."""
-    try:
-        body = read(where)
-    except Problem as why:
-        raise BadConfig([why]) from None
-    check, troubles, found = Check(where), [], None
+    """A day of a script's. Raises `ConfigError`."""
+    body = read(where)
+    check, troubles, found = Checker(where), [], None
     for block in body.blocks:
-        called = " ".join([block.name, *block.labels])
+        called = block.full_name
         if block.name == "drill" and not block.labels and found is None:
-            found = check.fields(block, _DAY, called)
+            found = check.parse_fields(block, _DAY, called)
         elif block.name == "trouble" and len(block.labels) == 1 and block.labels[0] in KINDS:
             kind = KINDS[block.labels[0]]
-            table = {"at": (span(0, 600 * S), 0, None)} | {
-                name: (_parser(name, bounds), bounds[0] * S if name in _TIMES else bounds[0], None)
+            table = {"at": Field(duration(0, 600 * S), 0)} | {
+                name: Field(_parser(name, bounds), bounds[0] * S if name in _TIMES else bounds[0])
                 for name, bounds in kind.fields.items()
             }
-            row = check.fields(block, table, called)
+            row = check.parse_fields(block, table, called)
             given = {k: v / S if k in _TIMES and k in row else v for k, v in row.items()}
             troubles.append(Trouble(given.pop("at", 0) / S, block.labels[0], tuple(given.values())))
         else:
             known = ", ".join(f'trouble "{name}"' for name in KINDS)
-            check.wrong(block.line, called, f"unknown, or stands twice; known: drill, {known}")
-    for key, (_, line) in body.values.items():
-        check.wrong(line, key, "unknown here; settings stand in blocks")
-    if check.problems:
-        raise BadConfig(check.problems)
+            check.add_problem(block.line, called, f"unknown, or stands twice; known: drill, {known}")
+    check.reject_top_level_fields(body)
+    check.raise_problems()
     made = found or {}
     times = {k: v / S for k, v in made.items() if k in ("seconds", "grace", "bare_limit")}
     return replace(BASE, **made | times, about=where, troubles=tuple(sorted(troubles, key=lambda t: t.at)))
--- a/tests/config/test_schema.py
+++ b/tests/config/test_schema.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from swiftchute.config import BadConfig, load
+from swiftchute.config import ConfigError, load
 from swiftchute.discovery.endpoint_list import BadList, Registry
 from swiftchute.discovery.sources import FileSource, HttpSource
 from swiftchute.observability.logging import mode_fields
@@ -75,7 +75,7 @@
 def test_each_error_names_file_line_field_and_cause(checked, before, after, at, says):
     text = GOOD.replace(before, after, 1)
     lines = [n for n, row in enumerate(text.split("\n"), 1) if at in row]
-    with pytest.raises(BadConfig) as caught:
+    with pytest.raises(ConfigError) as caught:
         checked(text)
     found = [str(p) for p in caught.value.problems if p.line in lines]
     assert before in GOOD
@@ -83,7 +83,7 @@
 
 
 def test_a_missing_file_is_a_plain_error(tmp_path):
-    with pytest.raises(BadConfig, match="cannot be read: No such file"):
+    with pytest.raises(ConfigError, match="cannot be read: No such file"):
         load(str(tmp_path / "none.hcl"))
 
 
--- a/tests/drill/test_faults.py
+++ b/tests/drill/test_faults.py
@@ -8,7 +8,7 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from swiftchute.config.schema import BadConfig
+from swiftchute.config import ConfigError
 from swiftchute.drill.faults import KINDS, drawn, load, script
 from swiftchute.drill.invariants import Evidence, Verdict
 from swiftchute.drill.report import broken
@@ -51,7 +51,7 @@
 def test_what_is_wrong_in_a_script_is_told_with_its_line_field_and_cause(tmp_path, text, line, told):
     path = tmp_path / "day.hcl"
     path.write_text(text)
-    with pytest.raises(BadConfig) as found:
+    with pytest.raises(ConfigError) as found:
         load(str(path))
     (problem,) = found.value.problems
     assert problem.line == line
--- a/tests/proxy/test_server.py
+++ b/tests/proxy/test_server.py
@@ -25,7 +25,7 @@
 from swiftchute.xds.server import Raw
 
 S = 1_000_000_000
-PLUMBING = {key: default for key, (_, default, _) in _PROXY.items()} | {"listen": ("127.0.0.1", 0)}
+PLUMBING = {key: field.default for key, field in _PROXY.items()} | {"listen": ("127.0.0.1", 0)}
 FACTS = Facts({"read": 0.02, "pay": 0.02}, room=10_000)
 
 
