--- a/swiftchute/platform/__main__.py
+++ b/swiftchute/platform/__main__.py
@@ -11,15 +11,15 @@
     signals = StartupSignals()
     import uvloop  # these take most of the start: a signal may come meanwhile
 
-    from swiftchute.platform import settings
-    from swiftchute.platform.logging import Log
-    from swiftchute.platform.server import Shell
+    from swiftchute.platform import errors, settings
+    from swiftchute.platform.logging import EventLog
+    from swiftchute.platform.server import Server
 
     try:
         told = settings.read(os.environ)
-        shell = Shell(told, os.environ, Log(told.name))
+        shell = Server(told, os.environ, EventLog(told.name))
         uvloop.new_event_loop().run_until_complete(shell.run(signals))
-    except settings.BadSettings as why:
+    except errors.SettingsError as why:
         print(f"swiftchute.platform: {why}", file=sys.stderr)
         return 2
     return 0
--- a/swiftchute/platform/discovery_client.py
+++ b/swiftchute/platform/discovery_client.py
@@ -1,9 +1,9 @@
 """Which connections to discovery there are, whose news is heard, and when to dial again. No I/O, no clock.
 
-    watches = Watches(catalog, random)
+    watches = DiscoveryClient(catalog, random)
     watches.at(address, now)                        # at the start, and when the address changes
     for news in watches.tend(now): ...              # from a timer
-    for act in watches.acts(now): ...               # Dial or End, to be carried out; after each other call
+    for act in watches.acts(now): ...               # to be carried out; after each other call
     data = watches.connected(link)                  # bytes to write; None: nobody owns it any more, end it
     for news in watches.received(link, data, now): ...
     watches.ended(link, cause, now)                 # it broke, or its dial failed
@@ -19,7 +19,8 @@
 from random import Random
 from typing import Any
 
-from swiftchute.platform.endpoint_list import BadWatch, Catalog, News, Watch
+from swiftchute.platform.endpoint_list import DiscoveryWatch, EndpointList, ListUpdate
+from swiftchute.platform.errors import DiscoveryError
 
 S = 1_000_000_000
 Address = tuple[str, int]
@@ -31,42 +32,42 @@
 
 
 @dataclass(eq=False)
-class Link:
+class DiscoveryConnection:
     """One connection to discovery, from its dial on."""
 
     address: Address
-    watch: Watch
+    watch: DiscoveryWatch
     since: int  # when it was dialled, or last heard
     doubted: bool = False  # nothing heard for too long, seen once
     tag: Any = None  # the shell's
 
 
 @dataclass(frozen=True)
-class Dial:
+class OpenConnection:
     """Connect, and call `connected` or `ended`."""
 
-    link: Link
+    link: DiscoveryConnection
 
 
 @dataclass(frozen=True)
-class End:
+class CloseConnection:
     """End the connection or its dial; nothing of it is heard any more."""
 
-    link: Link
+    link: DiscoveryConnection
 
 
 @dataclass
-class Watches:
+class DiscoveryClient:
     """The links of one planner to discovery."""
 
-    catalog: Catalog
+    catalog: EndpointList
     random: Random
     address: Address | None = None
-    newest: Link | None = None
-    before: Link | None = None  # heard until the newest is answered
+    newest: DiscoveryConnection | None = None
+    before: DiscoveryConnection | None = None  # heard until the newest is answered
     wait: int = WAIT_FIRST
     dial_at: int = 0
-    ending: list[Link] = field(default_factory=list)
+    ending: list[DiscoveryConnection] = field(default_factory=list)
     events: list[tuple[str, dict[str, Any]]] = field(default_factory=list)
 
     def at(self, address: Address, now: int) -> None:
@@ -84,20 +85,22 @@
         if link is not None:
             self.ending.append(link)
 
-    def owned(self, link: Link) -> bool:
+    def owned(self, link: DiscoveryConnection) -> bool:
         """Whether its news is heard."""
         return link is self.newest or link is self.before
 
-    def acts(self, now: int) -> Iterator[Dial | End]:
+    def acts(self, now: int) -> Iterator[OpenConnection | CloseConnection]:
         """What is to be done now."""
         if self.newest is None and self.address is not None and now >= self.dial_at:
-            self.newest = Link(self.address, Watch(self.catalog, "{}:{}".format(*self.address)), now)
-            yield Dial(self.newest)
+            self.newest = DiscoveryConnection(
+                self.address, DiscoveryWatch(self.catalog, "{}:{}".format(*self.address)), now
+            )
+            yield OpenConnection(self.newest)
         ending, self.ending = self.ending, []
         for link in ending:
-            yield End(link)
+            yield CloseConnection(link)
 
-    def tend(self, now: int) -> Iterator[News]:
+    def tend(self, now: int) -> Iterator[ListUpdate]:
         """Look at time: watches that fell silent, and lists that are now believed. Sockets are read between
         two calls."""
         link = self.newest
@@ -114,7 +117,7 @@
             if news is not None:
                 yield news
 
-    def _lost(self, link: Link, cause: str, now: int, later: bool) -> None:
+    def _lost(self, link: DiscoveryConnection, cause: str, now: int, later: bool) -> None:
         """The newest is no good any more: the next dial follows, at once or after a wait."""
         self.events.append(("discovery lost", {"address": "{}:{}".format(*link.address), "cause": cause}))
         if link.watch.told:
@@ -124,18 +127,18 @@
             self.dial_at += int(self.wait * self.random.uniform(0.5, 1.0))
             self.wait = min(2 * self.wait, WAIT_MOST)
 
-    def connected(self, link: Link) -> bytes | None:
+    def connected(self, link: DiscoveryConnection) -> bytes | None:
         """A dial came up; what is to be written, or None if nobody owns the link any more."""
         return link.watch.request() if self.owned(link) else None
 
-    def received(self, link: Link, data: bytes, now: int) -> Iterator[News]:
+    def received(self, link: DiscoveryConnection, data: bytes, now: int) -> Iterator[ListUpdate]:
         """Bytes came on a link."""
         if not self.owned(link):
             return
         link.since, link.doubted = now, False
         try:
             yield from link.watch.received(data, now)
-        except BadWatch as why:
+        except DiscoveryError as why:
             self.ending.append(link)
             self.ended(link, str(why), now)
         watch = link.watch
@@ -143,7 +146,7 @@
             self.ending.append(self.before)
             self.before = None
 
-    def ended(self, link: Link, cause: str, now: int) -> None:
+    def ended(self, link: DiscoveryConnection, cause: str, now: int) -> None:
         """A link broke, or its dial failed."""
         if link is self.before:
             self.before = None
--- a/swiftchute/platform/endpoint_list.py
+++ b/swiftchute/platform/endpoint_list.py
@@ -1,10 +1,10 @@
 """Discovery's list and its watch, over HTTP/1.1 by h11. No I/O, no clock.
 
-    catalog = Catalog(zones)
+    catalog = EndpointList(zones)
     news = catalog.held(known)                  # the list of the configuration: the first news
-    watch = Watch(catalog, host)
+    watch = DiscoveryWatch(catalog, host)
     watch.request()                             # bytes to write; the watch goes on from the last revision
-    for news in watch.received(data, now): ...  # News; raises BadWatch: dial again, the last good list stays
+    for news in watch.received(data, now): ...  # may raise DiscoveryError: connect again
     news = watch.caught_up(now)                 # from time to time, while `watch.behind`
 
 An entry that cannot be used is passed over and counted; what is known of its server stands.
@@ -22,6 +22,7 @@
 import msgspec
 
 from swiftchute.api.endpoints import EndpointRecord, EndpointState
+from swiftchute.platform.errors import DiscoveryError
 
 MS = 1_000_000
 PATH = "/catalog/members"
@@ -37,10 +38,6 @@
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=256)]
 
 
-class BadWatch(Exception):
-    """An answer that cannot be believed or read; its text says why."""
-
-
 class _Member(msgspec.Struct):
     id: Name
     locality: str
@@ -64,7 +61,7 @@
 
 
 @dataclass(frozen=True)
-class News:
+class ListUpdate:
     """What a line brings, in the words of `interface`: "held", "whole" or "changes"; and entries that were
     passed over, with why."""
 
@@ -83,7 +80,7 @@
 
 
 @dataclass
-class Catalog:
+class EndpointList:
     """The last good list and its revision; it outlives every watch."""
 
     zones: tuple[str, ...]
@@ -91,16 +88,16 @@
     servers: dict[str, EndpointRecord] = field(default_factory=dict)
     stale: int = 0  # lines that told of nothing newer
 
-    def held(self, text: bytes) -> News:
-        """The list as this planner last had it. Raises `BadWatch`."""
+    def held(self, text: bytes) -> ListUpdate:
+        """The list as this planner last had it. Raises `DiscoveryError`."""
         given, found, passed = self.read(text)
         return self._whole(given.revision, self._kept(found, passed), "held", passed)
 
-    def line(self, text: bytes) -> News | None:
-        """One line of a watch that is not behind. Raises `BadWatch`."""
+    def line(self, text: bytes) -> ListUpdate | None:
+        """One line of a watch that is not behind. Raises `DiscoveryError`."""
         return self._line(*self.read(text))
 
-    def _line(self, given: _List, found: dict[str, EndpointRecord], passed: list[str]) -> News | None:
+    def _line(self, given: _List, found: dict[str, EndpointRecord], passed: list[str]) -> ListUpdate | None:
         if self.older(given.revision):
             self.stale += 1  # late: what is known is newer
             return None
@@ -114,13 +111,13 @@
         return self.revision is not None and revision < self.revision
 
     def read(self, text: bytes) -> tuple[_List, dict[str, EndpointRecord], list[str]]:
-        """A line with its entries, and those passed over with why. Raises `BadWatch`."""
+        """A line with its entries, and those passed over with why. Raises `DiscoveryError`."""
         try:
             given = _lists.decode(text)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as why:
-            raise BadWatch(f"not a list: {why}") from None
+            raise DiscoveryError(f"not a list: {why}") from None
         if len(given.members) > SERVERS_MOST:
-            raise BadWatch(f"{len(given.members)} members; {SERVERS_MOST} at most")
+            raise DiscoveryError(f"{len(given.members)} members; {SERVERS_MOST} at most")
         passed: list[str] = []
         found: dict[str, EndpointRecord] = {}
         for place, raw in enumerate(given.members, 1):
@@ -133,18 +130,18 @@
         """The servers of a whole list."""
         kept = {n: e for n, e in found.items() if e.state != EndpointState.REMOVED}
         if not kept and self.servers:
-            raise BadWatch("a whole list without a server")
+            raise DiscoveryError("a whole list without a server")
         if passed:  # one of them may be a server that is known: it is not gone for that
             kept = {n: e for n, e in self.servers.items() if n not in kept} | kept
         return kept
 
     def _whole(
         self, revision: int, servers: dict[str, EndpointRecord], scope: str, passed: list[str]
-    ) -> News:
+    ) -> ListUpdate:
         self.revision, self.servers = revision, servers
-        return News(scope, tuple(servers.values()), tuple(passed))
+        return ListUpdate(scope, tuple(servers.values()), tuple(passed))
 
-    def _changes(self, found: dict[str, EndpointRecord], passed: list[str]) -> News | None:
+    def _changes(self, found: dict[str, EndpointRecord], passed: list[str]) -> ListUpdate | None:
         for server, entry in list(found.items()):
             if entry.state == EndpointState.REMOVED:
                 self.servers.pop(server, None)
@@ -153,20 +150,20 @@
             else:
                 passed.append(f"{server!r}: more than {SERVERS_MOST} servers")
                 del found[server]
-        return News("changes", tuple(found.values()), tuple(passed)) if found or passed else None
+        return ListUpdate("changes", tuple(found.values()), tuple(passed)) if found or passed else None
 
     # -- a watch that is behind
 
-    def begin_behind(self, text: bytes, now: int) -> tuple[Behind | None, News | None]:
-        """The first line of a watch: what it holds if it is behind, and the news in it. Raises `BadWatch`."""
+    def begin_behind(self, text: bytes, now: int) -> tuple[Behind | None, ListUpdate | None]:
+        """The first line of a watch: its list if it lags, and the update in it."""
         given, found, passed = self.read(text)
         if not (given.complete and self.older(given.revision)):
             return None, self._line(given, found, passed)
         self.stale += 1
         return Behind(now, given.revision, self._kept(found, passed)), self._ends(found, passed)
 
-    def follow(self, behind: Behind, text: bytes) -> News | None:
-        """A later line of a watch that is behind. Raises `BadWatch`."""
+    def follow(self, behind: Behind, text: bytes) -> ListUpdate | None:
+        """A later line of a watch that is behind. Raises `DiscoveryError`."""
         given, found, passed = self.read(text)
         if given.complete:
             behind.servers = self._kept(found, passed)
@@ -175,11 +172,11 @@
                 n: e for n, e in (behind.servers | found).items() if e.state != EndpointState.REMOVED
             }
         if len(behind.servers) > SERVERS_MOST:
-            raise BadWatch(f"more than {SERVERS_MOST} servers")
+            raise DiscoveryError(f"more than {SERVERS_MOST} servers")
         behind.revision = given.revision
         return self._ends(found, passed)
 
-    def _ends(self, found: dict[str, EndpointRecord], passed: list[str]) -> News | None:
+    def _ends(self, found: dict[str, EndpointRecord], passed: list[str]) -> ListUpdate | None:
         """Of entries that may be old: drains and ends of a life that goes on here."""
         ends = {
             server: entry
@@ -191,7 +188,7 @@
         }
         return self._changes(ends, passed)
 
-    def caught_up(self, behind: Behind) -> News:
+    def caught_up(self, behind: Behind) -> ListUpdate:
         """The list of a watch that was behind is the list now."""
         return self._whole(behind.revision, dict(behind.servers), "whole", [])
 
@@ -212,10 +209,10 @@
         )
 
 
-class Watch:
+class DiscoveryWatch:
     """One connection to discovery."""
 
-    def __init__(self, catalog: Catalog, host: str) -> None:
+    def __init__(self, catalog: EndpointList, host: str) -> None:
         """`host` is what the request names as its host."""
         self.catalog, self.host = catalog, host
         self.http = h11.Connection(h11.CLIENT)
@@ -235,7 +232,7 @@
         )
         return (self.http.send(asked) or b"") + (self.http.send(h11.EndOfMessage()) or b"")
 
-    def received(self, data: bytes, now: int) -> Iterator[News]:
+    def received(self, data: bytes, now: int) -> Iterator[ListUpdate]:
         """Take in bytes, in pieces of any size; no bytes are the end of the connection."""
         try:
             self.http.receive_data(data)
@@ -245,16 +242,16 @@
                     return
                 if isinstance(event, h11.Response):
                     if event.status_code != 200:
-                        raise BadWatch(f"status {event.status_code}")
+                        raise DiscoveryError(f"status {event.status_code}")
                     self.answered = True
                 elif isinstance(event, h11.Data):
                     yield from self._lines(bytes(event.data), now)
                 elif isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
-                    raise BadWatch("the watch ended")
+                    raise DiscoveryError("the watch ended")
         except h11.RemoteProtocolError as why:
-            raise BadWatch(f"not HTTP: {why}") from None
+            raise DiscoveryError(f"not HTTP: {why}") from None
 
-    def _lines(self, data: bytes, now: int) -> Iterator[News]:
+    def _lines(self, data: bytes, now: int) -> Iterator[ListUpdate]:
         self.rest += data
         if b"\n" in data:
             *lines, rest = bytes(self.rest).split(b"\n")
@@ -269,9 +266,9 @@
                     if news is not None:
                         yield news
         if len(self.rest) > LINE_MOST:
-            raise BadWatch(f"a line of more than {LINE_MOST} bytes")
+            raise DiscoveryError(f"a line of more than {LINE_MOST} bytes")
 
-    def _line(self, line: bytes, now: int) -> News | None:
+    def _line(self, line: bytes, now: int) -> ListUpdate | None:
         first, self.told = not self.told, True
         if first:
             self.behind, news = self.catalog.begin_behind(line, now)
@@ -280,7 +277,7 @@
             return self.catalog.follow(self.behind, line)
         return self.catalog.line(line)
 
-    def caught_up(self, now: int) -> News | None:
+    def caught_up(self, now: int) -> ListUpdate | None:
         """Its list becomes the list once it tells of all that is known, or has had the time to."""
         behind = self.behind
         if behind is None or self.catalog.older(behind.revision) and now - behind.since < CATCH_UP:
--- a/swiftchute/platform/logging.py
+++ b/swiftchute/platform/logging.py
@@ -10,7 +10,7 @@
 TEXT_MOST = 4000  # bytes of a line
 
 
-class Log:
+class EventLog:
     """Writes events; a stream that takes no more (its reader is gone) stops nothing."""
 
     def __init__(self, name: str, stream: TextIO = sys.stderr) -> None:
--- a/swiftchute/platform/proxy_session.py
+++ b/swiftchute/platform/proxy_session.py
@@ -1,6 +1,6 @@
 """One connection at the planner's address: bytes and times in, calls and bytes out. No I/O.
 
-    stream = Stream(front, now)
+    stream = ProxySession(front, now)
     stream.received(data, now)      # calls go to the front; then look at `out` and `ended`
     stream.out                      # bytes to write; the shell takes them
     stream.ended                    # None, or why the connection is to be closed once `out` is written
@@ -14,16 +14,17 @@
 from typing import TYPE_CHECKING, Any
 
 from swiftchute.platform import wire_messages
+from swiftchute.platform.errors import MalformedMessageError, UnreadableMessageError
 
 if TYPE_CHECKING:
-    from swiftchute.platform.session_manager import Front
+    from swiftchute.platform.session_manager import SessionManager
 
 MS = 1_000_000
 FIRST_MOST = 1 << 13  # bytes of a message before joining: as many connections as descriptors may hold them
 MARKS_MOST = 256  # marks that a proxy may owe; past it the oldest counts as lost
 
 
-class Stream:
+class ProxySession:
     """The state of one connection."""
 
     __slots__ = (
@@ -31,7 +32,7 @@
         "tag", "wrote", "old",
     )  # fmt: skip
 
-    def __init__(self, front: "Front", now: int) -> None:
+    def __init__(self, front: "SessionManager", now: int) -> None:
         """A connection that has said nothing yet."""
         self.front, self.since, self.heard = front, now, now
         self.rest = bytearray()
@@ -86,13 +87,13 @@
     def _line(self, line: bytes, now: int) -> None:
         try:
             message = wire_messages.read(line)
-        except wire_messages.Spoilt as why:
+        except MalformedMessageError as why:
             if self.joined:
                 self.front.dropped(self, str(why))
             else:
                 self.end(str(why))
             return
-        except wire_messages.Unreadable as why:
+        except UnreadableMessageError as why:
             if not line.strip():
                 self.end("an empty line")
             else:
--- a/swiftchute/platform/push_encoder.py
+++ b/swiftchute/platform/push_encoder.py
@@ -1,6 +1,6 @@
 """From a round's orders to one `push` message a proxy. No I/O, and nothing waits here.
 
-    writer = Writer(settings, orders)
+    writer = PushEncoder(settings, orders)
     writer.joined(proxy, fresh); writer.left(proxy)
     writer.listed(entries, whole)
     data, lines = writer.message(proxy, seal)      # from what was last written to what it should hold now
@@ -23,6 +23,7 @@
 from swiftchute.api.settings import Settings
 from swiftchute.controller.assignments import Orders
 from swiftchute.platform import wire_messages
+from swiftchute.platform.errors import MessageTooLargeError
 
 PART_LINES = 2000  # lines of one part of a message; far below the protocol's size of a message
 PARTS_MOST = 64  # parts of one message, the protocol's limit
@@ -30,10 +31,6 @@
 CACHE_MOST = 64  # encoded messages that proxies of a round may share
 
 
-class TooLarge(Exception):
-    """A message of more parts than the protocol lets through."""
-
-
 @dataclass(frozen=True, eq=False)
 class Content:
     """What a table holds: weights by server, and by operation's place the level and the way of further
@@ -54,7 +51,7 @@
     cleared: set[str] = field(default_factory=set)  # of a strange one: servers whose state is known
 
 
-class Writer:
+class PushEncoder:
     """What was written to each joined proxy."""
 
     def __init__(self, settings: Settings, orders: Orders) -> None:
@@ -248,7 +245,7 @@
         if seal is not None:
             parts[-1]["nonce_out"] = seal
         if len(parts) > PARTS_MOST:
-            raise TooLarge(f"{len(parts)} parts")
+            raise MessageTooLargeError(f"{len(parts)} parts")
         lines = sum(
             len(part.get("endpoints", ())) + len(part.get("eject", ())) + len(part.get("restore", ()))
             + ("admit" in part) + ("full" in part) + ("nonce_out" in part)
--- a/swiftchute/platform/server.py
+++ b/swiftchute/platform/server.py
@@ -1,6 +1,6 @@
 """The sockets of one planner on the platform: bytes between them and the state machines. It decides nothing.
 
-    asyncio.run(Shell(told, environment, log).run())      # until SIGTERM or SIGINT; on uvloop
+    asyncio.run(Server(told, environment, log).run())      # until SIGTERM or SIGINT; on uvloop
 
 A round runs at most every 5 ms, and what lies in the sockets when it is due is read before it: one turn of
 the event loop polls all sockets, so a round waits for a whole turn after its timer.
@@ -18,10 +18,11 @@
 
 from swiftchute.controller.policy_runner import Loop
 from swiftchute.platform import settings as reader
-from swiftchute.platform.discovery_client import Dial, Link, Watches
-from swiftchute.platform.endpoint_list import BadWatch, Catalog
-from swiftchute.platform.session_manager import OUT_MOST, Front
-from swiftchute.platform.settings import BadSettings, Told
+from swiftchute.platform.discovery_client import DiscoveryClient, DiscoveryConnection, OpenConnection
+from swiftchute.platform.endpoint_list import EndpointList
+from swiftchute.platform.errors import DiscoveryError, SettingsError
+from swiftchute.platform.session_manager import OUT_MOST, SessionManager
+from swiftchute.platform.settings import Configuration
 from swiftchute.platform.signals import StartupSignals
 from swiftchute.policy import Reconciler
 
@@ -43,7 +44,7 @@
 class _Client(asyncio.Protocol):
     """A connection at the planner's address."""
 
-    def __init__(self, shell: "Shell") -> None:
+    def __init__(self, shell: "Server") -> None:
         self.shell = shell
 
     def connection_made(self, transport: Any) -> None:
@@ -106,7 +107,7 @@
 class _Discovery(asyncio.Protocol):
     """One connection to discovery, from its dial on."""
 
-    def __init__(self, shell: "Shell", link: Link) -> None:
+    def __init__(self, shell: "Server", link: DiscoveryConnection) -> None:
         self.shell, self.link = shell, link
         self.transport: Any = None
         self.dial = asyncio.ensure_future(self._dial())
@@ -140,20 +141,20 @@
             self.dial.cancel()
 
 
-class Shell:
+class Server:
     """One running planner."""
 
-    def __init__(self, told: Told, environment: Mapping[str, str], log: Any) -> None:
-        """Nothing is opened yet. Raises `BadSettings` where the held list cannot be used."""
+    def __init__(self, told: Configuration, environment: Mapping[str, str], log: Any) -> None:
+        """Nothing is opened yet. Raises `SettingsError` where the held list cannot be used."""
         self.told, self.environment, self.log = told, environment, log
         self.clock = clock()
         self.random = random.Random(told.seed)
-        self.catalog = Catalog(told.settings.zones)
+        self.catalog = EndpointList(told.settings.zones)
         self.loop = Loop(told.settings, told.seed, Reconciler, self.clock())
-        self.front = Front(self.loop, self.sockets())
+        self.front = SessionManager(self.loop, self.sockets())
         self.clients: set[_Client] = set()
         self.rounds_cpu = 0
-        self.watches = Watches(self.catalog, self.random)
+        self.watches = DiscoveryClient(self.catalog, self.random)
         self.stopped: asyncio.Event | None = None  # once stopping: set when all connections are over
         self.armed: Any = None  # the timer of a round that is due
         self.sleeping: Any = None  # that of the next one by time
@@ -161,8 +162,8 @@
         if told.known is not None:
             try:
                 self.news(self.catalog.held(told.known))
-            except BadWatch as why:
-                raise BadSettings(f"{environment.get('GW_CONFIG')}: known: {why}") from None
+            except DiscoveryError as why:
+                raise SettingsError(f"{environment.get('GW_CONFIG')}: known: {why}") from None
 
     def sockets(self) -> int:
         """Descriptors that this process may hold: the configuration's figure, or the system's lower one."""
@@ -180,7 +181,7 @@
         try:
             server = await self.events.create_server(lambda: _Client(self), host, port, backlog=BACKLOG)
         except OSError as why:
-            raise BadSettings(f"listen: {host}:{port}: {why}") from None
+            raise SettingsError(f"listen: {host}:{port}: {why}") from None
         self.log("serving", address=f"{host}:{port}", servers=len(self.catalog.servers))
         self.watches.at(self.told.discovery, self.clock())
         self.watch()
@@ -291,14 +292,14 @@
     def watch(self) -> None:
         """Carry out what is to be done about the watch."""
         for act in self.watches.acts(self.clock()):
-            if isinstance(act, Dial):
+            if isinstance(act, OpenConnection):
                 act.link.tag = _Discovery(self, act.link)
             else:
                 act.link.tag.end()
         for event, fields in self.watches.take_events():
             self.log(event, **fields)
 
-    def unwatched(self, link: Link, cause: str) -> None:
+    def unwatched(self, link: DiscoveryConnection, cause: str) -> None:
         """A connection to discovery is over, or did not come up."""
         self.watches.ended(link, cause, self.clock())
         self.watch()
@@ -307,7 +308,7 @@
         """SIGHUP: the file is read anew; a bad one is refused and the old one holds."""
         try:
             told = reader.read(self.environment)
-        except BadSettings as why:
+        except SettingsError as why:
             self.log("reload refused", cause=str(why))
             return
         for field in ("name", "listen", "settings"):
--- a/swiftchute/platform/session_manager.py
+++ b/swiftchute/platform/session_manager.py
@@ -1,6 +1,6 @@
 """All connections of one planner, between its round loop and its sockets. No I/O.
 
-    front = Front(loop, sockets)
+    front = SessionManager(loop, sockets)
     stream = front.opened(now); stream.received(data, now); front.closed(stream, cause)
     front.listed(scope, entries)        # from discovery
     for stream, data in front.turn(now): ...
@@ -19,8 +19,9 @@
 from swiftchute.controller.assignments import Round
 from swiftchute.controller.policy_runner import Loop
 from swiftchute.platform import wire_messages
-from swiftchute.platform.proxy_session import Stream
-from swiftchute.platform.push_encoder import TooLarge, Writer
+from swiftchute.platform.errors import MessageTooLargeError
+from swiftchute.platform.proxy_session import ProxySession
+from swiftchute.platform.push_encoder import PushEncoder
 
 MS, S = 1_000_000, 1_000_000_000
 JOIN_WITHIN = 1 * S  # a connection that has not joined by then is closed, once its socket was read again
@@ -36,7 +37,7 @@
 SPOILT_LOGGED = 3  # spoilt messages that are told one by one; the rest is counted
 
 
-class Front:
+class SessionManager:
     """The state of a planner's address."""
 
     def __init__(self, loop: Loop, sockets: int) -> None:
@@ -45,11 +46,11 @@
         self.operations = {op.name for op in self.set.operations}
         self.zones = set(self.set.zones)
         self.longest = max(2 * max(op.timeout_ns for op in self.set.operations), MEAN_LEAST)
-        self.writer = Writer(self.set, loop.orders)
-        self.streams: dict[int, Stream] = {}  # by proxy
-        self.collectors: dict[Stream, None] = {}
-        self.unjoined: dict[Stream, None] = {}  # the oldest first
-        self.ending: list[Stream] = []  # to be closed by the shell
+        self.writer = PushEncoder(self.set, loop.orders)
+        self.streams: dict[int, ProxySession] = {}  # by proxy
+        self.collectors: dict[ProxySession, None] = {}
+        self.unjoined: dict[ProxySession, None] = {}  # the oldest first
+        self.ending: list[ProxySession] = []  # to be closed by the shell
         self.shut: set[str] = set()  # what was withdrawn when proxies were last written to
         self.pending: dict[int, int | None] = {}  # proxies that could not be written to: their newest mark
         self.counts = dict.fromkeys(
@@ -60,9 +61,9 @@
 
     # -- connections
 
-    def opened(self, now: int) -> Stream:
+    def opened(self, now: int) -> ProxySession:
         """A connection was accepted; past the bound the oldest that has not joined gives way."""
-        stream = Stream(self, now)
+        stream = ProxySession(self, now)
         self.counts["opened"] += 1
         self.unjoined[stream] = None
         # By descriptors alone: a whole fleet may come at once, read only after all of it was accepted.
@@ -72,12 +73,12 @@
             self._refuse(next(iter(self.unjoined)), "too many connections")
         return stream
 
-    def _refuse(self, stream: Stream, cause: str) -> None:
+    def _refuse(self, stream: ProxySession, cause: str) -> None:
         self.unjoined.pop(stream, None)
         stream.end(cause)
         self.ending.append(stream)
 
-    def closed(self, stream: Stream, cause: str) -> None:
+    def closed(self, stream: ProxySession, cause: str) -> None:
         """A connection is over, by whichever side. A proxy's old stream that ends after its new one began
         changes nothing."""
         self.counts["refused"] += not stream.joined and stream.ended is not None
@@ -94,7 +95,7 @@
         self.counts["left"] += 1
         self.loop.event("proxy left", proxy=proxy, cause=cause)
 
-    def dropped(self, stream: Stream, cause: str) -> None:
+    def dropped(self, stream: ProxySession, cause: str) -> None:
         """A spoilt message of a joined connection is passed over."""
         self.counts["spoilt"] += 1
         if self.counts["spoilt"] <= SPOILT_LOGGED or not self.counts["spoilt"] % 100:
@@ -121,7 +122,7 @@
 
     # -- messages
 
-    def take(self, stream: Stream, message: Any, now: int) -> str | None:
+    def take(self, stream: ProxySession, message: Any, now: int) -> str | None:
         """A message other than `probe`; returns why it cannot be used, or None."""
         kind = type(message)
         if kind is wire_messages.Hello:
@@ -136,7 +137,7 @@
             return self._outcomes(stream, message)
         return self._demand(stream, message)
 
-    def _hello(self, stream: Stream, message: wire_messages.Hello, now: int) -> str | None:
+    def _hello(self, stream: ProxySession, message: wire_messages.Hello, now: int) -> str | None:
         if stream.joined:
             return "a second joining"
         if message.proxy >= self.set.proxy_count:
@@ -159,7 +160,7 @@
         self.loop.joined(proxy, message.zone, message.weight, message.fresh)
         return None
 
-    def _agent(self, stream: Stream, message: wire_messages.Agent) -> str | None:
+    def _agent(self, stream: ProxySession, message: wire_messages.Agent) -> str | None:
         if stream.joined:
             return "a second joining"
         if message.zone not in self.zones:
@@ -175,7 +176,7 @@
         self.collectors[stream] = None
         return None
 
-    def _ack(self, stream: Stream, message: wire_messages.Ack) -> str | None:
+    def _ack(self, stream: ProxySession, message: wire_messages.Ack) -> str | None:
         if message.proxy != stream.proxy:
             return "an answer of another proxy"
         if message.took_ms * MS > SPAN_MOST:
@@ -193,7 +194,7 @@
             return f"span_ms {message.span_ms:g}"
         return None
 
-    def _outcomes(self, stream: Stream, message: wire_messages.Outcomes) -> str | None:
+    def _outcomes(self, stream: ProxySession, message: wire_messages.Outcomes) -> str | None:
         if stream.zone is None:
             return "a report of outcomes on a proxy's stream"
         if message.zone not in self.zones:
@@ -224,7 +225,7 @@
         )
         return None
 
-    def _demand(self, stream: Stream, message: wire_messages.Demand) -> str | None:
+    def _demand(self, stream: ProxySession, message: wire_messages.Demand) -> str | None:
         if message.proxy != stream.proxy and stream.zone is None:
             return "usage of another proxy"
         if message.proxy not in self.streams:
@@ -268,7 +269,7 @@
         """When the next turn is due."""
         return self.loop.due
 
-    def turn(self, now: int) -> Iterator[tuple[Stream, bytes]]:
+    def turn(self, now: int) -> Iterator[tuple[ProxySession, bytes]]:
         """Call the module if anything came in, and yield what is to be written now, message by message."""
         done = self.loop.turn(now)
         if self.loop.orders is not self.writer.orders:  # the module started anew after a fault
@@ -287,7 +288,7 @@
                     yield stream, made
         self.writer.begin()
 
-    def _ordered(self, done: Round, now: int) -> Iterator[tuple[Stream, bytes]]:
+    def _ordered(self, done: Round, now: int) -> Iterator[tuple[ProxySession, bytes]]:
         shut = self.loop.orders.shut
         withdrawn = shut - self.shut if done.withdrawals else ()
         if done.withdrawals:
@@ -307,16 +308,16 @@
             if made:
                 yield stream, made
 
-    def _room(self, stream: Stream, now: int) -> bool:
+    def _room(self, stream: ProxySession, now: int) -> bool:
         """Whether a proxy may be written to: it has read enough of what it got, or is tried again."""
         return stream.unread < UNREAD_MOST or now - stream.wrote >= HELD_WAIT
 
     def _write(
-        self, proxy: int, stream: Stream, seal: int | None, withdrawn: Iterable[str], now: int
+        self, proxy: int, stream: ProxySession, seal: int | None, withdrawn: Iterable[str], now: int
     ) -> bytes:
         try:
             data, lines = self.writer.message(proxy, seal, withdrawn)
-        except TooLarge as why:
+        except MessageTooLargeError as why:
             self.counts["too_large"] += 1
             self.loop.event("message too large", proxy=proxy, cause=str(why))
             return b""
--- a/swiftchute/platform/settings.py
+++ b/swiftchute/platform/settings.py
@@ -1,7 +1,7 @@
 """What a planner is told: the JSON file that `GW_CONFIG` names, with `GW_*` for what it leaves out. No
 I/O but reading that file.
 
-    told = read(environment)        # raises BadSettings: file, field and cause
+    told = read(environment)        # raises SettingsError: file, field and cause
 
 `settings` in it is checked here, field by field, and read by `simulator.codec.settings`, as on the
 simulator's wire.
@@ -17,6 +17,7 @@
 import msgspec
 
 from swiftchute.api.settings import Settings
+from swiftchute.platform.errors import SettingsError
 from swiftchute.simulator import codec
 
 FILE_MOST = 16 << 20  # bytes of the file
@@ -108,12 +109,8 @@
     prices: _Prices
 
 
-class BadSettings(Exception):
-    """A configuration that cannot be used; its text names file, field and cause."""
-
-
 @dataclass(frozen=True)
-class Told:
+class Configuration:
     """The configuration, read and checked."""
 
     name: str
@@ -125,43 +122,43 @@
     settings: Settings
 
 
-def read(environment: Mapping[str, str]) -> Told:
+def read(environment: Mapping[str, str]) -> Configuration:
     """Read and check the configuration."""
     path = environment.get("GW_CONFIG", "")
     if not path:
-        raise BadSettings("GW_CONFIG: not set; it names the configuration file")
+        raise SettingsError("GW_CONFIG: not set; it names the configuration file")
     try:
         with open(path, "rb") as file:
             text = file.read(FILE_MOST + 1)
     except OSError as why:
-        raise BadSettings(f"{path}: {why.strerror}") from None
+        raise SettingsError(f"{path}: {why.strerror}") from None
     if len(text) > FILE_MOST:
-        raise BadSettings(f"{path}: more than {FILE_MOST} bytes")
+        raise SettingsError(f"{path}: more than {FILE_MOST} bytes")
     try:
         data = json.loads(text)
         json.dumps(data, ensure_ascii=False).encode()  # half a surrogate pair can be escaped, but not written
     except (ValueError, RecursionError) as why:
-        raise BadSettings(f"{path}: not JSON: {str(why)[:200]}") from None
+        raise SettingsError(f"{path}: not JSON: {str(why)[:200]}") from None
     if not isinstance(data, dict):
-        raise BadSettings(f"{path}: not an object")
+        raise SettingsError(f"{path}: not an object")
     for field, variable in (("name", "GW_NAME"), ("listen", "GW_LISTEN"), ("discovery", "GW_DISCOVERY")):
         if field not in data and environment.get(variable):
             data[field] = environment[variable]
     return _told(path, data)
 
 
-def _told(path: str, data: dict[str, Any]) -> Told:
+def _told(path: str, data: dict[str, Any]) -> Configuration:
     limits = _field(path, data, "limits", dict, {})
     sockets = _field(path, limits, "sockets", int, SOCKETS_USUAL, "limits.")
     if sockets < SOCKETS_LEAST:
-        raise BadSettings(f"{path}: limits.sockets: {sockets}; {SOCKETS_LEAST} at least")
+        raise SettingsError(f"{path}: limits.sockets: {sockets}; {SOCKETS_LEAST} at least")
     seed = data.get("seed", "0")
     try:
         seed = int(seed, 16) if isinstance(seed, str) else int(seed)
     except (TypeError, ValueError, OverflowError):
-        raise BadSettings(f"{path}: seed: {str(seed)[:64]!r} is no number") from None
+        raise SettingsError(f"{path}: seed: {str(seed)[:64]!r} is no number") from None
     known = data.get("known")
-    return Told(
+    return Configuration(
         _field(path, data, "name", str),
         _address(path, data, "listen"),
         _address(path, data, "discovery"),
@@ -175,9 +172,9 @@
 def _field(path: str, data: dict[str, Any], name: str, kind: type, default: Any = None, at: str = "") -> Any:
     value = data.get(name, default)
     if value is None:
-        raise BadSettings(f"{path}: {at}{name}: missing")
+        raise SettingsError(f"{path}: {at}{name}: missing")
     if not isinstance(value, kind) or isinstance(value, bool):
-        raise BadSettings(f"{path}: {at}{name}: {str(value)[:64]!r} is not of type {kind.__name__}")
+        raise SettingsError(f"{path}: {at}{name}: {str(value)[:64]!r} is not of type {kind.__name__}")
     return value
 
 
@@ -190,7 +187,7 @@
     except ValueError:
         usable = False
     if not usable or not 0 < int(port) < 65_536:
-        raise BadSettings(f"{path}: {name}: {text[:64]!r} is not address:port")
+        raise SettingsError(f"{path}: {name}: {text[:64]!r} is not address:port")
     return host.strip("[]"), int(port)
 
 
@@ -204,10 +201,10 @@
         missing = re.fullmatch(r"Object missing required field `(\w+)`", cause)
         if missing:
             at, cause = ".".join(filter(None, (at, missing[1]))), "missing"
-        raise BadSettings(f"{path}: settings: {at + ': ' if at else ''}{cause}") from None
+        raise SettingsError(f"{path}: settings: {at + ': ' if at else ''}{cause}") from None
     for field, names in (("classes", [c.name for c in form.classes]), ("dcs", form.dcs)):
         if len(set(names)) < len(names):
-            raise BadSettings(f"{path}: settings: {field}: a name stands twice")
+            raise SettingsError(f"{path}: settings: {field}: a name stands twice")
     settings = codec.settings(data)
     # Counts are whole; and what divides is not 0: a server that is warm at once, a standing table of nothing.
     return replace(
--- a/swiftchute/platform/wire_messages.py
+++ b/swiftchute/platform/wire_messages.py
@@ -1,9 +1,9 @@
 """The kinds of message at a planner's address, checked as they are read. No I/O.
 
-    message = read(line)            # a Hello, Ack, ...; raises Unreadable or Spoilt
+    message = read(line)            # a Hello, Ack, ...; raises an error
     error(cause), ALIVE             # bytes to write
 
-`Unreadable` is what no reader of JSON takes; `Spoilt` is an object whose fields are not of its kind.
+`UnreadableMessageError` means that the bytes are not JSON, `MalformedMessageError` that a field is wrong.
 """
 
 import json
@@ -11,6 +11,8 @@
 
 import msgspec
 
+from swiftchute.platform.errors import MalformedMessageError, UnreadableMessageError
+
 LINE_MOST = 1 << 20  # bytes of a message; the protocol's limit
 CAUSE_MOST = 200  # characters of a cause that are told to the other side
 
@@ -84,25 +86,17 @@
 _decoder = msgspec.json.Decoder(Message)
 
 
-class Unreadable(Exception):
-    """Bytes that are no JSON object."""
-
-
-class Spoilt(Exception):
-    """An object that is no message: a kind that is not taken, or a field that is missing or cannot be."""
-
-
 def read(line: bytes) -> Message:
-    """Read one line. Raises `Unreadable` or `Spoilt`."""
+    """Read one line. Raises `UnreadableMessageError` or `MalformedMessageError`."""
     try:
         return _decoder.decode(line)
     except msgspec.ValidationError as why:
-        raise Spoilt(str(why)[:CAUSE_MOST]) from None
+        raise MalformedMessageError(str(why)[:CAUSE_MOST]) from None
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as why:
         # NaN and Infinity are no JSON, yet what a careless reporter writes among good messages
         if (b"NaN" in line or b"Infinity" in line) and _object(line):
-            raise Spoilt("a figure that is not finite") from None
-        raise Unreadable(str(why)[:CAUSE_MOST]) from None
+            raise MalformedMessageError("a figure that is not finite") from None
+        raise UnreadableMessageError(str(why)[:CAUSE_MOST]) from None
 
 
 def _object(line: bytes) -> bool:
--- a/tests/platform/test_byte_digest.py
+++ b/tests/platform/test_byte_digest.py
@@ -11,9 +11,9 @@
 
 from swiftchute.controller.policy_runner import Loop
 from swiftchute.platform import session_manager, settings
-from swiftchute.platform.discovery_client import Dial, Watches
-from swiftchute.platform.endpoint_list import Catalog
-from swiftchute.platform.session_manager import Front
+from swiftchute.platform.discovery_client import DiscoveryClient, OpenConnection
+from swiftchute.platform.endpoint_list import EndpointList
+from swiftchute.platform.session_manager import SessionManager
 from swiftchute.policy import Reconciler
 from tests.platform.test_server import wire_settings
 
@@ -71,10 +71,10 @@
         self.now, self.crashes, self.commands = START, 0, []
         self.digest, self.counted, self.written, self.closed = hashlib.sha256(), Counter(), b"", []
         self.loop = Loop(told.settings, told.seed, lambda *made: PolicyOfTheRun(self, *made), self.now)
-        self.front = Front(self.loop, told.sockets)
+        self.front = SessionManager(self.loop, told.sockets)
         self.streams = []
-        self.catalog = Catalog(told.settings.zones)
-        self.watches = Watches(self.catalog, self.loop.random)
+        self.catalog = EndpointList(told.settings.zones)
+        self.watches = DiscoveryClient(self.catalog, self.loop.random)
         self.links = []
         self.list_update(self.catalog.held(told.known))
 
@@ -152,7 +152,7 @@
 
     def discovery_acts(self):
         for act in self.watches.acts(self.now):
-            if isinstance(act, Dial):
+            if isinstance(act, OpenConnection):
                 self.links.append(act.link)
                 self.record("dial", len(self.links) - 1, act.link.address)
             else:
--- a/tests/platform/test_discovery_client.py
+++ b/tests/platform/test_discovery_client.py
@@ -7,8 +7,8 @@
 import pytest
 
 from swiftchute.platform import discovery_client as module
-from swiftchute.platform.discovery_client import Dial, End, Watches
-from swiftchute.platform.endpoint_list import CATCH_UP, Catalog
+from swiftchute.platform.discovery_client import CloseConnection, DiscoveryClient, OpenConnection
+from swiftchute.platform.endpoint_list import CATCH_UP, EndpointList
 
 S = 1_000_000_000
 A, B, C = ("127.0.0.1", 1), ("127.0.0.1", 2), ("127.0.0.1", 3)
@@ -29,10 +29,10 @@
     """Watches on a list of a and b, and what they asked for."""
 
     def __init__(self):
-        self.catalog, self.now = Catalog(("east",)), 1000 * S
+        self.catalog, self.now = EndpointList(("east",)), 1000 * S
         known = {"revision": 41, "complete": True, "members": [member("a"), member("b")]}
         self.catalog.held(json.dumps(known).encode())
-        self.watches = Watches(self.catalog, random.Random(7))
+        self.watches = DiscoveryClient(self.catalog, random.Random(7))
 
     def acts(self):
         return [(type(act), act.link) for act in self.watches.acts(self.now)]
@@ -40,7 +40,7 @@
     def at(self, address):
         """Change the address; the link that is dialled for it."""
         self.watches.at(address, self.now)
-        (link,) = [link for kind, link in self.acts() if kind is Dial]
+        (link,) = [link for kind, link in self.acts() if kind is OpenConnection]
         return link
 
     def up(self, address, *told):
@@ -81,7 +81,7 @@
     world.hear(new, HEAD)  # its head is no list yet
     assert world.hear(old, line(43, False, member("c"))) != []
     world.hear(new, EMPTY)
-    assert world.acts() == [(End, old)]
+    assert world.acts() == [(CloseConnection, old)]
     assert world.hear(old, line(44, False, member("b", "Gone"))) == []  # nobody's
     assert world.states() == {"a": "draining", "b": "ready", "c": "ready"}
 
@@ -91,20 +91,20 @@
     middle = world.at(B)
     world.watches.at(C, world.now)
     (dial, new), (end, ended) = world.acts()
-    assert (dial, end) == (Dial, End)
+    assert (dial, end) == (OpenConnection, CloseConnection)
     assert ended is middle
     assert world.watches.connected(middle) is None  # it came up in the instant it was given up
     assert world.hear(old, line(42, False, member("a", "Terminating"))) != []
     world.watches.connected(new)
     world.hear(new, HEAD, EMPTY)
-    assert world.acts() == [(End, old)]
+    assert world.acts() == [(CloseConnection, old)]
 
 
 def test_a_second_change_after_the_new_head_but_before_its_line_keeps_one_that_was_answered(world):
     old = world.up(A, HEAD, EMPTY)
     middle = world.up(B, HEAD)
     world.watches.at(C, world.now)
-    ended = [link for kind, link in world.acts() if kind is End]
+    ended = [link for kind, link in world.acts() if kind is CloseConnection]
     assert ended == [old]
     assert world.hear(middle, line(42, False, member("a", "Terminating"))) != []
     assert world.states()["a"] == "draining"
@@ -120,16 +120,16 @@
     old = world.up(A, HEAD, EMPTY)
     began = world.now
     done = world.wait(6)
-    dials = [when for kind, _, when in done if kind is Dial]
+    dials = [when for kind, _, when in done if kind is OpenConnection]
     # what is to be told counts as told 6 s later: a dial, and another one if it is not answered, come before
     assert dials[0] - began <= module.SILENT + S // 5
     assert len(dials) == 2
     assert dials[1] - began < CATCH_UP
-    assert old not in [link for kind, link, _ in done if kind is End]
+    assert old not in [link for kind, link, _ in done if kind is CloseConnection]
     assert world.hear(old, line(42, False, member("a", "Terminating"))) != []  # it speaks after all
-    newest = [link for kind, link, _ in done if kind is Dial][-1]
+    newest = [link for kind, link, _ in done if kind is OpenConnection][-1]
     world.hear(newest, HEAD, EMPTY)
-    assert (End, old) in world.acts()
+    assert (CloseConnection, old) in world.acts()
 
 
 def test_an_empty_line_every_two_seconds_is_no_silence(world):
@@ -169,8 +169,8 @@
 def test_a_dial_that_hangs_is_given_up_and_repeated(world):
     link = world.at(A)
     done = world.wait(6)
-    assert (End, link) in [(kind, ended) for kind, ended, _ in done]
-    assert 2 <= sum(kind is Dial for kind, _, _ in done) <= 5
+    assert (CloseConnection, link) in [(kind, ended) for kind, ended, _ in done]
+    assert 2 <= sum(kind is OpenConnection for kind, _, _ in done) <= 5
     assert world.watches.connected(link) is None
 
 
@@ -186,11 +186,11 @@
     old, new = world.up(A, HEAD, EMPTY), world.at(B)
     world.watches.connected(new)
     assert world.hear(new, b"SSH-2.0-nothing\r\n\r\n") == []
-    assert world.acts() == [(End, new)]
+    assert world.acts() == [(CloseConnection, new)]
     world.watches.ended(new, "the connection ended", world.now)  # the shell tells of the end as well
     assert [cause for _, cause in world.watches.take_events()][0]["cause"].startswith("not HTTP")
     assert world.hear(old, line(42, False, member("a", "Terminating"))) != []
-    assert [kind for kind, _, _ in world.wait(0.2)] == [Dial]
+    assert [kind for kind, _, _ in world.wait(0.2)] == [OpenConnection]
 
 
 def test_a_new_discovery_that_lags_behind_the_old_one_does_not_end_it(world):
@@ -201,7 +201,7 @@
     last = line(45, False, member("a", "Terminating"), member("b", "Terminating"), member("c"))
     caught = world.hear(new, last)
     assert caught[-1].scope == "whole"
-    assert world.acts() == [(End, old)]
+    assert world.acts() == [(CloseConnection, old)]
     assert world.states() == {"a": "draining", "b": "draining", "c": "ready"}
 
 
--- a/tests/platform/test_endpoint_list.py
+++ b/tests/platform/test_endpoint_list.py
@@ -5,7 +5,8 @@
 import pytest
 
 from swiftchute.platform import endpoint_list as module
-from swiftchute.platform.endpoint_list import BadWatch, Catalog, Watch
+from swiftchute.platform.endpoint_list import DiscoveryWatch, EndpointList
+from swiftchute.platform.errors import DiscoveryError
 
 MS, S = 1_000_000, 1_000_000_000
 NOW = 1000 * S
@@ -28,7 +29,7 @@
 
 @pytest.fixture
 def catalog():
-    made = Catalog(("east", "west"))
+    made = EndpointList(("east", "west"))
     made.held(line(41, True, member("a"), member("b")))
     return made
 
@@ -38,7 +39,7 @@
 
 
 def test_the_list_of_the_configuration_is_the_held_one():
-    catalog = Catalog(("east", "west"))
+    catalog = EndpointList(("east", "west"))
     news = catalog.held(
         line(41, True, member("a", up_since_ms=1_796_000_000_123), member("b", "Terminating"))
     )
@@ -49,10 +50,10 @@
 
 
 def test_a_watch_goes_on_from_the_last_revision(catalog):
-    asked = Watch(catalog, "127.0.0.1:8500").request()
+    asked = DiscoveryWatch(catalog, "127.0.0.1:8500").request()
     assert asked.startswith(b"GET /catalog/members?watch=1&after=41 HTTP/1.1\r\n")
     assert asked.endswith(b"\r\n\r\n")
-    assert b"GET /catalog/members?watch=1 HTTP" in Watch(Catalog(("east",)), "h").request()
+    assert b"GET /catalog/members?watch=1 HTTP" in DiscoveryWatch(EndpointList(("east",)), "h").request()
 
 
 STREAM = HEAD + chunk(line(42, False, member("c"))) + chunk(b"\n") + chunk(
@@ -63,9 +64,9 @@
 
 def test_bytes_may_be_split_at_every_place():
     for place in range(1, len(STREAM)):
-        catalog = Catalog(("east", "west"))
+        catalog = EndpointList(("east", "west"))
         catalog.held(line(41, True, member("a"), member("b")))
-        watch = Watch(catalog, "h")
+        watch = DiscoveryWatch(catalog, "h")
         watch.request()
         news = [n for piece in (STREAM[:place], STREAM[place:]) for n in watch.received(piece, NOW)]
         assert [names(n) for n in news] == [
@@ -77,13 +78,13 @@
 
 def test_a_cut_in_the_middle_of_a_chunk_loses_nothing(catalog):
     for place in range(len(HEAD) + 5, len(STREAM), 7):
-        watch = Watch(catalog, "h")
+        watch = DiscoveryWatch(catalog, "h")
         watch.request()
         list(watch.received(STREAM[:place], NOW))
-        with pytest.raises(BadWatch):
+        with pytest.raises(DiscoveryError):
             list(watch.received(b"", NOW))
     assert catalog.revision in (42, 43, 44)
-    again = Watch(catalog, "h")
+    again = DiscoveryWatch(catalog, "h")
     assert b"after=%d " % catalog.revision in again.request()
     data = HEAD + chunk(line(50, True, member("x")))
     assert [names(n) for n in again.received(data, NOW)] == [[("x", "ready")]]
@@ -98,9 +99,9 @@
     HEAD + chunk(b'{"revision":50,"complete":true,"members":{}}\n'),
 ])  # fmt: skip
 def test_an_answer_that_cannot_be_used_ends_the_watch_and_keeps_the_list(catalog, answer):
-    watch = Watch(catalog, "h")
+    watch = DiscoveryWatch(catalog, "h")
     watch.request()
-    with pytest.raises(BadWatch):
+    with pytest.raises(DiscoveryError):
         list(watch.received(answer, NOW))
     assert set(catalog.servers) == {"a", "b"}
     assert catalog.revision == 41
@@ -108,9 +109,9 @@
 
 def test_a_line_without_an_end_is_bounded(catalog, monkeypatch):
     monkeypatch.setattr(module, "LINE_MOST", 100)
-    watch = Watch(catalog, "h")
+    watch = DiscoveryWatch(catalog, "h")
     watch.request()
-    with pytest.raises(BadWatch, match="more than 100 bytes"):
+    with pytest.raises(DiscoveryError, match="more than 100 bytes"):
         list(watch.received(HEAD + chunk(b"x" * 101), NOW))
 
 
@@ -124,7 +125,7 @@
 
 def watched(catalog, *lines, now=NOW):
     """A watch that was answered and told these lines, and what it brought."""
-    watch = Watch(catalog, "h")
+    watch = DiscoveryWatch(catalog, "h")
     watch.request()
     return watch, list(watch.received(HEAD + b"".join(chunk(told) for told in lines), now))
 
@@ -153,7 +154,7 @@
     (news,) = watch.received(told, NOW + S)
     assert names(news) == [("c", "draining")]  # b's drain is of a life that is over
     assert {s: e[4] for s, e in catalog.servers.items()} == {"a": "draining", "b": "ready", "c": "draining"}
-    assert b"after=43 " in Watch(catalog, "h").request()
+    assert b"after=43 " in DiscoveryWatch(catalog, "h").request()
     last = chunk(line(43, False, member("a", "Terminating"), member("b", up_since_ms=9000), member("c")))
     news = list(watch.received(last, NOW + 2 * S))
     assert news[-1].scope == "whole"
@@ -163,12 +164,12 @@
 
 def test_a_list_that_is_behind_is_bounded_and_never_empty(catalog, monkeypatch):
     watch, _ = watched(catalog, line(40, True, member("a")))
-    with pytest.raises(BadWatch, match="without a server"):
+    with pytest.raises(DiscoveryError, match="without a server"):
         list(watch.received(chunk(line(41, True)), NOW))
     monkeypatch.setattr(module, "SERVERS_MOST", 2)
     watch, _ = watched(catalog, line(40, True, member("a")))
     list(watch.received(chunk(line(40, False, member("x"))), NOW))
-    with pytest.raises(BadWatch, match="more than 2 servers"):
+    with pytest.raises(DiscoveryError, match="more than 2 servers"):
         list(watch.received(chunk(line(40, False, member("y"))), NOW))
 
 
--- a/tests/platform/test_push_encoder.py
+++ b/tests/platform/test_push_encoder.py
@@ -14,7 +14,8 @@
 from swiftchute.api.settings import Settings
 from swiftchute.controller.assignments import Orders
 from swiftchute.platform import push_encoder as module
-from swiftchute.platform.push_encoder import TooLarge, Writer
+from swiftchute.platform.errors import MessageTooLargeError
+from swiftchute.platform.push_encoder import PushEncoder
 from tests.conftest import FACTS, operation
 
 CLASSES = ("read", "write")
@@ -118,7 +119,7 @@
 class World:
     """A planner's orders, the writer, and proxies that read."""
 
-    def __init__(self, make=Writer, strange=()):
+    def __init__(self, make=PushEncoder, strange=()):
         self.orders = Orders(SET)
         self.writer = make(SET, self.orders)
         self.ordered, self.readers, self.seal = Ordered(), {}, 0
@@ -185,35 +186,35 @@
     assert world.agrees()
 
 
-class KeepsLines(Writer):
+class KeepsLines(PushEncoder):
     """Broken: a line that goes is not told."""
 
     def _table(self, places, lines, levels, full):
         return super()._table(places, {s: w for s, w in lines.items() if w}, levels, full)
 
 
-class ForgetsWhole(Writer):
+class ForgetsWhole(PushEncoder):
     """Broken: a table is never whole."""
 
     def _table(self, places, lines, levels, full):
         return super()._table(places, lines, levels, False)
 
 
-class MixesClasses(Writer):
+class MixesClasses(PushEncoder):
     """Broken: a part is for all classes."""
 
     def _routes(self, places):
         return {}
 
 
-class ForgetsDoors(Writer):
+class ForgetsDoors(PushEncoder):
     """Broken: what is let back is not told."""
 
     def _doors(self, held, contents, withdrawn):
         return super()._doors(held, contents, withdrawn)[0], []
 
 
-class SharesTooMuch(Writer):
+class SharesTooMuch(PushEncoder):
     """Broken: proxies share bytes whatever they held."""
 
     def message(self, proxy, seal, withdrawn=()):
@@ -315,7 +316,7 @@
     for k in range(700):
         world.orders.set_weight(2, f"s{k}", 1.0)
     world.orders.assign_table(1, 2, 0)
-    with pytest.raises(TooLarge, match="70 parts"):
+    with pytest.raises(MessageTooLargeError, match="70 parts"):
         world.writer.message(1, 3)
 
 
--- a/tests/platform/test_races.py
+++ b/tests/platform/test_races.py
@@ -20,7 +20,7 @@
 
 from swiftchute.platform import server, settings
 from swiftchute.platform.discovery_client import SILENT
-from swiftchute.platform.server import Shell
+from swiftchute.platform.server import Server
 from tests.platform.test_server import MEMBERS, ROOT, WAIT, Client, Discovery, free_port, wire_settings
 
 S = 1_000_000_000
@@ -90,7 +90,7 @@
         } | more  # fmt: skip
         self.write()
         environment = {"GW_CONFIG": str(self.file)}
-        self.shell = Shell(settings.read(environment), environment, self.log)
+        self.shell = Server(settings.read(environment), environment, self.log)
         clock = self.shell.clock
         self.shell.clock = lambda: clock() + self.ahead
 
@@ -312,7 +312,7 @@
 
 
 def test_connections_accepted_between_the_listeners_close_and_the_end(play, monkeypatch):
-    stop, late = Shell._stop, []
+    stop, late = Server._stop, []
 
     async def held(self, server):
         for _ in range(5):  # accepted by the kernel, with bytes to read, not seen by the loop
@@ -321,7 +321,7 @@
         self.events.call_soon(lambda: None)
         await stop(self, server)
 
-    monkeypatch.setattr(Shell, "_stop", held)
+    monkeypatch.setattr(Server, "_stop", held)
 
     async def day(world, old):
         proxy = await Client().join(world.port, 0)
@@ -377,10 +377,10 @@
 PLACES = {
     "an import of the start": "uvloop,1",
     "the configuration is read": "swiftchute.platform.settings:read,1",
-    "before the loop's handlers": "swiftchute.platform.server:Shell.__init__,1",
+    "before the loop's handlers": "swiftchute.platform.server:Server.__init__,1",
     "before the listener": "swiftchute.platform.server:_Discovery.__init__,1",
-    "in a round": "swiftchute.platform.session_manager:Front.turn,1",
-    "in the first words of a watch": "swiftchute.platform.discovery_client:Watches.connected,1",
+    "in a round": "swiftchute.platform.session_manager:SessionManager.turn,1",
+    "in the first words of a watch": "swiftchute.platform.discovery_client:DiscoveryClient.connected,1",
 }
 
 
@@ -469,7 +469,7 @@
 @pytest.mark.parametrize("place", ["_stop", "all_ended", "os:_exit"])
 def test_signals_that_come_again_at_the_end_change_nothing(launched, place):
     many = ",".join(str(int(n)) for n in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM))
-    place = place if ":" in place else f"swiftchute.platform.server:Shell.{place}"
+    place = place if ":" in place else f"swiftchute.platform.server:Server.{place}"
     planner = launched(f"{place},9,{many}")
     planner.event("serving")
     assert planner.end() == 0
--- a/tests/platform/test_session_manager.py
+++ b/tests/platform/test_session_manager.py
@@ -18,8 +18,8 @@
 from swiftchute.api.settings import Settings
 from swiftchute.controller.policy_runner import Loop
 from swiftchute.platform import session_manager as module
-from swiftchute.platform.proxy_session import FIRST_MOST, Stream
-from swiftchute.platform.session_manager import Front
+from swiftchute.platform.proxy_session import FIRST_MOST, ProxySession
+from swiftchute.platform.session_manager import SessionManager
 from swiftchute.policy import S
 from tests.conftest import FACTS, Fixed, operation
 
@@ -43,7 +43,7 @@
         self.decider, self.now = Fixed(), 1000 * S
         facts = FACTS | {"operations": (operation("read"), operation("write")), "proxy_count": 400} | facts
         loop = Loop(Settings(**facts), 7, lambda settings, seed: self.decider, self.now)
-        self.front = Front(loop, sockets)
+        self.front = SessionManager(loop, sockets)
         self.front.listed("held", [EndpointRecord(s, "east", "", 0, "ready", 1.0, 0) for s in "abc"])
 
     def open(self, *said):
@@ -496,7 +496,7 @@
 
 
 def test_a_stream_is_small():
-    assert not hasattr(Stream(World().front, 0), "__dict__")
+    assert not hasattr(ProxySession(World().front, 0), "__dict__")
 
 
 def test_bounds_that_act_are_counted(world):
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -9,9 +9,9 @@
 
 from swiftchute.controller.policy_runner import Loop
 from swiftchute.platform import settings as module
-from swiftchute.platform.endpoint_list import Catalog
-from swiftchute.platform.session_manager import Front
-from swiftchute.platform.settings import BadSettings
+from swiftchute.platform.endpoint_list import EndpointList
+from swiftchute.platform.errors import SettingsError
+from swiftchute.platform.session_manager import SessionManager
 from swiftchute.policy import Reconciler, S
 from tests.platform.test_server import MEMBERS, wire_settings
 
@@ -75,8 +75,8 @@
     _, told = read(tmp_path_factory, configuration(made, servers))
     now = 1_700_000_000 * S
     loop = Loop(told.settings, told.seed, Reconciler, now)
-    front = Front(loop, told.sockets)
-    news = Catalog(told.settings.zones).held(told.known)
+    front = SessionManager(loop, told.sockets)
+    news = EndpointList(told.settings.zones).held(told.known)
     assert not news.passed
     front.listed("held", news.entries)
     names = [c["name"] for c in made["classes"]]
@@ -140,7 +140,7 @@
     for step in way:
         at = at[int(step)] if step.isdecimal() else at[step]
     at[last] = value
-    with pytest.raises(BadSettings) as told:
+    with pytest.raises(SettingsError) as told:
         read(tmp_path_factory, configuration(made))
     assert str(told.value).count("\n") == 0
     assert f"config.json: settings: {place.replace('.0.', '[...].').split('[')[0]}" in str(told.value)
@@ -154,7 +154,7 @@
             continue  # the figures of load reports may be left out
         made = wire_settings()
         del made[section][field]
-        with pytest.raises(BadSettings, match=rf"settings: {section}\.{field}: missing$"):
+        with pytest.raises(SettingsError, match=rf"settings: {section}\.{field}: missing$"):
             read(tmp_path_factory, configuration(made))
 
 
@@ -165,7 +165,7 @@
     ({"name": "\ud800"}, "not JSON: "), ({"limits": {"sockets": 63}}, "limits.sockets: 63; 64 at least"),
 ])  # fmt: skip
 def test_what_cannot_be_used_beside_the_settings_is_named(tmp_path_factory, change, cause):
-    with pytest.raises(BadSettings) as told:
+    with pytest.raises(SettingsError) as told:
         read(tmp_path_factory, configuration(wire_settings()) | change)
     assert f"config.json: {cause}" in str(told.value)
 
@@ -174,7 +174,7 @@
     for field in ("classes", "dcs"):
         made = wire_settings()
         made[field] = [made[field][0]] * 2
-        with pytest.raises(BadSettings, match=f"settings: {field}: a name stands twice"):
+        with pytest.raises(SettingsError, match=f"settings: {field}: a name stands twice"):
             read(tmp_path_factory, configuration(made))
 
 
@@ -185,8 +185,8 @@
         told = module._told("config.json", configuration(made))
         self.made, self.now, self.written = made, 1_700_000_000 * S, []
         self.loop = Loop(told.settings, 7, Reconciler, self.now)
-        self.front = Front(self.loop, told.sockets)
-        self.front.listed("held", Catalog(told.settings.zones).held(told.known).entries)
+        self.front = SessionManager(self.loop, told.sockets)
+        self.front.listed("held", EndpointList(told.settings.zones).held(told.known).entries)
         zones = made["dcs"]
         self.proxies = [self.open(msg="hello", proxy=p, zone=zones[p % len(zones)], weight=3.0, fresh=True)
                         for p in range(8)]  # fmt: skip
