--- a/swiftchute/cli/main.py
+++ b/swiftchute/cli/main.py
@@ -121,34 +121,35 @@
     import uvloop
 
     from swiftchute.drill import report
+    from swiftchute.drill.builtin_scenarios import SCENARIOS
     from swiftchute.drill.faults import KINDS, drawn, script
     from swiftchute.drill.faults import load as load_day
     from swiftchute.drill.invariants import judge
-    from swiftchute.drill.scenario import DAYS, Runner
+    from swiftchute.drill.runner import Runner
 
     if listed or day is None:
-        for name, known in DAYS.items():
-            click.echo(f"{name:10} {known.seconds:3.0f} s  {known.about}")
+        for name, known in SCENARIOS.items():
+            click.echo(f"{name:10} {known.duration:3.0f} s  {known.description}")
         click.echo("drawn       30 s  troubles by chance, from the seed")
         click.echo("FILE.hcl          a script of your own; kinds of trouble:")
         for name, kind in KINDS.items():
-            click.echo(f"    {name:16} {kind.about} ({', '.join(kind.fields)})")
+            click.echo(f"    {name:16} {kind.description} ({', '.join(kind.fields)})")
         click.echo("sabotage          deciders that each do one thing wrong, without the guard and under it")
         sys.exit(0 if listed else 2)
     if day == "sabotage":
         sys.exit(_sabotage(seed, bad_day))
-    found = DAYS.get(day)
+    found = SCENARIOS.get(day)
     if day == "drawn":
         found = drawn(seed, troubles)
         click.echo(script(found))
     elif day.endswith(".hcl"):
         found = _load(day, load_day)
     if found is None:
-        click.echo(f"swiftchute: no day {day!r}; there are {', '.join(DAYS)}", err=True)
+        click.echo(f"swiftchute: no day {day!r}; there are {', '.join(SCENARIOS)}", err=True)
         sys.exit(2)
     with tempfile.TemporaryDirectory() as folder:
         os.makedirs(keep or folder, exist_ok=True)
-        result = uvloop.run(Runner(found, seed, keep or folder, say=click.echo).run())
+        result = uvloop.run(Runner(found, seed, keep or folder, report_progress=click.echo).run())
     verdicts = judge(result.evidence)
     click.echo(report.text(result, verdicts))
     if day == "steady":
@@ -199,12 +200,12 @@
 
     found, small, took = search(seed, days, troubles, plays)
     for played in found:
-        kinds = ", ".join(t.what for t in played.day.troubles)
+        kinds = ", ".join(fault.action for fault in played.scenario.faults)
         told = ", ".join(played.rules) or ("a trouble failed" if played.failed else "kept")
         click.echo(f"seed {played.seed}: {told}, nearest {played.nearest:.2f} of a limit ({kinds})")
     if small is not None:
         click.echo(f"cut down in {took} plays:")
-    worst = script(small or found[0].day)
+    worst = script(small or found[0].scenario)
     click.echo(worst, nl=False)
     if out:
         with open(out, "w", encoding="utf-8") as file:
--- a/swiftchute/drill/faults.py
+++ b/swiftchute/drill/faults.py
@@ -1,8 +1,8 @@
-"""Troubles by name, as a day's script in HCL gives them or chance draws them.
+"""Kinds of faults, and scenarios made of them: drawn at random, or written as scripts in HCL.
 
-    day = load("my-day.hcl")                    # raises ConfigError, each problem with file, line, field and
-    cause day = drawn(seed, count=2)                  # troubles of different kinds, within bounds text =
-    script(day)                          # the same day as HCL
+    scenario = load("my-scenario.hcl")     # raises ConfigError: each problem with file, line, field and cause
+    scenario = drawn(seed, count=2)        # faults of different kinds, within bounds
+    text = script(scenario)                # the same scenario as HCL
 
 A script:
 
@@ -17,157 +17,199 @@
       lasts  = "8s"
     }
 
-Each kind is a method of `acts.Acts` of that name. Bounds are those of the users' incident records, with
-times cut to what a drill lasts; all act on stand-ins' processes and sockets, never inside a planner.
+Each kind is a method of `FaultActions` of that name. Bounds are those of the users' incident records, with
+times cut to what a drill lasts.
 """
 
 import json
 import random
-from dataclasses import dataclass, fields, replace
+from dataclasses import dataclass, replace
 from typing import Any
 
-from swiftchute.config.checker import Checker, Field
-from swiftchute.config.reader import read
-from swiftchute.config.values import duration, number, one_of
-from swiftchute.drill.fault_actions import ZONES
-from swiftchute.drill.scenario import DAYS, Day, Trouble
+from swiftchute.config.checker import Checker, Field, FieldTable
+from swiftchute.config.reader import Block, read
+from swiftchute.config.values import Parser, duration, number, one_of
+from swiftchute.drill.builtin_scenarios import SCENARIOS
+from swiftchute.drill.scenario import ZONES, Fault, Scenario
 
-S = 1_000_000_000
+NS_PER_S = 1_000_000_000
+MAX_SCRIPT_NUMBER = 1e9
+MIN_DRAWN_START_S = 2.0
 
 
 @dataclass(frozen=True)
-class Kind:
-    """What a trouble is, and its fields: (least, most), or the words it may have."""
+class FaultKind:
+    """A kind of fault and its fields: the least and the most that may be drawn, or the allowed words."""
 
-    about: str
+    description: str
     fields: dict[str, tuple[Any, ...]]
 
 
 SHARE = (0.05, 0.25)
 LASTS = (4.0, 10.0)
-KINDS = {
-    "crash": Kind("workers die at once and come back cold", {"share": SHARE, "lasts": LASTS}),
-    "rolling": Kind("a rolling deploy", {"count": (2, 6), "every": (0.8, 2.0)}),
-    "hang": Kind("workers take invocations and answer none", {"share": SHARE, "lasts": LASTS}),
-    "silence": Kind(
+KINDS: dict[str, FaultKind] = {
+    "crash": FaultKind("workers die at once and come back cold", {"share": SHARE, "lasts": LASTS}),
+    "rolling": FaultKind("a rolling deploy", {"count": (2, 6), "every": (0.8, 2.0)}),
+    "hang": FaultKind("workers take invocations and answer none", {"share": SHARE, "lasts": LASTS}),
+    "silence": FaultKind(
         "workers read nothing and close nothing, and come back cold", {"share": SHARE, "lasts": LASTS}
     ),
-    "errors": Kind("workers quickly fail what they take", {"share": SHARE, "lasts": LASTS}),
-    "slow": Kind("workers run several times slower", {"share": SHARE, "factor": (3.0, 9.0), "lasts": LASTS}),
-    "pauses": Kind(
+    "errors": FaultKind("workers quickly fail what they take", {"share": SHARE, "lasts": LASTS}),
+    "slow": FaultKind(
+        "workers run several times slower", {"share": SHARE, "factor": (3.0, 9.0), "lasts": LASTS}
+    ),
+    "pauses": FaultKind(
         "workers stand still for a moment, again and again",
         {"share": (0.1, 0.45), "length": (0.2, 0.5), "every": (1.5, 3.0), "lasts": LASTS},
     ),
-    "neighbour": Kind(
+    "neighbour": FaultKind(
         "another program takes a part of the machine, on and off",
         {"share": (0.1, 0.45), "part": (0.33, 0.64), "lasts": LASTS},
     ),
-    "ageing": Kind("workers get slower and slower", {"share": SHARE, "factor": (2.0, 5.0), "lasts": LASTS}),
-    "flapping": Kind(
+    "ageing": FaultKind(
+        "workers get slower and slower", {"share": SHARE, "factor": (2.0, 5.0), "lasts": LASTS}
+    ),
+    "flapping": FaultKind(
         "workers go and come, again and again", {"share": SHARE, "times": (2, 3), "lasts": (3.0, 4.0)}
     ),
-    "shrink": Kind("the fleet shrinks", {"share": (0.1, 0.35), "lasts": LASTS}),
-    "grow": Kind("workers are added, cold", {"count": (1, 4)}),
-    "mass_restart": Kind("all workers of a zone restart at once", {"zone": ZONES, "lasts": (2.0, 4.0)}),
-    "wrong_list": Kind(
+    "shrink": FaultKind("the fleet shrinks", {"share": (0.1, 0.35), "lasts": LASTS}),
+    "grow": FaultKind("workers are added, cold", {"count": (1, 4)}),
+    "mass_restart": FaultKind("all workers of a zone restart at once", {"zone": ZONES, "lasts": (2.0, 4.0)}),
+    "wrong_list": FaultKind(
         "the list is wrong for a while",
         {"how": ("gone", "empty", "ghosts", "old"), "share": SHARE, "lasts": LASTS},
     ),
-    "planner_dies": Kind(
+    "planner_dies": FaultKind(
         "a planner dies and comes back with its list alone", {"planner": (0, 1), "lasts": LASTS}
     ),
-    "planner_stalls": Kind("a planner stands still", {"planner": (0, 1), "lasts": LASTS}),
-    "unreached": Kind("gateways reach no planner", {"share": (0.1, 0.45), "lasts": LASTS}),
-    "late_channel": Kind(
+    "planner_stalls": FaultKind("a planner stands still", {"planner": (0, 1), "lasts": LASTS}),
+    "unreached": FaultKind("gateways reach no planner", {"share": (0.1, 0.45), "lasts": LASTS}),
+    "late_channel": FaultKind(
         "what passes between gateways and planners is late and slow",
         {"delay": (0.05, 0.35), "pace": (20_000.0, 200_000.0), "lasts": LASTS},
     ),
-    "streams_break": Kind("streams break at once", {"share": (0.3, 0.85)}),
-    "gateways_die": Kind(
+    "streams_break": FaultKind("streams break at once", {"share": (0.3, 0.85)}),
+    "gateways_die": FaultKind(
         "gateways die and come back with their tables gone", {"share": (0.1, 0.5), "lasts": (1.0, 4.0)}
     ),
 }
-_TIMES = {"lasts", "every", "length", "delay"}
-_DAY = {
-    "seconds": Field(duration(5 * S, 600 * S), 30 * S),
-    "workers": Field(number(3, 200, True), 15),
-    "gateways": Field(number(3, 500, True), 18),
-    "planners": Field(number(1, 5, True), 2),
-    "callers": Field(number(0, 100, True), 0),
-    "rate": Field(number(0.1, 1000), 5.0),
-    "grace": Field(duration(S, 60 * S), 3 * S),
-    "bare_limit": Field(duration(S, 60 * S), 3 * S),
-}
-BASE = replace(DAYS["quiet"], about="drawn", seconds=30.0, gateways=18)
+_DURATION_FIELDS = {"lasts", "every", "length", "delay"}
+_SHARE_FIELDS = {"share", "part"}
 
 
-def _parser(name: str, bounds: tuple[Any, ...]) -> Any:
-    if isinstance(bounds[0], str):
-        return one_of(*bounds)
-    if name in _TIMES:
-        return duration(1, 600 * S)
-    # a script may go past what chance draws within, but not past what can be
-    return number(0, 1 if name in ("share", "part") else 1e9, isinstance(bounds[0], int))
+@dataclass(frozen=True)
+class _ScenarioField:
+    """A field of a script's `drill` block and the field of `Scenario` that it fills."""
+
+    field: Field
+    is_duration: bool = False
+
+
+_SCENARIO_FIELDS = {
+    "seconds": _ScenarioField(Field(duration(5 * NS_PER_S, 600 * NS_PER_S), 30 * NS_PER_S, "duration"), True),
+    "workers": _ScenarioField(Field(number(3, 200, True), 15, "backends")),
+    "gateways": _ScenarioField(Field(number(3, 500, True), 18, "gateways")),
+    "planners": _ScenarioField(Field(number(1, 5, True), 2, "instances")),
+    "callers": _ScenarioField(Field(number(0, 100, True), 0, "dns_clients")),
+    "rate": _ScenarioField(Field(number(0.1, 1000), 5.0, "request_rate")),
+    "grace": _ScenarioField(Field(duration(NS_PER_S, 60 * NS_PER_S), 3 * NS_PER_S, "drain_grace"), True),
+    "bare_limit": _ScenarioField(
+        Field(duration(NS_PER_S, 60 * NS_PER_S), 3 * NS_PER_S, "max_no_endpoint"), True
+    ),
+}
+_DRILL_BLOCK: FieldTable = {key: known.field for key, known in _SCENARIO_FIELDS.items()}
+BASE = replace(SCENARIOS["quiet"], description="drawn", duration=30.0, gateways=18)
+
 
+def load(path: str) -> Scenario:
+    """Read a script.
 
-def load(where: str) -> Day:
-    """A day of a script's. Raises `ConfigError`."""
-    body = read(where)
-    check, troubles, found = Checker(where), [], None
+    Raises:
+        ConfigError: The script cannot be used; it carries every problem with line, field and cause.
+    """
+    body = read(path)
+    checker = Checker(path)
+    drill: dict[str, Any] | None = None
+    faults = []
     for block in body.blocks:
-        called = block.full_name
-        if block.name == "drill" and not block.labels and found is None:
-            found = check.parse_fields(block, _DAY, called)
+        if block.name == "drill" and not block.labels and drill is None:
+            drill = checker.parse_fields(block, _DRILL_BLOCK, block.full_name)
         elif block.name == "trouble" and len(block.labels) == 1 and block.labels[0] in KINDS:
-            kind = KINDS[block.labels[0]]
-            table = {"at": Field(duration(0, 600 * S), 0)} | {
-                name: Field(_parser(name, bounds), bounds[0] * S if name in _TIMES else bounds[0])
-                for name, bounds in kind.fields.items()
-            }
-            row = check.parse_fields(block, table, called)
-            given = {k: v / S if k in _TIMES and k in row else v for k, v in row.items()}
-            troubles.append(Trouble(given.pop("at", 0) / S, block.labels[0], tuple(given.values())))
+            faults.append(_fault(checker, block))
         else:
             known = ", ".join(f'trouble "{name}"' for name in KINDS)
-            check.add_problem(block.line, called, f"unknown, or stands twice; known: drill, {known}")
-    check.reject_top_level_fields(body)
-    check.raise_problems()
-    made = found or {}
-    times = {k: v / S for k, v in made.items() if k in ("seconds", "grace", "bare_limit")}
-    return replace(BASE, **made | times, about=where, troubles=tuple(sorted(troubles, key=lambda t: t.at)))
-
-
-def drawn(seed: int, count: int = 2, seconds: float = 30.0) -> Day:
-    """A day with so many troubles of different kinds, beginning within its first half."""
-    chance = random.Random(seed)
-    names = chance.sample(sorted(KINDS), count)
-    return replace(BASE, seconds=seconds, troubles=tuple(sorted(
-        (one(name, chance, chance.uniform(2.0, seconds / 2)) for name in names), key=lambda t: t.at
-    )))  # fmt: skip
-
-
-def one(name: str, chance: random.Random, at: float) -> Trouble:
-    """A trouble of a kind, drawn within its bounds."""
-    given: list[Any] = []
+            cause = f"unknown, or stands twice; known: drill, {known}"
+            checker.add_problem(block.line, block.full_name, cause)
+    checker.reject_top_level_fields(body)
+    checker.raise_problems()
+    given = {
+        str(known.field.target): drill[key] / NS_PER_S if known.is_duration else drill[key]
+        for key, known in _SCENARIO_FIELDS.items()
+        if drill is not None
+    }
+    in_order = tuple(sorted(faults, key=lambda fault: fault.at))
+    return replace(BASE, **given, description=path, faults=in_order)
+
+
+def _fault(checker: Checker, block: Block) -> Fault:
+    kind = block.labels[0]
+    table = {"at": Field(duration(0, 600 * NS_PER_S), 0)} | {
+        name: _fault_field(name, bounds) for name, bounds in KINDS[kind].fields.items()
+    }
+    values = checker.parse_fields(block, table, block.full_name)
+    arguments = {
+        name: value / NS_PER_S if name in _DURATION_FIELDS else value for name, value in values.items()
+    }
+    return Fault(arguments.pop("at", 0) / NS_PER_S, kind, tuple(arguments.values()))
+
+
+def _fault_field(name: str, bounds: tuple[Any, ...]) -> Field:
+    if name in _DURATION_FIELDS:
+        return Field(duration(1, 600 * NS_PER_S), bounds[0] * NS_PER_S)
+    return Field(_fault_parser(name, bounds), bounds[0])
+
+
+def _fault_parser(name: str, bounds: tuple[Any, ...]) -> Parser:
+    """Return a parser that takes more than is drawn at random, but nothing impossible."""
+    if isinstance(bounds[0], str):
+        return one_of(*bounds)
+    maximum = 1 if name in _SHARE_FIELDS else MAX_SCRIPT_NUMBER
+    return number(0, maximum, isinstance(bounds[0], int))
+
+
+def drawn(seed: int, count: int = 2, seconds: float = 30.0) -> Scenario:
+    """Return a scenario with so many faults of different kinds that begin within its first half."""
+    generator = random.Random(seed)
+    names = generator.sample(sorted(KINDS), count)
+    faults = [
+        draw_fault(name, generator, generator.uniform(MIN_DRAWN_START_S, seconds / 2)) for name in names
+    ]
+    return replace(BASE, duration=seconds, faults=tuple(sorted(faults, key=lambda fault: fault.at)))
+
+
+def draw_fault(name: str, generator: random.Random, at: float) -> Fault:
+    """Return a fault of a kind whose arguments are drawn within its bounds."""
+    arguments: list[Any] = []
     for bounds in KINDS[name].fields.values():
         if isinstance(bounds[0], str):
-            given.append(chance.choice(bounds))
+            arguments.append(generator.choice(bounds))
         elif isinstance(bounds[0], int):
-            given.append(chance.randint(*bounds))
+            arguments.append(generator.randint(*bounds))
         else:
-            given.append(round(chance.uniform(*bounds), 3))
-    return Trouble(round(at, 2), name, tuple(given))
-
-
-def script(day: Day) -> str:
-    """A day as HCL that `load` reads back."""
-    known = {f.name for f in fields(Day)} & _DAY.keys()
-    times = ("seconds", "grace", "bare_limit")
-    rows = [(k, f"{getattr(day, k)}s" if k in times else getattr(day, k)) for k in _DAY if k in known]
-    blocks = ["drill {", *(f"  {k} = {json.dumps(v)}" for k, v in rows), "}"]
-    for trouble in day.troubles:
-        blocks += [f'trouble "{trouble.what}" {{', f'  at = "{trouble.at}s"']
-        for name, value in zip(KINDS[trouble.what].fields, trouble.args, strict=True):
-            blocks.append(f"  {name} = {json.dumps(f'{value}s' if name in _TIMES else value)}")
-        blocks.append("}")
-    return "\n".join(blocks) + "\n"
+            arguments.append(round(generator.uniform(*bounds), 3))
+    return Fault(round(at, 2), name, tuple(arguments))
+
+
+def script(scenario: Scenario) -> str:
+    """Return a scenario as HCL that `load` reads back."""
+    lines = ["drill {"]
+    for key, known in _SCENARIO_FIELDS.items():
+        value = getattr(scenario, str(known.field.target))
+        lines.append(f"  {key} = {json.dumps(f'{value}s' if known.is_duration else value)}")
+    lines.append("}")
+    for fault in scenario.faults:
+        lines += [f'trouble "{fault.action}" {{', f'  at = "{fault.at}s"']
+        for name, value in zip(KINDS[fault.action].fields, fault.arguments, strict=True):
+            lines.append(f"  {name} = {json.dumps(f'{value}s' if name in _DURATION_FIELDS else value)}")
+        lines.append("}")
+    return "\n".join(lines) + "\n"
--- a/swiftchute/drill/faulty_policies.py
+++ b/swiftchute/drill/faulty_policies.py
@@ -24,9 +24,12 @@
     PeerMessageReceived,
     TimerFired,
 )
+from swiftchute.drill.builtin_scenarios import SCENARIOS
+from swiftchute.drill.fleet import FleetOptions
 from swiftchute.drill.invariants import Verdict, judge
 from swiftchute.drill.report import broken
-from swiftchute.drill.scenario import DAYS, Day, Result, Runner, Trouble
+from swiftchute.drill.runner import Result, Runner
+from swiftchute.drill.scenario import Fault, Scenario
 from swiftchute.policy import Reconciler
 
 S = 1_000_000_000
@@ -221,16 +224,24 @@
 
 
 LOST, DRAIN, COLD = "nobody left without a server", "drains kept", "no cold server pushed over"
-_QUIET = replace(DAYS["quiet"], seconds=8.0, workers=9, gateways=6, planners=1)
+_QUIET = replace(SCENARIOS["quiet"], duration=8.0, backends=9, gateways=6, instances=1)
 # by name: the decider, the rule it breaks, and a day on which it does
-SABOTEURS: dict[str, tuple[type[Bent], str, Day]] = {
-    "empties": (Empties, LOST, replace(_QUIET, bare_limit=1.5)),
-    "all-to-cold": (AllToCold, COLD, DAYS["cold"]),
-    "forgets-drains": (ForgetsDrains, DRAIN, DAYS["drains"]),
-    "oscillates": (Oscillates, DRAIN, replace(DAYS["drains"], seconds=11.0, limit=20_000.0, troubles=(
-        Trouble(4, "drain", (1,)), Trouble(6, "drain", (1,))))),
-    "nans": (NaNs, DRAIN, DAYS["drains"]),
-}  # fmt: skip
+SABOTEURS: dict[str, tuple[type[Bent], str, Scenario]] = {
+    "empties": (Empties, LOST, replace(_QUIET, max_no_endpoint=1.5)),
+    "all-to-cold": (AllToCold, COLD, SCENARIOS["cold"]),
+    "forgets-drains": (ForgetsDrains, DRAIN, SCENARIOS["drains"]),
+    "oscillates": (
+        Oscillates,
+        DRAIN,
+        replace(
+            SCENARIOS["drains"],
+            duration=11.0,
+            egress_queue_limit=20_000.0,
+            faults=(Fault(4, "drain_backends", (1,)), Fault(6, "drain_backends", (1,))),
+        ),
+    ),
+    "nans": (NaNs, DRAIN, SCENARIOS["drains"]),
+}
 
 
 @dataclass(frozen=True)
@@ -247,11 +258,11 @@
         make, _, day = SABOTEURS[self.name]
         decider, guard = f"{make.__module__}:{make.__qualname__}", "enforce"
         if self.kind == "bad-day":
-            day = DAYS["bad-day"]
+            day = SCENARIOS["bad-day"]
         elif self.kind == "broken":
             guard = "off"
         with tempfile.TemporaryDirectory() as folder:
-            result = uvloop.run(Runner(day, seed, folder, decider, guard=guard).run())
+            result = uvloop.run(Runner(day, seed, folder, FleetOptions(decider, safety_mode=guard)).run())
         return result, judge(result.evidence)
 
     def right(self, result: Result, verdicts: list[Verdict]) -> bool:
--- a/swiftchute/drill/invariants.py
+++ b/swiftchute/drill/invariants.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True)
-class Told:
+class Observation:
     """What the published list said of a server from `at` on; `started` is the planner clock's, 0 if
     long ago."""
 
@@ -38,7 +38,7 @@
     anything."""
 
     settings: Settings
-    told: list[Told]
+    told: list[Observation]
     orders: list[Order]
     tries: list[Try]
     streams: list[Stream]
@@ -102,7 +102,7 @@
             self.joined[gateway].append((s.at, evidence.end, self.planner(s.planner)))
         for spans in self.joined.values():
             spans.sort()
-        self.told: dict[str, list[Told]] = defaultdict(list)
+        self.told: dict[str, list[Observation]] = defaultdict(list)
         for t in sorted(evidence.told, key=lambda t: t.at):
             self.told[t.server].append(t)
 
@@ -183,7 +183,7 @@
         servable = self._servable()
         for client, orders in self.replayed():
             spans = self.joined[client.node]
-            bare: dict[str, int] = {}
+            bare: dict[str, int | None] = {}
             stream = 0
             marks = [(o.at, o) for o in orders] + [(t, None) for a, b, _ in spans for t in (a, b)]
             for at, order in sorted(marks, key=lambda m: m[0]) + [(self.e.end, None)]:
--- a/swiftchute/drill/report.py
+++ b/swiftchute/drill/report.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from swiftchute.drill.invariants import Verdict
-from swiftchute.drill.scenario import Result
+from swiftchute.drill.runner import Result
 
 
 def broken(result: Result, verdicts: list[Verdict]) -> bool:
--- /dev/null
+++ b/swiftchute/drill/runner.py
@@ -0,0 +1,176 @@
+"""Plays a scenario on real sockets.
+
+    result = await Runner(SCENARIOS["bad-day"], seed=7, folder=path).run()
+
+Instances of the control plane run as processes of their own (`swiftchute serve`), or inside this one with a
+policy of the caller's. Faults act on processes, sockets and the endpoint list, never inside an instance.
+"""
+
+import asyncio
+import time
+from collections.abc import Callable
+from dataclasses import dataclass, field
+
+from swiftchute.drill.fault_actions import FaultActions
+from swiftchute.drill.fleet import Fleet, FleetOptions
+from swiftchute.drill.invariants import Evidence
+from swiftchute.drill.scenario import OPERATIONS, Scenario, request_share
+from swiftchute.fakes.gateway import Gateway
+
+STARTUP_POLLS = 100
+STARTUP_POLL_INTERVAL_S = 0.1
+SETTLE_S = 0.2  # before recorded messages are delivered again
+
+
+@dataclass
+class Result:
+    """What a scenario came to."""
+
+    evidence: Evidence
+    ends: dict[str, int]  # requests by outcome
+    replayed: int  # messages that were delivered again
+    changed: list[str]  # gateways whose tables changed by that
+    fell: list[str]  # backends that fell over
+    lost: int = 0  # records past their bound
+    notes: list[str] = field(default_factory=list)  # what fault actions measured
+    failed: list[str] = field(default_factory=list)  # fault actions that raised: not played as written
+
+
+class Runner:
+    """Plays one scenario once."""
+
+    def __init__(
+        self,
+        scenario: Scenario,
+        seed: int,
+        folder: str,
+        options: FleetOptions | None = None,
+        report_progress: Callable[[str], None] = lambda text: None,
+    ) -> None:
+        """Create a runner.
+
+        Args:
+            scenario: What to play.
+            seed: Seed of every random draw.
+            folder: Folder for settings, the endpoint list and logs.
+            options: How the instances differ from what the scenario says.
+            report_progress: Called with a line for each step.
+        """
+        given = options or FleetOptions()
+        options = FleetOptions(given.policy or scenario.policy or None, given.overrides, given.safety_mode)
+        self._scenario = scenario
+        self._report_progress = report_progress
+        self._fleet = Fleet(scenario, seed, folder, options)
+        self._actions = FaultActions(self._fleet)
+        self._tasks = self._actions.tasks
+
+    async def run(self) -> Result:
+        """Play the scenario; whatever happens, everything that was started is stopped."""
+        try:
+            await self._fleet.start()
+            await self._wait_until_connected()
+            await self._play()
+            result = self._result(time.monotonic_ns())
+            await asyncio.sleep(SETTLE_S)
+            self._replay(result)
+            return result
+        finally:
+            for task in self._tasks:
+                task.cancel()
+            await asyncio.gather(*self._tasks, return_exceptions=True)
+            await self._fleet.stop()
+
+    async def _wait_until_connected(self) -> None:
+        """Wait for instances that are processes of their own."""
+        for _ in range(STARTUP_POLLS):
+            if all(gateway.joined for gateway in self._fleet.xds_gateways):
+                return
+            await asyncio.sleep(STARTUP_POLL_INTERVAL_S)
+
+    async def _play(self) -> None:
+        begin = time.monotonic()
+        for gateway in self._fleet.gateways:
+            self._start_load(gateway)
+        fleet = self._fleet
+        self._report_progress(
+            f"{len(fleet.backends)} workers, {len(fleet.gateways)} gateways, {len(fleet.instances)} planners"
+        )
+        for fault in self._scenario.faults:
+            await asyncio.sleep(max(begin + fault.at - time.monotonic(), 0))
+            arguments = " ".join(map(str, fault.arguments))
+            self._report_progress(f"{fault.at:5.1f} s  {fault.action} {arguments}")
+            outcome = getattr(self._actions, fault.action)(*fault.arguments)
+            if asyncio.iscoroutine(outcome):
+                self._tasks.append(asyncio.ensure_future(outcome))
+        await asyncio.sleep(max(begin + self._scenario.duration - time.monotonic(), 0))
+
+    def _start_load(self, gateway: Gateway) -> None:
+        for operation in OPERATIONS:
+            rate = gateway.client.rate * request_share(self._scenario, operation)
+            load = gateway.load(operation, rate, self._scenario.duration)
+            self._tasks.append(asyncio.ensure_future(load))
+
+    def _result(self, end: int) -> Result:
+        fleet = self._fleet
+        records = [gateway.record for gateway in fleet.gateways]
+        ends: dict[str, int] = {}
+        for record in records:
+            for name, count in record.ends.items():
+                ends[name] = ends.get(name, 0) + count
+        return Result(
+            evidence=self._evidence(end),
+            ends=ends,
+            replayed=0,
+            changed=[],
+            fell=[backend.address for backend in fleet.backends for _ in backend.fell],
+            lost=sum(record.lost for record in records),
+            notes=self._actions.notes,
+            failed=self._failed_tasks(),
+        )
+
+    def _evidence(self, end: int) -> Evidence:
+        fleet = self._fleet
+        records = [gateway.record for gateway in fleet.gateways]
+        dns_clients = fleet.dns_clients
+        clients = [gateway.client for gateway in fleet.xds_gateways]
+        return Evidence(
+            fleet.settings(),
+            list(fleet.list.observations),
+            [order for record in records for order in record.orders],
+            [attempt for record in records for attempt in record.tries],
+            [stream for record in records for stream in record.streams],
+            [receipt for backend in fleet.backends for receipt in backend.receipts],
+            {c.node: (c.zone, c.rate, c.delta, c.lines, dict(c.standing)) for c in clients},
+            {backend.address: backend.facts.cores * backend.speed for backend in fleet.backends},
+            self._actions.unavailable_spans(end),
+            end,
+            fleet.dialled,
+            {node: c.answers for node, c in dns_clients.items() if not c.resolver.overstay},
+            frozenset(node for node, c in dns_clients.items() if c.resolver.overstay),
+        )
+
+    def _failed_tasks(self) -> list[str]:
+        done = [task for task in self._tasks if task.done() and not task.cancelled()]
+        return [repr(task.exception()) for task in done if task.exception() is not None]
+
+    def _replay(self, result: Result) -> None:
+        """Deliver every recorded message twice more: no table may change, no backend may get a request."""
+        fleet = self._fleet
+        before = {g.client.node: (repr(g.client.tables), repr(g.client.held)) for g in fleet.gateways}
+        receipts, attempts = self._traffic()
+        clients = {gateway.client.node: gateway.client for gateway in fleet.gateways}
+        for order in result.evidence.orders * 2:
+            clients[order.gateway].receive(order.data)
+            result.replayed += 1
+        result.changed = [
+            node
+            for node, state in before.items()
+            if (repr(clients[node].tables), repr(clients[node].held)) != state
+        ]
+        if self._traffic() != (receipts, attempts):
+            result.changed.append("workers' counters")
+
+    def _traffic(self) -> tuple[int, int]:
+        """Return how many requests backends received and how many attempts gateways made."""
+        receipts = sum(len(backend.receipts) for backend in self._fleet.backends)
+        return receipts, sum(len(gateway.record.tries) for gateway in self._fleet.gateways)
--- a/swiftchute/drill/shrink.py
+++ b/swiftchute/drill/shrink.py
@@ -1,10 +1,9 @@
-"""Looks for days that break a rule or come nearest to it, and cuts them down to what matters.
+"""Searches for scenarios that break a rule or come nearest to it, and shrinks them to what matters.
 
-    worst = worst_first([(day, nearest, is_broken), ..])
-    small = shrink(day, breaks, most=20)      # `breaks(day)` plays it and says whether it is still broken
+    ordered = worst_first(played)
+    smallest, plays = shrink(scenario, breaks, max_plays=20)   # `breaks(scenario)` plays it
 
-The decisions are free of I/O: who plays a day is the caller's. A day that shrinks keeps its seed, so that
-what is left is played as it was.
+A scenario that shrinks keeps its seed, so that what is left is played as it was.
 """
 
 import multiprocessing
@@ -17,87 +16,115 @@
 from swiftchute.drill.faults import KINDS, drawn
 from swiftchute.drill.invariants import Verdict, judge
 from swiftchute.drill.report import broken
-from swiftchute.drill.scenario import Day, Runner, Trouble
+from swiftchute.drill.runner import Runner
+from swiftchute.drill.scenario import Fault, Scenario
 
-TWICE = "no effect twice"  # one run of one allowed is no nearness
+DUPLICATE_RULE = "no effect twice"  # one execution of one allowed is not near the limit
+MIN_DURATION_S = 1.0  # a fault is not shortened below this
 
 
 @dataclass(frozen=True)
 class Played:
-    """A day, its seed, how near it came to any rule (1: the limit), and which it broke."""
+    """A scenario that was played."""
 
-    day: Day
+    scenario: Scenario
     seed: int
-    nearest: float
-    rules: tuple[str, ...]
-    failed: bool = False
+    nearest: float  # how near it came to the limit of any rule; 1: the limit
+    rules: tuple[str, ...]  # that broke
+    failed: bool = False  # it was not played as written
 
     @property
     def bad(self) -> bool:
-        """Whether a rule broke or the day was not played as written."""
+        """Whether a rule broke or it was not played as written."""
         return bool(self.rules) or self.failed
 
 
 def nearest(verdicts: list[Verdict]) -> float:
-    """The largest part of any rule's limit that was used up."""
-    return max((v.figure / v.limit for v in verdicts if v.rule != TWICE and v.limit), default=0.0)
+    """Return the largest part of any rule's limit that was used up."""
+    parts = (v.figure / v.limit for v in verdicts if v.rule != DUPLICATE_RULE and v.limit)
+    return max(parts, default=0.0)
 
 
-def play(day: Day, seed: int) -> Played:
-    """Play a day once; call in a process of its own."""
+def play(scenario: Scenario, seed: int) -> Played:
+    """Play a scenario once; call it in a process of its own."""
     import uvloop
 
     with tempfile.TemporaryDirectory() as folder:
-        result = uvloop.run(Runner(day, seed, folder).run())
+        result = uvloop.run(Runner(scenario, seed, folder).run())
     verdicts = judge(result.evidence)
-    rules = tuple(v.rule for v in verdicts if v.broken)
-    return Played(day, seed, nearest(verdicts), rules, broken(result, verdicts) and not rules)
-
-
-def worst_first(found: list[Played]) -> list[Played]:
-    """Broken ones first, then by nearness."""
-    return sorted(found, key=lambda p: (not p.bad, -p.nearest))
-
-
-def smaller(day: Day) -> Iterator[Day]:
-    """Days that are a step less than this one: without one of its troubles, or with one lasting half as
-    long."""
-    for place in range(len(day.troubles)):
-        if len(day.troubles) > 1:
-            yield replace(day, troubles=day.troubles[:place] + day.troubles[place + 1 :])
-    for place, trouble in enumerate(day.troubles):
-        names = list(KINDS[trouble.what].fields)
-        if "lasts" in names and trouble.args[names.index("lasts")] > 1.0:
-            at = names.index("lasts")
-            args = (*trouble.args[:at], round(trouble.args[at] / 2, 3), *trouble.args[at + 1 :])
-            less = Trouble(trouble.at, trouble.what, args)
-            yield replace(day, troubles=(*day.troubles[:place], less, *day.troubles[place + 1 :]))
-
-
-def shrink(day: Day, breaks: Callable[[Day], bool], most: int) -> tuple[Day, int]:
-    """The least day that still breaks, with `most` plays at the most; and how many it took."""
-    plays, again = 0, True
-    while again:
-        again = False
-        for less in smaller(day):
-            if plays >= most:
-                return day, plays
+    rules = tuple(verdict.rule for verdict in verdicts if verdict.broken)
+    failed = broken(result, verdicts) and not rules
+    return Played(scenario, seed, nearest(verdicts), rules, failed)
+
+
+def worst_first(played: list[Played]) -> list[Played]:
+    """Return the broken ones first, then those nearest to a limit."""
+    return sorted(played, key=lambda one: (not one.bad, -one.nearest))
+
+
+def smaller(scenario: Scenario) -> Iterator[Scenario]:
+    """Yield scenarios that are a step smaller: one fault less, or one that lasts half as long."""
+    faults = scenario.faults
+    for index in range(len(faults)):
+        if len(faults) > 1:
+            yield replace(scenario, faults=faults[:index] + faults[index + 1 :])
+    for index, fault in enumerate(faults):
+        shorter = _shorter(fault)
+        if shorter is not None:
+            yield replace(scenario, faults=(*faults[:index], shorter, *faults[index + 1 :]))
+
+
+def _shorter(fault: Fault) -> Fault | None:
+    names = list(KINDS[fault.action].fields)
+    if "lasts" not in names:
+        return None
+    place = names.index("lasts")
+    lasts = fault.arguments[place]
+    if lasts <= MIN_DURATION_S:
+        return None
+    half = round(lasts / 2, 3)
+    return replace(fault, arguments=(*fault.arguments[:place], half, *fault.arguments[place + 1 :]))
+
+
+def shrink(scenario: Scenario, breaks: Callable[[Scenario], bool], max_plays: int) -> tuple[Scenario, int]:
+    """Return the smallest scenario found that still breaks, and how many plays it took."""
+    plays = 0
+    found = True
+    while found:
+        found = False
+        for candidate in smaller(scenario):
+            if plays >= max_plays:
+                return scenario, plays
             plays += 1
-            if breaks(less):
-                day, again = less, True
+            if breaks(candidate):
+                scenario, found = candidate, True
                 break
-    return day, plays
+    return scenario, plays
 
 
-def search(seed: int, days: int, troubles: int, plays: int) -> tuple[list[Played], Day | None, int]:
-    """Play so many drawn days, a few at a time; all of them, worst first, and the worst cut down if it
-    broke."""
-    jobs = max((os.cpu_count() or 2) // 2, 1)  # a day is a few processes
-    seeds = range(seed, seed + days)
+def search(seed: int, count: int, faults: int, max_plays: int) -> tuple[list[Played], Scenario | None, int]:
+    """Play drawn scenarios, a few at a time, and shrink the worst if it broke.
+
+    Args:
+        seed: Seed of the first; the others follow.
+        count: How many are played.
+        faults: Faults in each.
+        max_plays: Bound of the plays that shrinking takes.
+
+    Returns:
+        All of them, worst first; the shrunk one if any broke; and the plays that it took.
+    """
+    jobs = max((os.cpu_count() or 2) // 2, 1)  # each is a few processes
+    seeds = range(seed, seed + count)
     with ProcessPoolExecutor(jobs, multiprocessing.get_context("spawn")) as pool:
-        found = worst_first(list(pool.map(play, [drawn(s, troubles) for s in seeds], seeds)))
-        worst = found[0]
+        scenarios = [drawn(one, faults) for one in seeds]
+        played = worst_first(list(pool.map(play, scenarios, seeds)))
+        worst = played[0]
         if not worst.bad:
-            return found, None, 0
-        day, took = shrink(worst.day, lambda d: pool.submit(play, d, worst.seed).result().bad, plays)
-    return found, day, took
+            return played, None, 0
+
+        def breaks(scenario: Scenario) -> bool:
+            return pool.submit(play, scenario, worst.seed).result().bad
+
+        smallest, plays = shrink(worst.scenario, breaks, max_plays)
+    return played, smallest, plays
--- a/tests/drill/test_faults.py
+++ b/tests/drill/test_faults.py
@@ -9,10 +9,12 @@
 from hypothesis import strategies as st
 
 from swiftchute.config import ConfigError
+from swiftchute.drill.fault_actions import FaultActions
 from swiftchute.drill.faults import KINDS, drawn, load, script
 from swiftchute.drill.invariants import Evidence, Verdict
 from swiftchute.drill.report import broken
-from swiftchute.drill.scenario import Result, Runner, Trouble
+from swiftchute.drill.runner import Result
+from swiftchute.drill.scenario import Fault
 from swiftchute.drill.shrink import Played, nearest, shrink, worst_first
 
 
@@ -23,17 +25,17 @@
     path = tmp_path_factory.mktemp("days") / "day.hcl"
     path.write_text(script(day))
     found = load(str(path))
-    assert [(t.at, t.what) for t in found.troubles] == [(t.at, t.what) for t in day.troubles]
-    for one, two in zip(found.troubles, day.troubles, strict=True):
-        for a, b in zip(one.args, two.args, strict=True):
+    assert [(t.at, t.action) for t in found.faults] == [(t.at, t.action) for t in day.faults]
+    for one, two in zip(found.faults, day.faults, strict=True):
+        for a, b in zip(one.arguments, two.arguments, strict=True):
             assert a == (b if isinstance(b, str) else pytest.approx(b))
-    assert (found.seconds, found.workers, found.gateways) == (day.seconds, day.workers, day.gateways)
-    assert len({t.what for t in day.troubles}) == count
+    assert (found.duration, found.backends, found.gateways) == (day.duration, day.backends, day.gateways)
+    assert len({t.action for t in day.faults}) == count
 
 
 @pytest.mark.parametrize("kind", KINDS)
 def test_each_kind_is_something_a_drill_can_do_with_just_its_fields(kind):
-    parameters = list(inspect.signature(getattr(Runner, kind)).parameters)[1:]
+    parameters = list(inspect.signature(getattr(FaultActions, kind)).parameters)[1:]
     assert parameters == list(KINDS[kind].fields)
 
 
@@ -67,16 +69,16 @@
 def test_a_broken_day_is_cut_down_to_what_matters():
     """What breaks here is a hang of two seconds or more beside a planner that dies."""
     day = drawn(5, 6)
-    hang, dies = Trouble(3.0, "hang", (0.2, 9.0)), Trouble(4.0, "planner_dies", (0, 8.0))
-    day = replace(day, troubles=(hang, *day.troubles[:3], dies, *day.troubles[3:]))
+    hang, dies = Fault(3.0, "hang", (0.2, 9.0)), Fault(4.0, "planner_dies", (0, 8.0))
+    day = replace(day, faults=(hang, *day.faults[:3], dies, *day.faults[3:]))
 
     def breaks(less):
-        kinds = {t.what: t.args for t in less.troubles}
+        kinds = {t.action: t.arguments for t in less.faults}
         return "planner_dies" in kinds and kinds.get("hang", (0, 0))[1] >= 2.0
 
     small, plays = shrink(day, breaks, 200)
-    assert {t.what for t in small.troubles} == {"hang", "planner_dies"}
-    assert 2.0 <= next(t.args[1] for t in small.troubles if t.what == "hang") < 4.0
+    assert {t.action for t in small.faults} == {"hang", "planner_dies"}
+    assert 2.0 <= next(t.arguments[1] for t in small.faults if t.action == "hang") < 4.0
     assert plays < 60
     same, plays = shrink(day, breaks, 3)
     assert plays == 3
--- a/tests/drill/test_scenario.py
+++ b/tests/drill/test_scenario.py
@@ -13,11 +13,14 @@
 import uvloop
 
 from swiftchute.dns import frontend, ttl
+from swiftchute.drill.builtin_scenarios import SCENARIOS
 from swiftchute.drill.faulty_policies import SABOTEURS, Bent, Oscillates, cases
+from swiftchute.drill.fleet import FleetOptions
 from swiftchute.drill.invariants import judge
 from swiftchute.drill.predict import shares
 from swiftchute.drill.report import broken, text
-from swiftchute.drill.scenario import DAYS, Runner, Trouble
+from swiftchute.drill.runner import Runner
+from swiftchute.drill.scenario import Fault
 from swiftchute.policy import Reconciler
 
 RULES = {
@@ -48,24 +51,32 @@
         self.bound = 8
 
 
-LOOSE = {"limit": 1e6, "pace": 1e6, "messages": 0}
-QUIET = replace(DAYS["quiet"], seconds=8.0, workers=9, gateways=6, planners=1)
+LOOSE = {"egress_queue_limit": 1e6, "egress_rate": 1e6, "message_quota": 0}
+QUIET = replace(SCENARIOS["quiet"], duration=8.0, backends=9, gateways=6, instances=1)
 BROKEN = {  # what no guard mends: it is the module's, and the channel's
-    "twice": (DAYS["errors"], OrdersRetries, {}),
-    "queue": (replace(QUIET, seconds=6.0), Floods, LOOSE),
+    "twice": (SCENARIOS["errors"], OrdersRetries, {}),
+    "queue": (replace(QUIET, duration=6.0), Floods, LOOSE),
+}
+KEPT = {
+    rule: day
+    for day, rule in (
+        (SABOTEURS["empties"][2], "lost"),
+        (SCENARIOS["errors"], "twice"),
+        (SCENARIOS["drains"], "drain"),
+        (SCENARIOS["cold"], "cold"),
+        (BROKEN["queue"][0], "queue"),
+    )
 }
-KEPT = {rule: day for day, rule in ((SABOTEURS["empties"][2], "lost"), (DAYS["errors"], "twice"),
-        (DAYS["drains"], "drain"), (DAYS["cold"], "cold"), (BROKEN["queue"][0], "queue"))}  # fmt: skip
 CASES = cases(bad_day=False)
-DNS = replace(DAYS["drains"], gateways=3, callers=6, troubles=(*DAYS["drains"].troubles,
-              Trouble(8.9, "resolved")))  # fmt: skip
+DNS = replace(SCENARIOS["drains"], gateways=3, dns_clients=6, faults=(*SCENARIOS["drains"].faults,
+              Fault(8.9, "summarize_dns_clients")))  # fmt: skip
 
 
 def play(rule, kind):
     """One day in a process of its own: a loop shared by all would slow each by the others' load."""
     if kind == "sabotage":
         return rule.play(7)
-    day, make, loose, guard = DAYS.get(rule), None, {}, "enforce"
+    day, make, loose, guard = SCENARIOS.get(rule), None, {}, "enforce"
     if kind == "broken":
         (day, make, loose), guard = BROKEN[rule], "off"
     elif kind == "kept":
@@ -76,7 +87,7 @@
             frontend.Lease = OverlongLease  # in this process of the pool alone, and put back below
     try:
         with tempfile.TemporaryDirectory() as folder:
-            result = uvloop.run(Runner(day, 7, folder, make, loose=loose, guard=guard).run())
+            result = uvloop.run(Runner(day, 7, folder, FleetOptions(make, loose, guard)).run())
     finally:
         frontend.Lease = ttl.Lease
     return result, judge(result.evidence)
