--- /dev/null
+++ b/tests/safety/test_recorded_verdicts.py
@@ -0,0 +1,189 @@
+"""Verdicts over a fixed list of worlds, drawn at random once, are those that were recorded."""
+
+import hashlib
+import math
+import random
+
+from swiftchute.api.events import DemandReport, EndpointLoadReport, ProxyDisconnected
+from swiftchute.api.settings import Settings
+from swiftchute.safety.observed_traffic import Seen, by_kind
+from swiftchute.safety.publish_gate import Gate
+from swiftchute.safety.validator import Fact, Guard, Known, Proposal, Rules
+from tests.conftest import FACTS, operation
+
+SECOND_NS = 1_000_000_000
+NOW_NS = 1000 * SECOND_NS
+ZONES = ("east", "west")
+KINDS = ("std", "big", "new")
+WEIGHTS = (1e-4, 0.3, 1.0, 1.0, 1.0, 5.0, 1e6)
+BAD_WEIGHTS = (0.0, -1.0, math.nan, math.inf)
+AGES_S = (None, None, None, 0.0, 2.0, 9.0, 15.9, 16.0)
+
+VERDICTS_SHA256 = "cb09086e543d27cdaf0de6070bf53f09a13b07946c7e20c5b07f5b89cf3bff0b"
+REVIEWS_SHA256 = "2e5edcc66101eda299abe1ff7d5ff5b5fcc96437f1e32e21411c078f7fe66085"
+TRAFFIC_SHA256 = "2add3043ee0de27b4d33bb0d755e3cfff940496ffeeb2eddfca43c092a591b49"
+
+
+def settings_with(removal_is_binding):
+    operations = (operation("read"), operation("write"))
+    return Settings(**(FACTS | {"operations": operations, "removal_is_binding": removal_is_binding}))
+
+
+def draw_facts(draw):
+    facts = {}
+    for place in range(draw.randint(1, 8)):
+        age_s = draw.choice(AGES_S)
+        started = 0 if age_s is None else NOW_NS - int(age_s * SECOND_NS)
+        state = draw.choice(("ready", "ready", "ready", "ready", "draining", "gone"))
+        facts[f"s{place}"] = Fact(
+            draw.choice(ZONES), state, started, draw.choice((0.5, 1.0, 1.0, 4.0)), draw.choice(KINDS)
+        )
+    return facts
+
+
+def draw_lines(draw, names, bad_share=0.05):
+    chosen = draw.sample(names, draw.randint(0, len(names)))
+    return {n: draw.choice(BAD_WEIGHTS if draw.random() < bad_share else WEIGHTS) for n in chosen}
+
+
+def draw_proposal(draw, names, bad_share=0.05):
+    pending = tuple(
+        (draw.choice((0.2, 0.5)), {n: draw.random() for n in draw.sample(names, draw.randint(0, 2))})
+        for _ in range(draw.choice((0, 0, 1, 2)))
+    )
+    return Proposal(
+        draw_lines(draw, names, bad_share),
+        draw.choice((1.0, 1.0, 0.5, 0.1)),
+        frozenset(draw.choice(((), ("east",), ("west",), ZONES))),
+        draw.random() < 0.3,
+        draw.choice((None, 0.0, 5.0, 40.0, 400.0)),
+        pending,
+        draw.choice((0.0, 0.5, 0.69, 0.7, 1.0)),
+    )
+
+
+def draw_known(draw, names, numbers):
+    full = {kind: draw.choice((1.0, 12.0, 60.0)) for kind in KINDS if draw.random() < 0.8}
+    used = {(z, k): draw.choice((0.5, 8.0)) for z in ZONES for k in KINDS if draw.random() < 0.5}
+    then = {number: draw_lines(draw, names, 0.0) for number in numbers if draw.random() < 0.7}
+    return Known(
+        full,
+        used,
+        frozenset(draw.sample(names, draw.randint(0, len(names)))),
+        frozenset(z for z in ZONES if draw.random() < 0.15),
+        draw.choice((1.0, 0.5)),
+        then,
+    )
+
+
+def draw_rules(draw):
+    return Rules(
+        warn=frozenset(draw.sample(("cold budget", "large step", "empty pool", "barred server"), 1))
+        if draw.random() < 0.2
+        else frozenset(),
+        line_part=draw.choice((1.0, 1.0, 0.5)),
+        cold_part=draw.choice((0.6, 1.0)),
+        pool_most=draw.choice((2.0, math.inf)),
+        step_part=draw.choice((0.6, math.inf)),
+    )
+
+
+def finding(refusal):
+    """A finding as a plain tuple of builtins."""
+    return (str(refusal.rule), refusal.table, refusal.servers, refusal.figure, refusal.limit, refusal.done)
+
+
+def plain(tables):
+    """Tables as plain builtins, in their order of iteration."""
+    return [(number, list(lines.items()), level) for number, (lines, level) in tables.items()]
+
+
+def test_verdicts_are_those_recorded():
+    digest = hashlib.sha256()
+    rules_found = set()
+    for world in range(3000):
+        draw = random.Random(world)
+        facts = draw_facts(draw)
+        names = [*facts, "stranger"]
+        numbers = range(draw.randint(1, 4))
+        proposed = {number: draw_proposal(draw, names) for number in numbers}
+        before = {number: draw_lines(draw, names, 0.0) for number in numbers if draw.random() < 0.7}
+        known = draw_known(draw, names, numbers)
+        guard = Guard(settings_with(draw.random() < 0.5), draw_rules(draw))
+        verdict = guard.judge(proposed, before, facts, known, NOW_NS)
+        rules_found |= {refusal.rule for refusal in verdict.refusals}
+        digest.update(repr((plain(verdict.tables), [finding(r) for r in verdict.refusals])).encode())
+    assert rules_found == {
+        "bad weight", "barred server", "own zone", "empty pool", "no warm server", "one line", "cold budget",
+        "overfull pool", "large step", "no open server", "only cold servers", "late list",
+    }  # fmt: skip
+    assert digest.hexdigest() == VERDICTS_SHA256
+
+
+def test_reviews_are_those_recorded():
+    """Reviews of one gate after another: tables ordered or not, enforced or not, over some time."""
+    digest = hashlib.sha256()
+    for seed in range(60):
+        draw = random.Random(seed)
+        enforce = draw.random() < 0.8
+        bad_share = 0.05 if enforce else 0.0  # a controller drops bad weights before its gate
+        gate = Gate(settings_with(True), draw_rules(draw), enforce, seed)
+        now, news = NOW_NS, 0
+        facts = draw_facts(draw)
+        names = [*facts, "stranger"]
+        proposed = {number: draw_proposal(draw, names, bad_share) for number in range(3)}
+        for _ in range(60):
+            now += draw.choice((5_000_000, 100_000_000, SECOND_NS))
+            if draw.random() < 0.1:
+                facts, news = draw_facts(draw), news + 1
+                names = [*facts, "stranger"]
+            touched = {number for number in proposed if draw.random() < 0.5}
+            for number in touched:
+                proposed[number] = draw_proposal(draw, names, bad_share)
+            urgent = {number for number in touched if draw.random() < 0.05}
+            known = draw_known(draw, names, ())
+            moved = gate.review(proposed, touched, facts, known, now, news, urgent)
+            explained = gate.explain(1, proposed[1].lines, proposed[1].level, "", now)
+            # findings that end together are told in the order of a set
+            events = sorted(gate.events(), key=repr)
+            review = (moved, sorted(gate.held), plain(gate.allowed), gate.due, events, explained)
+            digest.update(repr((review, [finding(r) for r in gate.refusals])).encode())
+        digest.update(repr((sorted(gate.counts.items()), gate.behind)).encode())
+    assert digest.hexdigest() == REVIEWS_SHA256
+
+
+def test_observed_traffic_is_that_recorded():
+    digest = hashlib.sha256()
+    for seed in range(20):
+        draw = random.Random(seed)
+        facts, seen, now = draw_facts(draw), Seen(), NOW_NS
+        names = [*facts, "stranger"]
+        for _ in range(150):
+            now += draw.choice((0, 300_000_000, SECOND_NS, 3 * SECOND_NS))
+            attempts = draw.randint(0, 50)
+            failures = draw.randint(0, attempts)
+            seen.told(
+                EndpointLoadReport(
+                    draw.choice(ZONES),
+                    draw.choice(names),
+                    attempts,
+                    failures,
+                    1,
+                    draw.choice((0, SECOND_NS)),
+                    None,
+                ),
+                now,
+            )
+            seen.told(
+                DemandReport(draw.choice("pqr"), draw.choice(("read", "write")), attempts, 0, SECOND_NS), now
+            )
+            if draw.random() < 0.05:
+                seen.told(ProxyDisconnected(draw.choice("pqr")), now)
+            warm = frozenset(draw.sample(names, len(names) - 1))
+            used = seen.used(facts, warm.__contains__, now)
+            row = (
+                list(used.items()), list(by_kind(used).items()), seen.demand("pq", ("read",), now),
+                sorted(seen.answering(now)), sorted(seen.ill(facts, now)),
+            )  # fmt: skip
+            digest.update(repr(row).encode())
+    assert digest.hexdigest() == TRAFFIC_SHA256
--- /dev/null
+++ b/tests/versions/test_recorded_trials.py
@@ -0,0 +1,82 @@
+"""What canaries decide and histories keep over fixed pseudo-random steps is what was recorded."""
+
+import hashlib
+import random
+
+from swiftchute.versions import encoding
+from swiftchute.versions.canary import Limits, Trials
+from swiftchute.versions.history import History
+
+SECOND_NS = 1_000_000_000
+NOW_NS = 1000 * SECOND_NS
+TRIALS_SHA256 = "46fa1bc72f977930ee43b591059f9715d005e170716d376084f2748f08ce8a5e"
+HISTORY_SHA256 = "89f637f5021ebd1e11ee4a2d37ca126a23ab60f5d9a8de70c54591cadd7dcb57"
+
+
+def test_decisions_on_trials_are_those_recorded():
+    digest = hashlib.sha256()
+    for seed in range(300):
+        draw = random.Random(seed)
+        trials = Trials(Limits(0.25, 5 * SECOND_NS, 30 * SECOND_NS, 0.25))
+        proxies = {f"p{k}": draw.choice((1.0, 2.0, 5.0)) for k in range(9)}
+        starts, lines, now, version = dict.fromkeys("abcd", 0), dict.fromkeys("abcd", 1.0), NOW_NS, 0
+        for _ in range(60):
+            now += draw.choice((0, SECOND_NS // 2, SECOND_NS, 4 * SECOND_NS))
+            row = None
+            match draw.randrange(8):
+                case 0 | 1:
+                    after = lines | {draw.choice("abcd"): draw.choice((0.01, 1.0, 50.0))}
+                    cold = frozenset(draw.sample("abcd", draw.choice((0, 0, 1))))
+                    versions = (b"%d" % version, b"%d" % (version + 1))
+                    row = trials.change("t", lines, after, versions, proxies, starts, cold, now)
+                    lines, version = after, version + 1
+                case 2:
+                    starts = {n: draw.choice((0, 0, 0, 0, 0, now)) for n in "abcd" if draw.random() < 0.95}
+                case 3:
+                    trials.settled(draw.choice(list(proxies)), {"t": b"%d" % version}, now)
+                case 4 | 5:
+                    for proxy in proxies:
+                        trials.settled(proxy, {"t": b"%d" % version}, now)
+                        errored = draw.choice((0, 0, 0, 1, 9, 40))
+                        trials.heard(proxy, "t", (50, errored, 1000 * draw.randint(1, 3), 50), now)
+                case 6:
+                    trials.left(draw.choice(list(proxies)))
+                    row = trials.choose("t", proxies)
+                case 7:
+                    trials.refused(draw.choice(list(proxies)), "t")
+            rest = trials.rest("t", starts)
+            first = [p for p in proxies if trials.first("t", p)]
+            due = trials.due
+            over = [(table, end.back, end.why, end.before) for table, end in trials.over(now)]
+            digest.update(repr((row, rest and list(rest.items()), first, due, over)).encode())
+        digest.update(repr(sorted(trials.counts.items())).encode())
+    assert digest.hexdigest() == TRIALS_SHA256
+
+
+def test_entries_of_a_history_are_those_recorded():
+    digest = hashlib.sha256()
+    for seed in range(10):
+        draw = random.Random(seed)
+        history, now, held = History("0", 40, 100 * SECOND_NS), NOW_NS, []
+        weights = {"a": 1.0}
+        for _ in range(300):
+            now += draw.choice((0, SECOND_NS, 5 * SECOND_NS))
+            weights = weights | {draw.choice("abcdefgh"): draw.choice((0.5, 1.0, 2.0))}
+            if draw.random() < 0.1:
+                weights = dict(draw.sample(list(weights.items()), 1))
+            content = encoding.table([("read", draw.choice((1.0, 1.0, 0.5)), 1)],
+                                     [(n, "east", w) for n, w in weights.items()])  # fmt: skip
+            change = history.note("t", content, now, "health")
+            row = change and (change.serial, change.version, change.parent, change.put, change.gone)
+            if change is not None and draw.random() < 0.1:
+                history.hold(change.version)
+                held.append(change.version)
+            if held and draw.random() < 0.05:
+                history.drop(held.pop(0))
+            oldest = history.log("t", 1000)[-1]
+            way = history.way(oldest.version, history.log("t", 1)[0].version)
+            kept = [encoding.encode(history.get(version)) for version in held]
+            digest.update(
+                repr((row, oldest.serial, way and encoding.encode(way), kept, history.dropped)).encode()
+            )
+    assert digest.hexdigest() == HISTORY_SHA256
