--- a/benchmarks/tables.py
+++ b/benchmarks/tables.py
@@ -12,7 +12,7 @@
 import tracemalloc
 
 from swiftchute.versions.encoding import apply, decode, decode_delta, diff, encode, table
-from swiftchute.versions.history import History
+from swiftchute.versions.history import VersionHistory
 
 S = 1_000_000_000
 
@@ -56,7 +56,7 @@
 def filled(many):
     """A history of 10,000 versions of one changed line each; the CPU of each entry, in nanoseconds."""
     chance, weights, took = random.Random(1), lines(many), []
-    names, kept = sorted(weights), History("0", most=20_000, age=10**18)
+    names, kept = sorted(weights), VersionHistory("0", most=20_000, age=10**18)
     for k in range(10_000):
         weights[chance.choice(names)] = round(chance.uniform(0.2, 2), 4)
         content = made(weights)
--- a/benchmarks/taps.py
+++ b/benchmarks/taps.py
@@ -18,9 +18,9 @@
 
 from swiftchute.api.events import DemandReport, EndpointListUpdate, ProxyConnected, ProxyDisconnected
 from swiftchute.controller.controller import Core
-from swiftchute.discovery.endpoint_list import News
+from swiftchute.discovery.endpoint_list import EndpointListChange
 from swiftchute.policy import Reconciler
-from swiftchute.safety.validator import LATE, Rules
+from swiftchute.safety.validator import LATE, SafetyRules
 from swiftchute.simulator.host import Host
 
 S = 1_000_000_000
@@ -49,7 +49,7 @@
     made: list["Played"] = []
 
     def __init__(self, settings, seed):
-        self.core = Core(settings, seed, self._module, guard=Rules(), enforce=False)
+        self.core = Core(settings, seed, self._module, guard=SafetyRules(), enforce=False)
         self.settings, self.writer, self.now = settings, None, 0
         self.pushes, self.stood, self.began, self.first = 0, Counter(), Counter(), defaultdict(list)
         Played.made.append(self)
@@ -77,7 +77,7 @@
                 case ProxyDisconnected(proxy):
                     core.left(proxy)
                 case EndpointListUpdate(scope, endpoints):
-                    core.listed(News(scope, tuple(endpoints), ()))
+                    core.listed(EndpointListChange(scope, tuple(endpoints), ()))
                 case _:
                     core.calls.append(event)
         if not calls:
--- a/swiftchute/cli/main.py
+++ b/swiftchute/cli/main.py
@@ -232,7 +232,7 @@
     settings = _load(config).settings
     try:
         verdict = offline.judge(settings, offline.read(table), offline.listed(servers, settings.zones))
-    except offline.BadInput as why:
+    except offline.InputFileError as why:
         click.echo(f"swiftchute: {why}", err=True)
         sys.exit(2)
     for refusal in verdict.refusals:
@@ -419,10 +419,10 @@
     """Explore how tables are kept in step, every interleaving of loss, doubling, reordering and restarts."""
     from swiftchute.versions import model_checker as small
 
-    if bug is not None and bug not in small.BUGS:
-        click.echo("\n".join(small.BUGS), err=bug != "list")
+    if bug is not None and bug not in small.KNOWN_BUGS:
+        click.echo("\n".join(small.KNOWN_BUGS), err=bug != "list")
         sys.exit(0 if bug == "list" else 2)
-    sides = small.BUGS[bug] if bug else (small.Sender, small.Receiver)
+    sides = small.KNOWN_BUGS[bug] if bug else (small.Sender, small.Receiver)
     found = small.explore(small.Model(proxies, versions, channel, *sides), most)
     click.echo(f"{found.states} states, {found.steps} steps: {found.broken or 'no invariant is broken'}")
     for place, what in enumerate(found.trace, 1):
--- a/swiftchute/controller/controller.py
+++ b/swiftchute/controller/controller.py
@@ -24,15 +24,22 @@
 from swiftchute.controller.egress_queue import Channel
 from swiftchute.controller.load_aggregation import Report, Sums
 from swiftchute.controller.policy_runner import IDLE, Joined, Loop, S
-from swiftchute.discovery.endpoint_list import News
-from swiftchute.safety.observed_traffic import Seen, by_kind
-from swiftchute.safety.publish_gate import Gate
-from swiftchute.safety.validator import Fact, Known, Proposal, Rules
+from swiftchute.discovery.endpoint_list import EndpointListChange
+from swiftchute.safety.observed_traffic import ObservedTraffic, peak_by_kind
+from swiftchute.safety.publish_gate import PublishGate
+from swiftchute.safety.validator import EndpointStatus, Observations, Proposal, SafetyRules
 from swiftchute.versions import encoding
-from swiftchute.versions.canary import Limits, Trials
-from swiftchute.versions.delivery import Sent
-from swiftchute.versions.history import Change, History, Unknown
-from swiftchute.versions.pinning import SPAN_LEAST, SPAN_MOST, Impossible, Pin, Pins, Rejected
+from swiftchute.versions.canary import CanaryLimits, CanaryTrials
+from swiftchute.versions.delivery import DeliveryTracker
+from swiftchute.versions.history import UnknownVersionError, VersionChange, VersionHistory
+from swiftchute.versions.pinning import (
+    MAX_PIN_NS,
+    MIN_PIN_NS,
+    Pin,
+    PinError,
+    PinnedVersions,
+    RejectionTracker,
+)
 
 SEALS_KEPT = 4096  # marks whose time of order is remembered
 FACTS_MOST = 200_000  # servers remembered, those gone among them: past it the gone are forgotten
@@ -101,7 +108,7 @@
         seed: int,
         make: Callable[[Settings, int], Policy],
         now: int = 0,
-        guard: Rules | None = None,
+        guard: SafetyRules | None = None,
         enforce: bool = True,
         tables: Keep | None = None,
     ) -> None:
@@ -110,14 +117,14 @@
         super().__init__(settings, seed, make, now, lenient=guard is not None and enforce)
         self.rules, self.enforce = guard, enforce
         tables = self.keep = tables or Keep()
-        self.history = History(str(settings.instance), tables.most, tables.age)
-        self.sent, self.pins = Sent(self.history), Pins()
-        self.rejected = Rejected(tables.rejected_part, tables.back_most, tables.back_within)
-        limits = Limits(tables.canary_part, tables.canary_for, tables.canary_most, tables.canary_step)
-        self.trials = Trials(limits)
+        self.history = VersionHistory(str(settings.instance), tables.most, tables.age)
+        self.sent, self.pins = DeliveryTracker(self.history), PinnedVersions()
+        self.rejected = RejectionTracker(tables.rejected_part, tables.back_most, tables.back_within)
+        limits = CanaryLimits(tables.canary_part, tables.canary_for, tables.canary_most, tables.canary_step)
+        self.trials = CanaryTrials(limits)
         self.rests: dict[int, Content] = {}  # of tables on trial, what proxies behind hold
         self.sums = Sums(settings.report_rate_entries_per_s, settings.report_interval_ns)
-        self.facts: dict[str, Fact] = {}  # what the list says, or last said, of each server
+        self.facts: dict[str, EndpointStatus] = {}  # what the list says, or last said, of each server
         self.reviewed = now
         self.news = self.judged = 0  # lists that brought something, and those that the module was told of
         self.barred: frozenset[str] = frozenset()  # servers listed as draining, or gone where gone binds
@@ -128,10 +135,12 @@
     def _fresh(self) -> None:
         super()._fresh()
         s = self.set
-        self.gate = Gate(s, self.rules, self.enforce, self.random.getrandbits(32)) if self.rules else None
+        self.gate = (
+            PublishGate(s, self.rules, self.enforce, self.random.getrandbits(32)) if self.rules else None
+        )
         for proxy in list(self.sent.by):  # those of a module that failed are bound to nothing
             self.sent.left(proxy)
-        self.seen = Seen()
+        self.seen = ObservedTraffic()
         self.marks: dict[Any, int] = {}  # by proxy, the newest mark of a round that was held back
         self.why: dict[int, str] = {}  # by table, the cause of its next version
         self.channel = Channel(
@@ -182,13 +191,13 @@
             if self.trials.open:
                 self._tried(proxy, report, now)
 
-    def listed(self, news: News) -> None:
+    def listed(self, news: EndpointListChange) -> None:
         """A good list brought these entries."""
         self.news += 1
         barred = set(self.barred)
         for entry in news.entries:
             server, zone, state = entry.endpoint, entry.zone, entry.state
-            self.facts[server] = Fact(zone, state, entry.started_ns, entry.weight, entry.kind)
+            self.facts[server] = EndpointStatus(zone, state, entry.started_ns, entry.weight, entry.kind)
             if len(self.facts) > FACTS_MOST:  # those gone are forgotten; to the guard they are gone still
                 self.facts = {n: f for n, f in self.facts.items() if f.state != "gone"}
             binds = state == "draining" or (state == "gone" and self.set.removal_is_binding)
@@ -388,7 +397,7 @@
             return False
         try:
             self.pin(name, version, self.keep.back_for, levels, "rollback", now)
-        except (Impossible, Unknown) as why:
+        except (PinError, UnknownVersionError) as why:
             self.event("not taken back", table=name, cause=str(why))
             return False
         return True
@@ -424,8 +433,8 @@
         cold = frozenset(n for n, f in self.facts.items() if f.started and f.state == "ready" and not warm(n))
         proposed = {number: self._proposal(number, cold, now) for number in self.orders.tables}
         used = self.seen.used(self.facts, warm, now)
-        known = Known(
-            by_kind(used),
+        known = Observations(
+            peak_by_kind(used),
             used,
             () if self.set.removal_is_binding else self.seen.answering(now),
             self.seen.ill(self.facts, now),
@@ -491,22 +500,22 @@
     # -- ways back
 
     def _number(self, name: str) -> int:
-        """The number of a table in use. Raises `Impossible`."""
+        """The number of a table in use. Raises `PinError`."""
         number = self._named(name)
         if number is not None and self.orders.on.get(number):
             return number
         used = ", ".join(self.table_name(n) for n in sorted(self.orders.tables) if self.orders.on.get(n))
-        raise Impossible(f"no proxy is on a table {name!r}; in use are {used or 'none'}")
+        raise PinError(f"no proxy is on a table {name!r}; in use are {used or 'none'}")
 
-    def pin(self, name: str, asked: str, span: int, levels: bool, cause: str, now: int) -> Change:
-        """Hold a table at a kept version for so long. Raises `Unknown` or `Impossible`; nothing changes
-        then."""
-        if not SPAN_LEAST <= span <= SPAN_MOST:
-            raise Impossible(f"{span / S:g} s: a pin lasts {SPAN_LEAST // S} to {SPAN_MOST // S} s")
+    def pin(self, name: str, asked: str, span: int, levels: bool, cause: str, now: int) -> VersionChange:
+        """Hold a table at a kept version for so long. Raises `UnknownVersionError` or `PinError`;
+        nothing changes then."""
+        if not MIN_PIN_NS <= span <= MAX_PIN_NS:
+            raise PinError(f"{span / S:g} s: a pin lasts {MIN_PIN_NS // S} to {MAX_PIN_NS // S} s")
         number, change = self._number(name), self.history.find(name, asked)
         content = self.history.get(change.version)
         if content is None:
-            raise Impossible(f"version {change.version.hex()[:12]} is no longer kept")
+            raise PinError(f"version {change.version.hex()[:12]} is no longer kept")
         self.pins.set(name, Pin(change, content, now + span, levels, cause), self._ready())
         self.event("table pinned", table=name, version=change.version.hex()[:12], serial=change.serial,
                    seconds=round(span / S), levels=levels, cause=cause)  # fmt: skip
@@ -523,7 +532,7 @@
         return next((number for number in self.orders.tables if self.table_name(number) == name), None)
 
     def release(self, name: str, now: int) -> None:
-        """The module's orders count again for a table. Raises `Impossible` if it is not pinned."""
+        """The module's orders count again for a table. Raises `PinError` if it is not pinned."""
         self.pins.release(name)
         self._released(name, "released", now)
 
--- a/swiftchute/daemon/commands.py
+++ b/swiftchute/daemon/commands.py
@@ -7,8 +7,8 @@
 from swiftchute.admin.server import Denied
 from swiftchute.controller.controller import Core
 from swiftchute.versions import encoding
-from swiftchute.versions.history import Change, Unknown
-from swiftchute.versions.pinning import Impossible
+from swiftchute.versions.history import UnknownVersionError, VersionChange
+from swiftchute.versions.pinning import PinError
 
 S = 1_000_000_000
 MOST = 1000  # rows of an answer
@@ -34,7 +34,7 @@
         def run(**given: Any) -> Any:
             try:
                 return command(**given)
-            except (Unknown, Impossible) as why:
+            except (UnknownVersionError, PinError) as why:
                 raise Denied(str(why)) from None
 
         return run
@@ -53,7 +53,7 @@
             "counts": gate.counts,
         }
 
-    def _change(self, change: Change) -> dict[str, Any]:
+    def _change(self, change: VersionChange) -> dict[str, Any]:
         held, way = self.core.sent.states(change.table).get(change.version, (0, 0))
         newest = self.core.history.current(change.table)
         return {
@@ -75,7 +75,7 @@
         """The last changes, newest first."""
         return [self._change(change) for change in self.core.history.log(table, min(int(most), MOST))]
 
-    def _kept(self, table: str, version: str) -> tuple[Change, encoding.Table]:
+    def _kept(self, table: str, version: str) -> tuple[VersionChange, encoding.Table]:
         change = self.core.history.find(table, version)
         content = self.core.history.get(change.version)
         if content is None:
@@ -88,9 +88,9 @@
         pin = self.core.pins.by.get(table)
         return self._change(change) | {
             "levels": [
-                [op, millionths / encoding.MILLION, tries] for op, millionths, tries in content.levels
+                [op, rate / encoding.ADMISSION_RATE_SCALE, tries] for op, rate, tries in content.levels
             ],
-            "lines": [[server, zone, units / encoding.UNIT] for server, zone, units in content.lines],
+            "lines": [[server, zone, units / encoding.WEIGHT_SCALE] for server, zone, units in content.lines],
             "pinned": None if pin is None else {
                 "version": pin.change.version.hex(), "cause": pin.cause, "levels": pin.levels,
                 "seconds": round((pin.until - self.clock()) / S, 1),
@@ -106,10 +106,14 @@
             "before": one.version.hex(),
             "after": two.version.hex(),
             "lines": [
-                [server, was[server][2] / encoding.UNIT if server in was else None, units / encoding.UNIT]
+                [
+                    server,
+                    was[server][2] / encoding.WEIGHT_SCALE if server in was else None,
+                    units / encoding.WEIGHT_SCALE,
+                ]
                 for server, _, units in step.put
             ]
-            + [[server, was[server][2] / encoding.UNIT, None] for server in step.gone],
+            + [[server, was[server][2] / encoding.WEIGHT_SCALE, None] for server in step.gone],
             "levels": None if step.levels is None else {"before": old.levels, "after": new.levels},
             "bytes": len(encoding.encode(step)),
             "whole": len(encoding.encode(new)),
--- a/swiftchute/daemon/service.py
+++ b/swiftchute/daemon/service.py
@@ -9,13 +9,13 @@
 from swiftchute.config import Config
 from swiftchute.controller.controller import Core, Keep
 from swiftchute.daemon.commands import Commands
-from swiftchute.discovery.endpoint_list import BadList, Registry
+from swiftchute.discovery.endpoint_list import EndpointList, EndpointListError
 from swiftchute.discovery.sources import FileSource, HttpSource
 from swiftchute.dns.frontend import Front as DnsFront
 from swiftchute.dns.server import Shell as DnsShell
 from swiftchute.observability.logging import mode_fields
 from swiftchute.policy import Reconciler
-from swiftchute.safety.validator import Rules
+from swiftchute.safety.validator import SafetyRules
 from swiftchute.xds.frontend import Front, Out
 from swiftchute.xds.server import Shell
 
@@ -42,7 +42,7 @@
         now = self.clock()
         mode = config.guard["mode"]
         of = {key: value for key, value in config.guard.items() if key != "mode"}
-        rules = Rules(**of | {"warn": frozenset(of["warn"])}) if mode != "off" else None
+        rules = SafetyRules(**of | {"warn": frozenset(of["warn"])}) if mode != "off" else None
         self.core = Core(
             config.settings, config.seed, make, now, rules, mode == "enforce", Keep(**config.tables)
         )
@@ -57,7 +57,7 @@
             config.seed,
         )
         offset = time.time_ns() - now
-        self.registry = Registry(config.settings.zones, offset)
+        self.registry = EndpointList(config.settings.zones, offset)
         self.dns: DnsShell | None = None
         if config.dns["listen"]:
             answers = DnsFront(self.core, config.settings, config.dns, config.seed, offset)
@@ -81,7 +81,7 @@
     def _took(self, text: bytes) -> None:
         try:
             news = self.registry.read(text)
-        except BadList as why:
+        except EndpointListError as why:
             self.log.warning(
                 "list refused", cause=str(why), kept=len(self.registry.held), bad=self.registry.bad
             )
--- a/swiftchute/discovery/endpoint_list.py
+++ b/swiftchute/discovery/endpoint_list.py
@@ -21,12 +21,12 @@
 _STATES = ("ready", "draining")
 
 
-class BadList(Exception):
+class EndpointListError(Exception):
     """A list that cannot be believed; its text says what is wrong and where."""
 
 
 @dataclass(frozen=True)
-class News:
+class EndpointListChange:
     """What a good list brings: "held" for the first, else "changes"; and entries that were passed
     over, with why."""
 
@@ -41,7 +41,7 @@
 
 
 @dataclass
-class Registry:
+class EndpointList:
     """The last good list; `offset` is wall clock minus the planner's clock, fixed, so that a start
     stays one figure."""
 
@@ -52,21 +52,21 @@
     good: int = 0
     bad: int = 0
 
-    def read(self, text: bytes) -> News | None:
-        """Take in a list; None if nothing changed. Raises `BadList`, and the last good list stays."""
+    def read(self, text: bytes) -> EndpointListChange | None:
+        """Take in a list; None if nothing changed. Raises `EndpointListError`; the last good list stays."""
         try:
             return self._read(text)
-        except BadList:
+        except EndpointListError:
             self.bad += 1
             raise
 
-    def _read(self, text: bytes) -> News | None:
+    def _read(self, text: bytes) -> EndpointListChange | None:
         try:
             groups = msgspec.json.decode(text, type=list[_Group])
         except (msgspec.DecodeError, UnicodeDecodeError) as why:
-            raise BadList(f"not a list of targets: {why}") from None
+            raise EndpointListError(f"not a list of targets: {why}") from None
         if sum(len(g.targets) for g in groups) > SERVERS_MOST:
-            raise BadList(f"more than {SERVERS_MOST} targets")
+            raise EndpointListError(f"more than {SERVERS_MOST} targets")
         found: dict[str, EndpointRecord] = {}
         passed = []
         for place, group in enumerate(groups, 1):
@@ -86,13 +86,17 @@
                 ):  # named twice: the word that takes it out counts
                     found[target] = entry
         if not found and self.held:
-            raise BadList("no server in it: a list empties no pool; drain servers instead")
+            raise EndpointListError("no server in it: a list empties no pool; drain servers instead")
         gone = [e._replace(state=EndpointState.REMOVED) for n, e in self.held.items() if n not in found]
         changed = [e for n, e in found.items() if self.held.get(n) != e]
         scope = "changes" if self.read_once else "held"
         self.held, self.read_once, self.good = found, True, self.good + 1
         entries = tuple(sorted([*changed, *gone]))
-        return News(scope, entries, tuple(passed)) if entries or passed or scope == "held" else None
+        return (
+            EndpointListChange(scope, entries, tuple(passed))
+            if entries or passed or scope == "held"
+            else None
+        )
 
     def _entry(self, target: str, labels: dict[str, str]) -> EndpointRecord:
         host, _, port = target.rpartition(":")
--- a/swiftchute/dns/srv_weights.py
+++ b/swiftchute/dns/srv_weights.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Sequence
 
-from swiftchute.versions.encoding import UNIT
+from swiftchute.versions.encoding import WEIGHT_SCALE
 
 WEIGHT_MOST = 65_535  # RFC 2782: 16 bits; 0 is kept for "no choice to make"
 ANSWERS_MOST = 1024
@@ -20,7 +20,7 @@
 def srv_weights(lines: Sequence[Line]) -> list[int]:
     """The weights of SRV records: the table's own units while they fit, so that one changed line is one
     changed record; scaled down together where one does not. No line is lost: 1 at least."""
-    units = [weight * UNIT for _, _, weight in lines]
+    units = [weight * WEIGHT_SCALE for _, _, weight in lines]
     over = max(max(units, default=0.0) / WEIGHT_MOST, 1.0)
     return [min(max(round(u / over), 1), WEIGHT_MOST) for u in units]
 
--- a/swiftchute/dns/zone_transfer.py
+++ b/swiftchute/dns/zone_transfer.py
@@ -28,8 +28,8 @@
 
 from swiftchute.dns.names import Names
 from swiftchute.dns.records import Lines, Records, Shape
-from swiftchute.versions.encoding import UNIT
-from swiftchute.versions.history import History
+from swiftchute.versions.encoding import WEIGHT_SCALE
+from swiftchute.versions.history import VersionHistory
 
 S = 1_000_000_000
 KEPT = 256  # serials of which a difference can be given; past it the whole goes out
@@ -47,7 +47,7 @@
 class Journal:
     """Serials of one planner's life."""
 
-    def __init__(self, history: History, names: Names, shape: Shape, ttl: int) -> None:
+    def __init__(self, history: VersionHistory, names: Names, shape: Shape, ttl: int) -> None:
         """`ttl`: of all records in transfers, so that it is no difference."""
         self.history, self.names, self.shape, self.ttl = history, names, shape, ttl
         self.entries: OrderedDict[int, _Entry] = OrderedDict()
@@ -80,7 +80,7 @@
                     table = self.history.get(kept)
                     if table is None:
                         return None
-                    kept = tuple((server, z, units / UNIT) for server, z, units in table.lines)
+                    kept = tuple((server, z, units / WEIGHT_SCALE) for server, z, units in table.lines)
                 contents.setdefault(zone, {})[op] = kept
         return Records(self.names, contents, entry.cold, self.ttl, serial, self.shape)
 
--- a/swiftchute/safety/observed_traffic.py
+++ b/swiftchute/safety/observed_traffic.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from swiftchute.api.events import DemandReport, EndpointLoadReport, Event, ProxyDisconnected
-from swiftchute.safety.validator import Fact
+from swiftchute.safety.validator import EndpointStatus
 
 S = 1_000_000_000
 FRESH = 10 * S  # a sum counts for so long beyond its span: large fleets are told of in turn
@@ -20,7 +20,7 @@
 STEADY = 5  # judgements over which it is the mean: single sums come half too high by chance
 
 
-class Seen:
+class ObservedTraffic:
     """Last sums by server and proxy, and the zones' best of the last minute."""
 
     def __init__(self) -> None:
@@ -63,7 +63,7 @@
             if any(good > 0 and until >= now for until, good, _ in rows.values())
         )
 
-    def ill(self, facts: Mapping[str, Fact], now: int) -> frozenset[str]:
+    def ill(self, facts: Mapping[str, EndpointStatus], now: int) -> frozenset[str]:
         """Zones whose servers failed more than half of the tries of fresh sums."""
         by: dict[str, list[float]] = defaultdict(lambda: [0.0, 0.0])
         for server, rows in self.good.items():
@@ -75,7 +75,7 @@
         return frozenset(zone for zone, (good, tries) in by.items() if good < ILL * tries)
 
     def used(
-        self, facts: Mapping[str, Fact], warm: Callable[[str], bool], now: int
+        self, facts: Mapping[str, EndpointStatus], warm: Callable[[str], bool], now: int
     ) -> dict[tuple[str, str], float]:
         """By zone and kind, the most that warm servers gave of late, a second and unit of weight; not known:
         left out."""
@@ -101,7 +101,7 @@
         return {key: rate for key, rate in found.items() if rate > 0}
 
 
-def by_kind(used: Mapping[tuple[str, str], float]) -> dict[str, float]:
+def peak_by_kind(used: Mapping[tuple[str, str], float]) -> dict[str, float]:
     """By kind, what its servers gave in the zone where they gave most.
 
     By kind, as a planner's proxies send other zones little: taken by zone alone, a cold server of another
--- a/swiftchute/safety/publish_gate.py
+++ b/swiftchute/safety/publish_gate.py
@@ -19,7 +19,15 @@
 from typing import Any
 
 from swiftchute.api.settings import Settings
-from swiftchute.safety.validator import LATE, Fact, Guard, Known, Proposal, Refusal, Rules
+from swiftchute.safety.validator import (
+    LATE,
+    EndpointStatus,
+    Observations,
+    Proposal,
+    SafetyRules,
+    Validator,
+    Violation,
+)
 
 S = 1_000_000_000
 LEAVE = S // 3  # unordered, a table moves only after so long: most of what the list brings is ordered by then
@@ -37,26 +45,26 @@
     told: bool = False
 
 
-class Gate:
+class PublishGate:
     """Keeps what may go out by table, and which findings stand."""
 
-    def __init__(self, settings: Settings, rules: Rules, enforce: bool, seed: int = 0) -> None:
+    def __init__(self, settings: Settings, rules: SafetyRules, enforce: bool, seed: int = 0) -> None:
         """Without `enforce` findings are told and counted, and tables go out as proposed."""
-        self.guard, self.enforce, self.grace = Guard(settings, rules), enforce, settings.drain_grace_ns
+        self.guard, self.enforce, self.grace = Validator(settings, rules), enforce, settings.drain_grace_ns
         self.random = random.Random(seed)
         self.waits: dict[int, _Waits] = {}
         self.past: deque[tuple[int, dict[int, dict[str, float]]]] = deque(maxlen=STAMPS)
         self.moving: dict[int, int] = {}  # since when a table should move without an order
         self.news = -1
-        self.refusals: list[Refusal] = []  # of the last review
+        self.refusals: list[Violation] = []  # of the last review
         self.held: set[int] = set()  # ordered to change and held back, in the last review
         self.allowed: dict[int, tuple[dict[str, float], float]] = {}
-        self.standing: dict[tuple[str, int], tuple[int, Refusal]] = {}  # since when a finding stands
+        self.standing: dict[tuple[str, int], tuple[int, Violation]] = {}  # since when a finding stands
         self.alarmed: set[tuple[str, int]] = set()
         self.counts: dict[str, int] = {}
         self._events: list[tuple[str, dict[str, Any]]] = []
 
-    def warm(self, facts: Mapping[str, Fact], now: int) -> Any:
+    def warm(self, facts: Mapping[str, EndpointStatus], now: int) -> Any:
         """Whether a listed server is ready and no longer cold."""
         return lambda n: facts[n].state == "ready" and self.guard.capacity(facts[n], now) >= 1
 
@@ -64,8 +72,8 @@
         self,
         proposed: Mapping[int, Proposal],
         touched: Collection[int],
-        facts: Mapping[str, Fact],
-        known: Known,
+        facts: Mapping[str, EndpointStatus],
+        known: Observations,
         now: int,
         news: int = 0,
         urgent: Collection[int] = (),
@@ -120,9 +128,9 @@
         more."""
         return table.spent >= self.guard.rules.channel_part
 
-    def _overdrawn(self, number: int, spent: float) -> Refusal:
+    def _overdrawn(self, number: int, spent: float) -> Violation:
         done = "warned" if "full channel" in self.guard.rules.warn else "mended"
-        return Refusal("full channel", number, (), spent, self.guard.rules.channel_part, done)
+        return Violation("full channel", number, (), spent, self.guard.rules.channel_part, done)
 
     @property
     def behind(self) -> int:
@@ -143,7 +151,7 @@
             self.past.popleft()
         return self.past[0][1]
 
-    def _patience(self, refusals: list[Refusal], touched: set[int], now: int) -> None:
+    def _patience(self, refusals: list[Violation], touched: set[int], now: int) -> None:
         """Count refused orders in a row, and let a table wait that had too many."""
         refused = {r.table for r in refusals if r.done == "mended"}
         for number in touched:
@@ -175,7 +183,7 @@
         pairs = [*((old[0][n], w) for n, w in new[0].items()), (old[1], new[1])]
         return any(abs(b - a) > WORTH * a for a, b in pairs)
 
-    def _note(self, refusals: list[Refusal], now: int) -> None:
+    def _note(self, refusals: list[Violation], now: int) -> None:
         for refusal in refusals:
             self.counts[refusal.rule] = self.counts.get(refusal.rule, 0) + 1
         # what is only safe if the list is not late comes and goes with the load: it is counted, not told
@@ -193,7 +201,7 @@
             self.alarmed.discard(key)
             self._tell("guard", refusal, on=False, seconds=round((now - since) / S, 1))
 
-    def _tell(self, event: str, refusal: Refusal, **more: Any) -> None:
+    def _tell(self, event: str, refusal: Violation, **more: Any) -> None:
         done = refusal.done if self.enforce or refusal.done != "mended" else "warned"
         told = {"rule": refusal.rule, "table": refusal.table, "servers": list(refusal.servers)[:8]}
         figures = {"figure": round(refusal.figure, 3), "limit": round(refusal.limit, 3)}
--- a/swiftchute/safety/stale_list.py
+++ b/swiftchute/safety/stale_list.py
@@ -15,7 +15,7 @@
 from collections.abc import Mapping
 
 
-def worst(
+def worst_case_overload(
     lines: Mapping[str, float], rate: float, budget: Mapping[str, float], k: int
 ) -> tuple[float, str, tuple[str, ...]]:
     """The greatest load over budget that a worker just restarted could get, which one, and who would be gone.
--- a/swiftchute/safety/step_limits.py
+++ b/swiftchute/safety/step_limits.py
@@ -34,7 +34,7 @@
     limit: float
 
 
-class Pools:
+class StepLimits:
     """The warm servers by zone, and what each pool was seen to answer at most."""
 
     def __init__(self, zone_of: Mapping[str, str], answers: Mapping[str, float], ill: frozenset[str]) -> None:
--- a/swiftchute/safety/validator.py
+++ b/swiftchute/safety/validator.py
@@ -35,20 +35,20 @@
 from dataclasses import dataclass, field
 
 from swiftchute.api.settings import Settings
-from swiftchute.safety.stale_list import worst
-from swiftchute.safety.step_limits import Over, Pools, blend
+from swiftchute.safety.stale_list import worst_case_overload
+from swiftchute.safety.step_limits import Over, StepLimits, blend
 
 RULES = (
     "bad weight", "barred server", "own zone", "empty pool", "no warm server", "one line", "cold budget",
     "overfull pool", "large step", "full channel",
 )  # fmt: skip
 EXCEPTIONS = ("no open server", "only cold servers")
-LATE = "late list"  # counted and told, never mended: see `Guard._late`
+LATE = "late list"  # counted and told, never mended: see `Validator._late`
 SLACK = 1.001  # figures are floats: what is over its limit by less is not over it
 
 
 @dataclass(frozen=True)
-class Rules:
+class SafetyRules:
     """Settings of the guard: rules that only warn, the part a line may have, how far the list may be wrong,
     the part of the rule on cold servers that tables may plan for, as arrivals bunch and speeds differ, how
     far past the most it was seen to answer a pool may be filled, and the part of all demand that it may take
@@ -65,7 +65,7 @@
 
 
 @dataclass(frozen=True)
-class Fact:
+class EndpointStatus:
     """What the list says of a server: "ready", "draining" or "gone"; `started` 0 if long ago; its
     listed weight; its kind: those of a kind do the same work."""
 
@@ -92,7 +92,7 @@
 
 
 @dataclass(frozen=True)
-class Known:
+class Observations:
     """What is known besides tables and the list.
 
     `full`: by kind, good answers a second that a warm server of weight 1 was seen to give; a kind that is not
@@ -111,7 +111,7 @@
 
 
 @dataclass(frozen=True)
-class Refusal:
+class Violation:
     """One finding: the rule, where, the figure and its limit, and what was done ("mended", "warned",
     "sent")."""
 
@@ -128,17 +128,17 @@
     """What may go out, by table: (lines, level); and all findings."""
 
     tables: dict[int, tuple[dict[str, float], float]] = field(default_factory=dict)
-    refusals: list[Refusal] = field(default_factory=list)
+    refusals: list[Violation] = field(default_factory=list)
 
 
-class Guard:
+class Validator:
     """Judges proposals by the settings' rules."""
 
-    def __init__(self, settings: Settings, rules: Rules) -> None:
+    def __init__(self, settings: Settings, rules: SafetyRules) -> None:
         """`settings` hold the figures of the rules on cold servers."""
         self.set, self.rules = settings, rules
 
-    def capacity(self, fact: Fact, now: int) -> float:
+    def capacity(self, fact: EndpointStatus, now: int) -> float:
         """The part of its full work that a server can do at least: it grows evenly, on the longest way."""
         if not fact.started:
             return 1.0
@@ -149,8 +149,8 @@
         self,
         proposed: Mapping[int, Proposal],
         before: Mapping[int, Mapping[str, float]],
-        facts: Mapping[str, Fact],
-        known: Known,
+        facts: Mapping[str, EndpointStatus],
+        known: Observations,
         now: int,
     ) -> Verdict:
         """Judge all tables.
@@ -172,7 +172,7 @@
         """Note a finding; whether it is to be mended."""
         mend = rule not in self.rules.warn
         done = ("mended" if rule in RULES else "sent") if mend else "warned"
-        self.verdict.refusals.append(Refusal(rule, table, tuple(sorted(servers)), figure, limit, done))
+        self.verdict.refusals.append(Violation(rule, table, tuple(sorted(servers)), figure, limit, done))
         return mend
 
     def _open(self, server: str) -> bool:
@@ -279,7 +279,7 @@
         unknown = {self.facts[n].zone for n in zone_of if self.facts[n].kind not in self.full}
         for n, zone in zone_of.items():
             answers[zone] += self._work(self.facts[n]) or 0.0
-        pools = Pools(zone_of, {z: a for z, a in answers.items() if z not in unknown}, self.known.ill)
+        pools = StepLimits(zone_of, {z: a for z, a in answers.items() if z not in unknown}, self.known.ill)
         # tables that hold something for the first time load pools as they will; they are not held back
         ours = {t: new[t] for t in new if t not in old}
         was = pools.loads({t: row for t, row in then.items() if t in old} | ours)
@@ -309,7 +309,7 @@
         work = self._work(fact)
         return None if work is None else self._multiple(fact) * work
 
-    def _work(self, fact: Fact) -> float | None:
+    def _work(self, fact: EndpointStatus) -> float | None:
         """Good answers a second that this planner may count on from a server once it is warm.
 
         What its own proxies got in that zone is its own by use; where they sent little it is as much of the
@@ -320,7 +320,7 @@
             return None
         return max(self.known.used.get((fact.zone, fact.kind), 0.0), full * self.known.here) * fact.weight
 
-    def _multiple(self, fact: Fact) -> float:
+    def _multiple(self, fact: EndpointStatus) -> float:
         """What a server may be sent by its full work: the part planned for of what the rule lets
         through now."""
         return self.rules.cold_part * self.set.overload_multiple * self.capacity(fact, self.now)
@@ -478,9 +478,11 @@
             known = {n: w for n, w in held.items() if n in self.facts and self.facts[n].kind in self.full}
             least = self.set.overload_multiple * self.set.start_capacity_fraction
             start = {n: least * (self._work(self.facts[n]) or 0.0) for n in known}
-            ratio, server, _ = worst(known, rate, start, math.floor(self.rules.late_part * len(known)))
+            ratio, server, _ = worst_case_overload(
+                known, rate, start, math.floor(self.rules.late_part * len(known))
+            )
             return ratio, server
 
         (now, server), (then, _) = figure(lines), figure(before)
         if now > 1 and now > then * 1.05 and before:
-            self.verdict.refusals.append(Refusal(LATE, number, (server,), now, 1.0, "warned"))
+            self.verdict.refusals.append(Violation(LATE, number, (server,), now, 1.0, "warned"))
--- a/swiftchute/versions/canary.py
+++ b/swiftchute/versions/canary.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 S = 1_000_000_000
-LEAST = 30  # invocations on each side, below which a share of errors says nothing
+MIN_REQUESTS = 30  # invocations on each side, below which a share of errors says nothing
 MARGIN = 0.05  # a part of errors higher by less is no reason to go back, however sure
 # standard errors: after its span, at each look before it (many looks find chance), and when all time is over
 SURE, SURE_EARLY, SURE_LAST = 3.0, 4.0, 2.0
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True)
-class Limits:
+class CanaryLimits:
     """The part of a table's proxies that hold a change first (0: no canary), for how long after they
     acknowledged it, for how long at most in all, and the part of the shares that must move."""
 
@@ -39,7 +39,7 @@
 
 
 @dataclass
-class Tally:
+class ReportTotals:
     """What proxies reported: invocations, those that errored, the sum of good times and their number."""
 
     invs: int = 0
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True)
-class End:
+class TrialOutcome:
     """How a trial ended: back or on, why in words, and the version that was before it."""
 
     back: bool
@@ -66,7 +66,7 @@
 class _Trial:
     lines: dict[str, float]  # what the others hold
     starts: dict[str, int]  # when its servers had started
-    shares: dict[str, float]  # of what is tried
+    weight_shares: dict[str, float]  # of what is tried
     before: bytes
     version: bytes
     began: int
@@ -74,43 +74,43 @@
     choices: int = 1
     since: dict[Any, int] = field(default_factory=dict)  # when each of the first acknowledged it
     refused: set[Any] = field(default_factory=set)
-    new: Tally = field(default_factory=Tally)
-    old: Tally = field(default_factory=Tally)
+    new: ReportTotals = field(default_factory=ReportTotals)
+    old: ReportTotals = field(default_factory=ReportTotals)
     ended: str = ""  # goes on at once, for this reason
 
 
-def shares(lines: Mapping[str, float]) -> dict[str, float]:
+def weight_shares(lines: Mapping[str, float]) -> dict[str, float]:
     """Weights as parts of their sum."""
     total = sum(lines.values())
     return {n: w / total for n, w in lines.items()} if total else {}
 
 
-def moved(one: Mapping[str, float], two: Mapping[str, float]) -> float:
+def moved_fraction(one: Mapping[str, float], two: Mapping[str, float]) -> float:
     """The part of all invocations that goes elsewhere by shares `two` than by `one`."""
     return sum(max(part - one.get(n, 0.0), 0.0) for n, part in two.items())
 
 
-def worse(new: Tally, old: Tally, sure: float) -> str:
+def regression(new: ReportTotals, old: ReportTotals, sure: float) -> str:
     """Why what the first report is worse than what the others do; "" if it is not.
 
     Errors by the difference of two proportions in standard errors (pooled), times by their means.
     """
-    if min(new.invs, old.invs) >= LEAST:
+    if min(new.invs, old.invs) >= MIN_REQUESTS:
         a, b = new.errored / new.invs, old.errored / old.invs
         pooled = (new.errored + old.errored) / (new.invs + old.invs)
         error = math.sqrt(pooled * (1 - pooled) * (1 / new.invs + 1 / old.invs))
         if a - b > max(MARGIN, sure * error):
             return f"{new.errored} of {new.invs} errored, {old.errored} of {old.invs} with the others"
-    if min(new.timed, old.timed) >= LEAST and new.took / new.timed > SLOWER * old.took / old.timed:
+    if min(new.timed, old.timed) >= MIN_REQUESTS and new.took / new.timed > SLOWER * old.took / old.timed:
         a, b = (t.took / t.timed / 1e6 for t in (new, old))
         return f"{a:.0f} ms a good answer, {b:.0f} with the others"
     return ""
 
 
-class Trials:
+class CanaryTrials:
     """Open trials by table."""
 
-    def __init__(self, limits: Limits) -> None:
+    def __init__(self, limits: CanaryLimits) -> None:
         """None is open."""
         self.limits = limits
         self.open: dict[str, _Trial] = {}
@@ -133,22 +133,27 @@
         open servers. A change within a trial goes to the first alone; one as large as a trial's begins its
         time anew, within what a trial may last.
         """
-        trial, new = self.open.get(table), shares(after)
+        trial, new = self.open.get(table), weight_shares(after)
         held = {n: w for n, w in (trial.lines if trial else before).items() if n in starts}
-        old = shares(held)
+        old = weight_shares(held)
         if any(old.get(n, 0.0) > new.get(n, 0.0) + 1e-9 for n in cold):
             self.close(table)  # less for a cold server is what a rule needs: no waiting
             return False
         if trial is not None:
-            if moved(trial.shares, new) >= self.limits.step:
-                trial.since, trial.new, trial.old = {}, Tally(), Tally()
-                trial.shares = new
+            if moved_fraction(trial.weight_shares, new) >= self.limits.step:
+                trial.since, trial.new, trial.old = {}, ReportTotals(), ReportTotals()
+                trial.weight_shares = new
             trial.version = versions[1]
-            if moved(old, new) < self.limits.step:
+            if moved_fraction(old, new) < self.limits.step:
                 trial.ended = "what was tried is taken back"
             return True
         few = max(1, round(self.limits.part * len(proxies)))
-        if not self.limits.part or few >= len(proxies) or not old or moved(old, new) < self.limits.step:
+        if (
+            not self.limits.part
+            or few >= len(proxies)
+            or not old
+            or moved_fraction(old, new) < self.limits.step
+        ):
             return False
         if len(self.open) >= TRIALS_MOST:
             return False
@@ -225,10 +230,10 @@
             return False
         trial.choices += 1
         trial.first = set(self._least_busy(proxies, few))
-        trial.new, trial.old = Tally(), Tally()
+        trial.new, trial.old = ReportTotals(), ReportTotals()
         return True
 
-    def over(self, now: int) -> list[tuple[str, End]]:
+    def over(self, now: int) -> list[tuple[str, TrialOutcome]]:
         """Trials that are over; they are closed."""
         found = []
         for table, trial in self.open.items():
@@ -240,25 +245,25 @@
             self.close(table)
         return found
 
-    def _end(self, trial: _Trial, now: int) -> End | None:
+    def _end(self, trial: _Trial, now: int) -> TrialOutcome | None:
         if trial.ended:
-            return End(False, trial.ended, trial.before)
+            return TrialOutcome(False, trial.ended, trial.before)
         if trial.first and 2 * len(trial.refused) >= len(trial.first):
-            return End(True, f"{len(trial.refused)} of {len(trial.first)} reject it", trial.before)
+            return TrialOutcome(True, f"{len(trial.refused)} of {len(trial.first)} reject it", trial.before)
         last = max(trial.since.values(), default=now)
         ready = len(trial.since) == len(trial.first) and now - last >= self.limits.span
-        why = worse(trial.new, trial.old, SURE if ready else SURE_EARLY)
+        why = regression(trial.new, trial.old, SURE if ready else SURE_EARLY)
         if why:
-            return End(True, why, trial.before)
-        doubts = worse(trial.new, trial.old, 0.0)  # past the margin and perhaps by chance: wait for more
-        if ready and min(trial.new.invs, trial.old.invs) >= LEAST and not doubts:
+            return TrialOutcome(True, why, trial.before)
+        doubts = regression(trial.new, trial.old, 0.0)  # past the margin and perhaps by chance: wait for more
+        if ready and min(trial.new.invs, trial.old.invs) >= MIN_REQUESTS and not doubts:
             why = f"{trial.new.errored} of {trial.new.invs} errored, {trial.old.errored} of {trial.old.invs}"
-            return End(False, f"{why} with the others", trial.before)
+            return TrialOutcome(False, f"{why} with the others", trial.before)
         if now - trial.began >= self.limits.most:
-            why = worse(trial.new, trial.old, SURE_LAST)
+            why = regression(trial.new, trial.old, SURE_LAST)
             if why:
-                return End(True, why, trial.before)
-            return End(False, f"{trial.new.invs} invocations in all its time", trial.before)
+                return TrialOutcome(True, why, trial.before)
+            return TrialOutcome(False, f"{trial.new.invs} invocations in all its time", trial.before)
         return None
 
     @property
@@ -270,7 +275,7 @@
             for trial in self.open.values()
             if trial.since
             and len(trial.since) == len(trial.first)
-            and min(trial.new.invs, trial.old.invs) >= LEAST  # else the next report tells
-            and not worse(trial.new, trial.old, 0.0)
+            and min(trial.new.invs, trial.old.invs) >= MIN_REQUESTS  # else the next report tells
+            and not regression(trial.new, trial.old, 0.0)
         ]
         return min(times, default=None)
--- a/swiftchute/versions/delivery.py
+++ b/swiftchute/versions/delivery.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Collection, Iterable
 from typing import Any, Protocol
 
-from swiftchute.versions.history import History
+from swiftchute.versions.history import VersionHistory
 
 KEPT = 8  # holdings a proxy may go by; past it the second oldest is dropped, as it was overtaken unsent
 
@@ -31,10 +31,10 @@
     contents: dict[str, Any]
 
 
-class Sent:
+class DeliveryTracker:
     """By proxy the acknowledged holding and those pushed since."""
 
-    def __init__(self, history: History) -> None:
+    def __init__(self, history: VersionHistory) -> None:
         """Nobody was sent anything; `history` keeps the versions that somebody may go by."""
         self.history = history
         self.by: dict[Any, list[Holding]] = {}
--- a/swiftchute/versions/encoding.py
+++ b/swiftchute/versions/encoding.py
@@ -15,16 +15,16 @@
 import msgspec
 
 FORMAT = 1
-UNIT = 10_000  # weights are whole numbers of a ten thousandth, 1 or more: no line is rounded away
-MILLION = 1_000_000  # levels are whole millionths
+WEIGHT_SCALE = 10_000  # weights are whole numbers of a ten thousandth, 1 or more: no line is rounded away
+ADMISSION_RATE_SCALE = 1_000_000  # levels are whole millionths
 DIGEST = 16  # bytes of a version's name
 
 
-class BadForm(Exception):
+class EncodingError(Exception):
     """Bytes that are no table or delta of this format; its text says why."""
 
 
-class Mismatch(Exception):
+class DeltaMismatchError(Exception):
     """A delta for another version, or one whose result is not what it names; its text says which."""
 
 
@@ -51,8 +51,13 @@
 def table(levels: Iterable[tuple[str, float, int]], lines: Iterable[tuple[str, str, float]]) -> Table:
     """A table from weights and levels as the planner has them."""
     return Table(
-        tuple(sorted((op, round(min(max(level, 0.0), 1.0) * MILLION), tries) for op, level, tries in levels)),
-        tuple(sorted((server, zone, max(round(weight * UNIT), 1)) for server, zone, weight in lines)),
+        tuple(
+            sorted(
+                (op, round(min(max(level, 0.0), 1.0) * ADMISSION_RATE_SCALE), tries)
+                for op, level, tries in levels
+            )
+        ),
+        tuple(sorted((server, zone, max(round(weight * WEIGHT_SCALE), 1)) for server, zone, weight in lines)),
     )
 
 
@@ -75,28 +80,28 @@
     try:
         made = msgspec.msgpack.decode(data, type=kind)
     except (msgspec.DecodeError, UnicodeDecodeError) as why:
-        raise BadForm(str(why)) from None
+        raise EncodingError(str(why)) from None
     if made.format != FORMAT:
-        raise BadForm(f"format {made.format}; this program knows {FORMAT}")
+        raise EncodingError(f"format {made.format}; this program knows {FORMAT}")
     return made
 
 
 def decode(data: bytes) -> Table:
-    """The table of these bytes. Raises `BadForm`, also for bytes that say the same in another form: two names
-    for one content would make equal versions differ."""
+    """The table of these bytes. Raises `EncodingError`, also for bytes that say the same in another form:
+    two names for one content would make equal versions differ."""
     made = _decode(data, Table)
     if encode(made) != data or list(made.lines) != sorted({line[0]: line for line in made.lines}.values()):
-        raise BadForm("not in canonical form")
+        raise EncodingError("not in canonical form")
     if list(made.levels) != sorted({row[0]: row for row in made.levels}.values()):
-        raise BadForm("not in canonical form")
+        raise EncodingError("not in canonical form")
     for server, _, weight in made.lines:
         if weight < 1:
-            raise BadForm(f"{server}: weight {weight}")
+            raise EncodingError(f"{server}: weight {weight}")
     return made
 
 
 def decode_delta(data: bytes) -> Delta:
-    """The delta of these bytes. Raises `BadForm`."""
+    """The delta of these bytes. Raises `EncodingError`."""
     return _decode(data, Delta)
 
 
@@ -114,15 +119,15 @@
 
 
 def apply(change: Delta, before: Table) -> Table:
-    """The table that a delta makes. Raises `Mismatch` if it is for another version, or its result is not the
-    one that it names."""
+    """The table that a delta makes. Raises `DeltaMismatchError` if it is for another version, or its
+    result is not the one that it names."""
     if name(before) != change.before:
-        raise Mismatch(f"a delta for {change.before.hex()}, not for {name(before).hex()}")
+        raise DeltaMismatchError(f"a delta for {change.before.hex()}, not for {name(before).hex()}")
     lines = {line[0]: line for line in before.lines}
     for server in change.gone:
         lines.pop(server, None)
     lines |= {line[0]: line for line in change.put}
     after = Table(before.levels if change.levels is None else change.levels, tuple(sorted(lines.values())))
     if name(after) != change.after:
-        raise Mismatch(f"a delta makes {name(after).hex()}, not {change.after.hex()} as it says")
+        raise DeltaMismatchError(f"a delta makes {name(after).hex()}, not {change.after.hex()} as it says")
     return after
--- a/swiftchute/versions/history.py
+++ b/swiftchute/versions/history.py
@@ -21,12 +21,12 @@
 CAUSES = ("start", "list", "health", "level", "guard", "rollback", "pin", "release", "canary")
 
 
-class Unknown(Exception):
+class UnknownVersionError(Exception):
     """No such version, or more than one; its text says which."""
 
 
 @dataclass(frozen=True)
-class Change:
+class VersionChange:
     """One entry: the version made, the one it was made of (none for the first), when, why, and by which
     planner."""
 
@@ -43,7 +43,7 @@
 
 @dataclass
 class _Entry:
-    change: Change
+    change: VersionChange
     body: bytes
     whole: bool
 
@@ -68,7 +68,7 @@
         return made
 
 
-class History:
+class VersionHistory:
     """All tables' versions of one planner's life."""
 
     def __init__(self, planner: str, most: int = 1000, age: int = 3600 * S) -> None:
@@ -80,7 +80,7 @@
         self.apart: dict[bytes, bytes] = {}  # held versions whose entry is gone
         self.dropped = 0
 
-    def note(self, table: str, content: Table, now: int, cause: str) -> Change | None:
+    def note(self, table: str, content: Table, now: int, cause: str) -> VersionChange | None:
         """The table holds this from now on; None if that is the version it held."""
         line = self.lines.setdefault(table, _Line())
         version = name(content)
@@ -90,7 +90,7 @@
         serial = line.first + len(line.entries)
         step = diff(line.now, content) if line.now is not None else None
         sizes = (len(step.put), len(step.gone)) if step else (len(content.lines), 0)
-        change = Change(table, serial, version, parent, now, cause, self.planner, *sizes)
+        change = VersionChange(table, serial, version, parent, now, cause, self.planner, *sizes)
         whole = step is None or line.since + 1 >= ANCHOR
         line.since = 0 if whole else line.since + 1
         line.entries.append(_Entry(change, encode(content if whole or step is None else step), whole))
@@ -146,14 +146,14 @@
         line = self.lines.get(table)
         return line.now if line else None
 
-    def current(self, table: str) -> Change | None:
+    def current(self, table: str) -> VersionChange | None:
         """The newest entry of a table."""
         line = self.lines.get(table)
         return line.entries[-1].change if line else None
 
-    def log(self, table: str | None = None, most: int = 50) -> list[Change]:
+    def log(self, table: str | None = None, most: int = 50) -> list[VersionChange]:
         """The last changes, newest first: of one table, or of all by time."""
-        rows: Iterator[Change] = (
+        rows: Iterator[VersionChange] = (
             entry.change
             for t in ([table] if table else self.lines)
             for entry in self._line(t).entries[-most:]
@@ -163,36 +163,37 @@
     def _line(self, table: str) -> _Line:
         if table not in self.lines:
             known = ", ".join(sorted(self.lines)) or "none"
-            raise Unknown(f"no table {table!r}; there are {known}")
+            raise UnknownVersionError(f"no table {table!r}; there are {known}")
         return self.lines[table]
 
-    def find(self, table: str, asked: str) -> Change:
+    def find(self, table: str, asked: str) -> VersionChange:
         """The newest entry of a table whose version begins so, or of this serial (`#12`, or `~2`: two before
-        the newest). Raises `Unknown`."""
+        the newest). Raises `UnknownVersionError`."""
         entries = self._line(table).entries
         if asked[:1] in ("#", "~") and asked[1:].isdigit():
             back = int(asked[1:])
             place = back - self._line(table).first if asked[0] == "#" else len(entries) - 1 - back
             if 0 <= place < len(entries):
                 return entries[place].change
-            raise Unknown(f"table {table} has no entry {asked}; kept are #{entries[0].change.serial} to"
-                          f" #{entries[-1].change.serial}")  # fmt: skip
+            kept = f"#{entries[0].change.serial} to #{entries[-1].change.serial}"
+            raise UnknownVersionError(f"table {table} has no entry {asked}; kept are {kept}")
         found = {
             e.change.version: e.change for e in entries if e.change.version.hex().startswith(asked.lower())
         }
         if len(found) != 1 or len(asked) < 4:
             many = f"{len(found)} versions begin with {asked!r}" if found else f"no kept version {asked!r}"
-            raise Unknown(f"table {table}: {many}; give four letters or more of one")
+            raise UnknownVersionError(f"table {table}: {many}; give four letters or more of one")
         return next(iter(found.values()))
 
     def way(self, held: bytes | None, wanted: bytes) -> Delta | Table | None:
         """The shortest safe way to a kept version for somebody who holds one, known or not: nothing, a delta
-        from what it does hold, or the whole. Raises `Unknown` if the wanted version is not kept."""
+        from what it does hold, or the whole. Raises `UnknownVersionError` if the wanted version is not
+        kept."""
         if held == wanted:
             return None
         to = self.get(wanted)
         if to is None:
-            raise Unknown(f"version {wanted.hex()} is not kept")
+            raise UnknownVersionError(f"version {wanted.hex()} is not kept")
         of = (
             self.get(held) if held is not None else None
         )  # of another planner, or of the future: not known here
--- a/swiftchute/versions/model_checker.py
+++ b/swiftchute/versions/model_checker.py
@@ -20,7 +20,7 @@
 from typing import Any
 
 from swiftchute.versions.encoding import Table
-from swiftchute.versions.history import History
+from swiftchute.versions.history import VersionHistory
 from swiftchute.versions.sync import Answer, Message, Receiver, Sender
 
 PATIENCE = 8  # steps on a good way within which a proxy must hold the wanted version
@@ -60,7 +60,7 @@
 
 
 @dataclass
-class Found:
+class Exploration:
     """What an exploration came to: states, steps between them, and a broken invariant with its shortest
     trace."""
 
@@ -78,12 +78,12 @@
         proxies: int,
         versions: int,
         channel: int,
-        sender: Callable[[History], Sender] = Sender,
+        sender: Callable[[VersionHistory], Sender] = Sender,
         receiver: Callable[[], Receiver] = Receiver,
     ) -> None:
         """`sender` and `receiver` may be others, with a known bug put back in."""
         self.channel, self.make, self.receiver = channel, sender, receiver
-        self.history = History("0")
+        self.history = VersionHistory("0")
         lines = [("a", "z", 1), ("b", "z", 1), *((f"s{k}", "z", 1) for k in range(8))]
         made = [
             Table((), tuple(sorted([*lines[2:], (lines[v % 2][0], "z", v + 1)]))) for v in range(versions)
@@ -193,9 +193,9 @@
         return False
 
 
-def explore(model: Model, most: int = 2_000_000) -> Found:
+def explore(model: Model, most: int = 2_000_000) -> Exploration:
     """Visit every state, breadth first; stops at the first broken invariant, or past `most` states."""
-    found = Found()
+    found = Exploration()
     seen: dict[tuple[Any, ...], tuple[tuple[Any, ...] | None, str]] = {model.first.key(): (None, "")}
     waiting = deque([model.first])
     while waiting:
@@ -247,7 +247,7 @@
 
 
 # known bugs that can be put back in: (sender, receiver)
-BUGS: dict[str, tuple[Callable[[History], Sender], Callable[[], Receiver]]] = {
+KNOWN_BUGS: dict[str, tuple[Callable[[VersionHistory], Sender], Callable[[], Receiver]]] = {
     "takes late messages": (Sender, _TakesLate),
     "takes any answer": (_TakesAnyAnswer, Receiver),
     "trusts silence": (_TrustsSilence, Receiver),
--- a/swiftchute/versions/pinning.py
+++ b/swiftchute/versions/pinning.py
@@ -15,15 +15,15 @@
 from collections.abc import Collection
 from dataclasses import dataclass
 
-from swiftchute.versions.encoding import UNIT, Table
-from swiftchute.versions.history import Change
+from swiftchute.versions.encoding import WEIGHT_SCALE, Table
+from swiftchute.versions.history import VersionChange
 
 S = 1_000_000_000
-PINS_MOST = 1000
-SPAN_LEAST, SPAN_MOST = S, 24 * 3600 * S  # a pin that is forgotten ends within a day
+MAX_PINS = 1000
+MIN_PIN_NS, MAX_PIN_NS = S, 24 * 3600 * S  # a pin that is forgotten ends within a day
 
 
-class Impossible(Exception):
+class PinError(Exception):
     """What was asked cannot be done; its text says why."""
 
 
@@ -31,14 +31,14 @@
 class Pin:
     """A table held at a version until a time; `levels`: its levels and tries too."""
 
-    change: Change
+    change: VersionChange
     content: Table
     until: int
     levels: bool
     cause: str
 
 
-class Pins:
+class PinnedVersions:
     """Pins by table name."""
 
     def __init__(self) -> None:
@@ -46,19 +46,19 @@
         self.by: dict[str, Pin] = {}
 
     def set(self, table: str, pin: Pin, open_: Collection[str]) -> None:
-        """Pin a table, in place of an earlier pin. Raises `Impossible` if no server of the version is
+        """Pin a table, in place of an earlier pin. Raises `PinError` if no server of the version is
         open."""
         if not any(server in open_ for server, _, _ in pin.content.lines):
             version, many = pin.change.version.hex()[:12], len(pin.content.lines)
-            raise Impossible(f"version {version} of table {table}: none of its {many} servers is open")
-        if table not in self.by and len(self.by) >= PINS_MOST:
-            raise Impossible(f"{PINS_MOST} tables are pinned, the most allowed")
+            raise PinError(f"version {version} of table {table}: none of its {many} servers is open")
+        if table not in self.by and len(self.by) >= MAX_PINS:
+            raise PinError(f"{MAX_PINS} tables are pinned, the most allowed")
         self.by[table] = pin
 
     def release(self, table: str) -> Pin:
-        """The module's orders count again. Raises `Impossible` if it is not pinned."""
+        """The module's orders count again. Raises `PinError` if it is not pinned."""
         if table not in self.by:
-            raise Impossible(f"table {table} is not pinned")
+            raise PinError(f"table {table} is not pinned")
         return self.by.pop(table)
 
     def lines(self, table: str, open_: Collection[str]) -> dict[str, float] | None:
@@ -66,7 +66,7 @@
         pin = self.by.get(table)
         if pin is None:
             return None
-        return {server: units / UNIT for server, _, units in pin.content.lines if server in open_}
+        return {server: units / WEIGHT_SCALE for server, _, units in pin.content.lines if server in open_}
 
     def levels(self, table: str) -> dict[str, tuple[float, int]]:
         """Levels and tries by operation, where these are held too."""
@@ -93,7 +93,7 @@
         return min((pin.until for pin in self.by.values()), default=None)
 
 
-class Rejected:
+class RejectionTracker:
     """Who rejects which version, and when it is to be taken back: not often, as what is wrong may be the
     proxies."""
 
--- a/swiftchute/versions/sync.py
+++ b/swiftchute/versions/sync.py
@@ -16,8 +16,8 @@
 from collections import deque
 from dataclasses import dataclass
 
-from swiftchute.versions.encoding import Delta, Mismatch, Table, apply, name
-from swiftchute.versions.history import History
+from swiftchute.versions.encoding import Delta, DeltaMismatchError, Table, apply, name
+from swiftchute.versions.history import VersionHistory
 
 REJECTED_KEPT = 16
 
@@ -43,7 +43,7 @@
 class Sender:
     """The planner's side."""
 
-    def __init__(self, history: History) -> None:
+    def __init__(self, history: VersionHistory) -> None:
         """Nothing is wanted, and nothing known of the proxy."""
         self.history = history
         self.wanted: bytes | None = None
@@ -57,7 +57,7 @@
         self.wanted = version
 
     def next(self) -> Message | None:
-        """What is to be sent now. Raises `Unknown` if the wanted version is not kept."""
+        """What is to be sent now. Raises `UnknownVersionError` if the wanted version is not kept."""
         if self.out is not None or self.wanted is None or self.wanted in self.rejected:
             return None
         way = self.history.way(self.held, self.wanted)
@@ -110,7 +110,7 @@
             self.table = message.way
         else:
             with contextlib.suppress(
-                Mismatch
+                DeltaMismatchError
             ):  # a delta from what it does not hold: answered by what it does
                 self.table = apply(message.way, self.table or Table())
         return Answer(message.number, self.holds)
--- a/tests/config/test_schema.py
+++ b/tests/config/test_schema.py
@@ -8,7 +8,7 @@
 import pytest
 
 from swiftchute.config import BadConfig, load
-from swiftchute.discovery.endpoint_list import BadList, Registry
+from swiftchute.discovery.endpoint_list import EndpointList, EndpointListError
 from swiftchute.discovery.sources import FileSource, HttpSource
 from swiftchute.observability.logging import mode_fields
 from swiftchute.proxy.xds_client import Client
@@ -112,7 +112,7 @@
 
 @pytest.fixture
 def registry():
-    made = Registry(("east", "west"), 1000 * S)
+    made = EndpointList(("east", "west"), 1000 * S)
     made.read(listing("10.0.0.1:80", "10.0.0.2:80", start="1010.5"))
     return made
 
@@ -130,7 +130,7 @@
 )
 def test_half_a_list_nonsense_or_nothing_leaves_the_last_good_list(registry, text):
     held = dict(registry.held)
-    with pytest.raises(BadList):
+    with pytest.raises(EndpointListError):
         registry.read(text)
     assert registry.held == held
     assert registry.bad == 1
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -12,9 +12,9 @@
 )
 from swiftchute.api.settings import Operation, Settings
 from swiftchute.controller.controller import Core
-from swiftchute.discovery.endpoint_list import News
+from swiftchute.discovery.endpoint_list import EndpointListChange
 from swiftchute.policy import Reconciler, S
-from swiftchute.safety.validator import Rules
+from swiftchute.safety.validator import SafetyRules
 from tests import known_red
 
 pytest_plugins = ["pytester"]
@@ -162,7 +162,7 @@
     """A core under a guard whose decider does what the test says; (core, decider)."""
     decider = Fixed()
     settings = Settings(**(FACTS | {"operations": (operation("read"), operation("write"))}))
-    return Core(settings, 7, lambda settings, seed: decider, 1000 * S, Rules()), decider
+    return Core(settings, 7, lambda settings, seed: decider, 1000 * S, SafetyRules()), decider
 
 
 @pytest.fixture
@@ -173,7 +173,7 @@
         EndpointRecord("a", "east", "", 0, "ready", 1.0, 0),
         EndpointRecord("c", "east", "", 0, "ready", 1.0, 1000 * S),
     ]
-    core.listed(News("held", tuple(entries), ()))
+    core.listed(EndpointListChange("held", tuple(entries), ()))
     core.joined("p", "east", 1.0, True)
     decider.writes = [("set_weight", 1, "a", 1.0), ("set_weight", 1, "c", 100.0), ("assign_table", "p", 1, 0)]
     core.turn(1000 * S)
--- a/tests/controller/test_controller.py
+++ b/tests/controller/test_controller.py
@@ -14,11 +14,11 @@
 from swiftchute.controller.controller import Content, Core, Holding
 from swiftchute.controller.egress_queue import Channel
 from swiftchute.controller.load_aggregation import Report, Sums
-from swiftchute.discovery.endpoint_list import News
+from swiftchute.discovery.endpoint_list import EndpointListChange
 from swiftchute.policy import Reconciler
-from swiftchute.safety.validator import Rules
-from swiftchute.versions.delivery import Sent
-from swiftchute.versions.history import History
+from swiftchute.safety.validator import SafetyRules
+from swiftchute.versions.delivery import DeliveryTracker
+from swiftchute.versions.history import VersionHistory
 from tests.conftest import FACTS, operation
 
 S = 1_000_000_000
@@ -159,7 +159,9 @@
 
 
 def news(*servers, scope="held", state="ready"):
-    return News(scope, tuple(EndpointRecord(s, "east", "", 0, state, 1.0, 0) for s in servers), ())
+    return EndpointListChange(
+        scope, tuple(EndpointRecord(s, "east", "", 0, state, 1.0, 0) for s in servers), ()
+    )
 
 
 class Failing(Reconciler):
@@ -285,7 +287,7 @@
 
 @pytest.fixture
 def guarded():
-    made = Core(SETTINGS, 7, Bent, guard=Rules())
+    made = Core(SETTINGS, 7, Bent, guard=SafetyRules())
     made.listed(news("a:1", "b:1"))
     made.joined("p", "east", 10.0, True)
     play(made, 0, 2)
@@ -339,9 +341,9 @@
 
 
 def test_caps_of_a_warming_server_rise_by_pushes_of_the_guards_own():
-    core = Core(SETTINGS, 7, Fixed, guard=Rules())
+    core = Core(SETTINGS, 7, Fixed, guard=SafetyRules())
     core.listed(news("a:1", "b:1"))
-    core.listed(News("changes", (EndpointRecord("c:1", "east", "", 0, "ready", 1.0, 1),), ()))
+    core.listed(EndpointListChange("changes", (EndpointRecord("c:1", "east", "", 0, "ready", 1.0, 1),), ()))
     core.joined("p", "east", 10.0, True)
     seen, pushes = [], 0
     for k in range(18):
@@ -354,7 +356,7 @@
 
 
 def test_a_guard_that_only_warns_lets_tables_out_as_ordered():
-    core = Core(SETTINGS, 7, Bent, guard=Rules(), enforce=False)
+    core = Core(SETTINGS, 7, Bent, guard=SafetyRules(), enforce=False)
     core.listed(news("a:1", "b:1"))
     core.joined("p", "east", 10.0, True)
     play(core, 0, 2)
@@ -386,7 +388,9 @@
 def busy(fixed):
     """A core with two ready servers and proxies `p` (table 1) and `q` (table 2), all pushed at 1000 s."""
     core, decider = fixed
-    core.listed(News("held", (server("a", "ready"), server("b", "ready"), server("d", "ready")), ()))
+    core.listed(
+        EndpointListChange("held", (server("a", "ready"), server("b", "ready"), server("d", "ready")), ())
+    )
     for proxy in "pq":
         core.joined(proxy, "east", 1.0, True)
     for number, proxy in ((1, "p"), (2, "q")):
@@ -417,7 +421,7 @@
         order(core, decider, now, ("set_weight", 1, "a", 1.0 + k % 2), ("request_ack", k, False))
     used = len(core.channel.written["p"])
     assert used <= 0.8 * SETTINGS.message_quota
-    core.listed(News("changes", (server("b", "draining"),), ()))
+    core.listed(EndpointListChange("changes", (server("b", "draining"),), ()))
     pushes = order(core, decider, now + S // 4, ("set_weight", 1, "b", 0.0), ("set_weight", 1, "a", 9.0))
     assert "p" in [proxy for proxy, _ in pushes]
     lines = {line[0] for content in core.held("p").contents.values() for line in content.lines}
@@ -466,7 +470,7 @@
 
 
 def test_what_waits_for_an_acknowledgement_is_bounded_and_keeps_the_acknowledged():
-    sent = Sent(History("0"))
+    sent = DeliveryTracker(VersionHistory("0"))
     made = [Holding((("read", "t"),), {"t": Content((("a", "east", 1.0),), ())}) for _ in range(30)]
     for holding in made:
         sent.pushed("p", holding)
@@ -483,7 +487,9 @@
         core.calls += [EndpointLoadReport("east", n, 10, 0, 1, S, None) for n in "abd"]
         core.calls += [DemandReport(p, "read", 10, 0, S) for p in "pq"]
         order(core, decider, now)
-    core.listed(News("changes", (EndpointRecord("c", "east", "", 0, "ready", 1.0, now),), ()))  # 4.5 a second
+    core.listed(
+        EndpointListChange("changes", (EndpointRecord("c", "east", "", 0, "ready", 1.0, now),), ())
+    )  # 4.5 a second
     order(core, decider, now + S, ("set_weight", 1, "c", 1.2))  # 2.9 of p's 10
     core.settled("p", 1001 * S)
     core.settled("q", 1001 * S)
@@ -502,7 +508,7 @@
     core, decider = busy
     now = 1001 * S + S // 10
     core.turn(now)
-    core.listed(News("changes", (server("b", "draining"),), ()))
+    core.listed(EndpointListChange("changes", (server("b", "draining"),), ()))
     pushes = core.turn(now + 5_000_000).pushes  # what comes in has a turn soon
     while now < 1002 * S and len(pushes) < 2:
         now = max(core.due, now + 1)
--- a/tests/dns/test_frontend.py
+++ b/tests/dns/test_frontend.py
@@ -24,7 +24,7 @@
 from swiftchute.api.settings import Settings
 from swiftchute.config.schema import _BLOCKS
 from swiftchute.controller.controller import Core
-from swiftchute.discovery.endpoint_list import News
+from swiftchute.discovery.endpoint_list import EndpointListChange
 from swiftchute.dns import rate_limit
 from swiftchute.dns.answer_cache import Ready
 from swiftchute.dns.frontend import SLACK, Front
@@ -35,7 +35,7 @@
 from swiftchute.dns.srv_weights import counts, draws, srv_weights
 from swiftchute.dns.ttl import Lease
 from swiftchute.dns.zone_transfer import TRIES, Secondaries
-from swiftchute.safety.validator import Rules
+from swiftchute.safety.validator import SafetyRules
 from swiftchute.xds.messages import Peer, Violation
 from tests.conftest import FACTS, Fixed, operation
 
@@ -365,14 +365,16 @@
         facts = {"operations": (operation("read"), operation("write")), "drain_grace_ns": 4 * S}
         facts |= {"egress_rate_entries_per_s": 1e6, "egress_queue_limit_entries": 1e6, "message_quota": 0}
         settings = Settings(**(FACTS | facts))
-        self.core = Core(settings, 7, lambda settings, seed: self.decider, NOW, Rules())
+        self.core = Core(settings, 7, lambda settings, seed: self.decider, NOW, SafetyRules())
         self.front = Front(self.core, settings, PLUMBING | plumbing, 7)
         self.front.start(NOW)
         self.events = []
 
     def listed(self, *servers, state="ready", started=0):
         self.core.listed(
-            News("changes", tuple(EndpointRecord(n, "east", "", 0, state, 1.0, started) for n in servers), ())
+            EndpointListChange(
+                "changes", tuple(EndpointRecord(n, "east", "", 0, state, 1.0, started) for n in servers), ()
+            )
         )
 
     def turn(self, *writes, wait=0.0):
--- a/tests/safety/test_recorded_verdicts.py
+++ b/tests/safety/test_recorded_verdicts.py
@@ -6,9 +6,9 @@
 
 from swiftchute.api.events import DemandReport, EndpointLoadReport, ProxyDisconnected
 from swiftchute.api.settings import Settings
-from swiftchute.safety.observed_traffic import Seen, by_kind
-from swiftchute.safety.publish_gate import Gate
-from swiftchute.safety.validator import Fact, Guard, Known, Proposal, Rules
+from swiftchute.safety.observed_traffic import ObservedTraffic, peak_by_kind
+from swiftchute.safety.publish_gate import PublishGate
+from swiftchute.safety.validator import EndpointStatus, Observations, Proposal, SafetyRules, Validator
 from tests.conftest import FACTS, operation
 
 SECOND_NS = 1_000_000_000
@@ -35,7 +35,7 @@
         age_s = draw.choice(AGES_S)
         started = 0 if age_s is None else NOW_NS - int(age_s * SECOND_NS)
         state = draw.choice(("ready", "ready", "ready", "ready", "draining", "gone"))
-        facts[f"s{place}"] = Fact(
+        facts[f"s{place}"] = EndpointStatus(
             draw.choice(ZONES), state, started, draw.choice((0.5, 1.0, 1.0, 4.0)), draw.choice(KINDS)
         )
     return facts
@@ -66,7 +66,7 @@
     full = {kind: draw.choice((1.0, 12.0, 60.0)) for kind in KINDS if draw.random() < 0.8}
     used = {(z, k): draw.choice((0.5, 8.0)) for z in ZONES for k in KINDS if draw.random() < 0.5}
     then = {number: draw_lines(draw, names, 0.0) for number in numbers if draw.random() < 0.7}
-    return Known(
+    return Observations(
         full,
         used,
         frozenset(draw.sample(names, draw.randint(0, len(names)))),
@@ -77,7 +77,7 @@
 
 
 def draw_rules(draw):
-    return Rules(
+    return SafetyRules(
         warn=frozenset(draw.sample(("cold budget", "large step", "empty pool", "barred server"), 1))
         if draw.random() < 0.2
         else frozenset(),
@@ -109,7 +109,7 @@
         proposed = {number: draw_proposal(draw, names) for number in numbers}
         before = {number: draw_lines(draw, names, 0.0) for number in numbers if draw.random() < 0.7}
         known = draw_known(draw, names, numbers)
-        guard = Guard(settings_with(draw.random() < 0.5), draw_rules(draw))
+        guard = Validator(settings_with(draw.random() < 0.5), draw_rules(draw))
         verdict = guard.judge(proposed, before, facts, known, NOW_NS)
         rules_found |= {refusal.rule for refusal in verdict.refusals}
         digest.update(repr((plain(verdict.tables), [finding(r) for r in verdict.refusals])).encode())
@@ -127,7 +127,7 @@
         draw = random.Random(seed)
         enforce = draw.random() < 0.8
         bad_share = 0.05 if enforce else 0.0  # a controller drops bad weights before its gate
-        gate = Gate(settings_with(True), draw_rules(draw), enforce, seed)
+        gate = PublishGate(settings_with(True), draw_rules(draw), enforce, seed)
         now, news = NOW_NS, 0
         facts = draw_facts(draw)
         names = [*facts, "stranger"]
@@ -156,7 +156,7 @@
     digest = hashlib.sha256()
     for seed in range(20):
         draw = random.Random(seed)
-        facts, seen, now = draw_facts(draw), Seen(), NOW_NS
+        facts, seen, now = draw_facts(draw), ObservedTraffic(), NOW_NS
         names = [*facts, "stranger"]
         for _ in range(150):
             now += draw.choice((0, 300_000_000, SECOND_NS, 3 * SECOND_NS))
@@ -182,7 +182,7 @@
             warm = frozenset(draw.sample(names, len(names) - 1))
             used = seen.used(facts, warm.__contains__, now)
             row = (
-                list(used.items()), list(by_kind(used).items()), seen.demand("pq", ("read",), now),
+                list(used.items()), list(peak_by_kind(used).items()), seen.demand("pq", ("read",), now),
                 sorted(seen.answering(now)), sorted(seen.ill(facts, now)),
             )  # fmt: skip
             digest.update(repr(row).encode())
--- a/tests/safety/test_validator.py
+++ b/tests/safety/test_validator.py
@@ -15,10 +15,17 @@
 
 from swiftchute.api.events import EndpointLoadReport
 from swiftchute.api.settings import Settings
-from swiftchute.safety.observed_traffic import Seen, by_kind
-from swiftchute.safety.publish_gate import Gate
-from swiftchute.safety.stale_list import worst
-from swiftchute.safety.validator import EXCEPTIONS, Fact, Guard, Known, Proposal, Rules
+from swiftchute.safety.observed_traffic import ObservedTraffic, peak_by_kind
+from swiftchute.safety.publish_gate import PublishGate
+from swiftchute.safety.stale_list import worst_case_overload
+from swiftchute.safety.validator import (
+    EXCEPTIONS,
+    EndpointStatus,
+    Observations,
+    Proposal,
+    SafetyRules,
+    Validator,
+)
 from tests.conftest import FACTS, operation
 
 S = 1_000_000_000
@@ -30,7 +37,9 @@
 
 
 def fact(zone="east", state="ready", age=None, weight=1.0):
-    return Fact(zone, state, 0 if age is None else NOW - int(age * S), weight, zone)  # a kind a zone
+    return EndpointStatus(
+        zone, state, 0 if age is None else NOW - int(age * S), weight, zone
+    )  # a kind a zone
 
 
 def table(zones=("east",), level=1.0, local=False, demand=10.0, **lines):
@@ -40,9 +49,9 @@
 @pytest.fixture
 def judge():
     def run(proposed, facts, before=None, full=None, now=NOW, known=None, **rules):
-        guard = Guard(SETTINGS, Rules(**{"cold_part": 1.0} | rules))
+        guard = Validator(SETTINGS, SafetyRules(**{"cold_part": 1.0} | rules))
         full = {"east": 10.0, "west": 10.0} if full is None else full
-        return guard.judge(proposed, before or {}, facts, Known(full, **known or {}), now)
+        return guard.judge(proposed, before or {}, facts, Observations(full, **known or {}), now)
 
     return run
 
@@ -133,8 +142,8 @@
 
 def agree(world):
     rows, facts, before, full = world
-    verdict = Guard(SETTINGS, Rules(cold_part=1.0, pool_most=math.inf, step_part=math.inf)).judge(
-        rows, before, facts, Known(full), NOW
+    verdict = Validator(SETTINGS, SafetyRules(cold_part=1.0, pool_most=math.inf, step_part=math.inf)).judge(
+        rows, before, facts, Observations(full), NOW
     )
     zones, local = {t: p.zones for t, p in rows.items()}, {t: p.local for t, p in rows.items()}
     demand = {t: p.demand for t, p in rows.items()}
@@ -199,7 +208,7 @@
 def test_the_worst_late_list_is_that_of_brute_force(rows, k):
     lines = {f"s{n}": w for n, (w, _) in enumerate(rows)}
     budget = {f"s{n}": b for n, (_, b) in enumerate(rows)}
-    ratio, cold, gone = worst(lines, 7.0, budget, min(k, len(rows)))
+    ratio, cold, gone = worst_case_overload(lines, 7.0, budget, min(k, len(rows)))
     assert ratio == pytest.approx(by_enumeration(lines, 7.0, budget, min(k, len(rows))))
     assert cold not in gone
 
@@ -279,7 +288,9 @@
 def test_a_list_that_calls_most_gone_while_they_serve_is_not_obeyed_where_gone_does_not_bind():
     settings = Settings(**(FACTS | {"operations": SETTINGS.operations, "removal_is_binding": False}))
     facts = {f"s{k}": fact(state="gone" if k else "ready") for k in range(5)}
-    verdict = Guard(settings, Rules()).judge({1: table(**dict.fromkeys(facts, 1.0))}, {}, facts, Known(), NOW)
+    verdict = Validator(settings, SafetyRules()).judge(
+        {1: table(**dict.fromkeys(facts, 1.0))}, {}, facts, Observations(), NOW
+    )
     assert verdict.refusals == []
 
 
@@ -307,10 +318,10 @@
 def test_full_work_is_not_the_luckiest_single_sum():
     """Taken from single sums it was half too high, and a cold server fell over under the guard (2.54
     of 2.50)."""
-    seen, facts = Seen(), {"a": fact()}
+    seen, facts = ObservedTraffic(), {"a": fact()}
     for k in range(20):
         seen.told(EndpointLoadReport("east", "a", 9 if k % 5 else 27, 0, 1, S, None), k * S)
-        full = by_kind(seen.used(facts, lambda n: True, k * S))
+        full = peak_by_kind(seen.used(facts, lambda n: True, k * S))
     assert full == {"east": pytest.approx((4 * 9 + 27) / 5)}
     assert seen.used(facts, lambda n: True, 300 * S) == {}  # old news is none
 
@@ -320,15 +331,15 @@
 
 def test_a_kinds_full_work_is_taken_where_most_of_it_was_seen():
     """Taken by zone alone, a cold server of a zone that gets little had a tenth of its budget."""
-    seen = Seen()
+    seen = ObservedTraffic()
     facts = {"a": fact(), "w": fact("west")}
-    facts = {n: Fact(f.zone, f.state, f.started, f.weight, "std") for n, f in facts.items()}
+    facts = {n: EndpointStatus(f.zone, f.state, f.started, f.weight, "std") for n, f in facts.items()}
     for k in range(6):
         seen.told(EndpointLoadReport("east", "a", 10, 0, 1, S, None), k * S)
         seen.told(EndpointLoadReport("east", "w", 1, 0, 1, S, None), k * S)
         used = seen.used(facts, lambda n: True, k * S)
     assert used == {("east", "std"): 10.0, ("west", "std"): 1.0}
-    assert by_kind(used) == {"std": 10.0}
+    assert peak_by_kind(used) == {"std": 10.0}
 
 
 def test_a_planner_with_a_part_of_the_proxies_has_that_part_of_a_cold_servers_budget(judge):
@@ -348,9 +359,11 @@
     settings = Settings(**(FACTS | {"operations": SETTINGS.operations, "removal_is_binding": False}))
     facts = {"a": fact(), "g": fact(state="gone"), "h": fact(state="gone")}
     asked = {1: table(g=1.0, h=1.0)}
-    judged = Guard(settings, Rules()).judge(asked, {}, facts, Known(answering={"g", "h"}), NOW)
+    judged = Validator(settings, SafetyRules()).judge(
+        asked, {}, facts, Observations(answering={"g", "h"}), NOW
+    )
     assert rules_of(judged) == set()
-    silent = Guard(settings, Rules()).judge(asked, {}, facts, Known(), NOW)
+    silent = Validator(settings, SafetyRules()).judge(asked, {}, facts, Observations(), NOW)
     assert rules_of(silent) == {"no warm server"}
 
 
@@ -460,8 +473,8 @@
 def agree_on_moves(world):
     facts, old, new, then, demand, full, ill = world
     rows = {t: Proposal(new[t], 1.0, frozenset(ZONES), demand=demand[t]) for t in new}
-    known = Known({"east": full, "west": full}, ill=ill, then=then)
-    verdict = Guard(SETTINGS, Rules()).judge(rows, old, facts, known, NOW)
+    known = Observations({"east": full, "west": full}, ill=ill, then=then)
+    verdict = Validator(SETTINGS, SafetyRules()).judge(rows, old, facts, known, NOW)
     asked = over_limits(new, old, then, demand, facts, full, ill)
     assert asked <= rules_of(verdict)
     made = {t: lines for t, (lines, _) in verdict.tables.items()}
@@ -499,7 +512,7 @@
 
 
 def test_a_zone_is_ill_whose_servers_fail_more_than_half_of_their_tries():
-    seen, facts = Seen(), {"a": fact(), "w": fact("west")}
+    seen, facts = ObservedTraffic(), {"a": fact(), "w": fact("west")}
     seen.told(EndpointLoadReport("east", "a", 10, 6, 1, S, None), S)
     seen.told(EndpointLoadReport("east", "w", 10, 4, 1, S, None), S)
     assert seen.ill(facts, 2 * S) == {"east"}
@@ -511,12 +524,12 @@
 
 @pytest.fixture
 def gate():
-    return Gate(SETTINGS, Rules(), enforce=True, seed=3)
+    return PublishGate(SETTINGS, SafetyRules(), enforce=True, seed=3)
 
 
 def test_a_table_that_is_refused_again_and_again_waits_longer_each_time(gate):
     facts = {"a": fact(), "b": fact(), "c": fact()}
-    known, now = Known({"east": 10.0}), NOW
+    known, now = Observations({"east": 10.0}), NOW
     gate.review({1: table(a=1.0, b=1.0, c=1.0)}, {1}, facts, known, now)
     for k in range(4000):  # a decider that empties its table in every other round, 5 ms apart
         now += 5_000_000
@@ -529,7 +542,7 @@
 
 def test_a_drain_leaves_a_waiting_table_at_once(gate):
     facts = {"a": fact(), "b": fact(), "c": fact()}
-    known, now = Known({"east": 10.0}), NOW
+    known, now = Observations({"east": 10.0}), NOW
     gate.review({1: table(a=1.0, b=1.0, c=1.0)}, {1}, facts, known, now)
     for _ in range(20):
         now += 5_000_000
@@ -542,7 +555,7 @@
 
 def test_a_table_is_ordered_again_once_its_wait_is_over(gate):
     facts = {"a": fact(), "b": fact()}
-    known, now = Known({"east": 10.0}), NOW
+    known, now = Observations({"east": 10.0}), NOW
     gate.review({1: table(a=1.0, b=1.0)}, {1}, facts, known, now)
     for _ in range(8):
         now += 5_000_000
@@ -557,10 +570,10 @@
 
 
 def test_what_only_the_list_moves_is_left_to_the_module_for_a_moment(gate):
-    facts, known = {"a": fact(), "c": fact()}, Known({"east": 10.0})
+    facts, known = {"a": fact(), "c": fact()}, Observations({"east": 10.0})
     rows = {1: table(a=1.0, c=1.0, demand=8.0)}
     gate.review(rows, {1}, facts, known, NOW)
-    facts["c"] = Fact("east", "ready", NOW, 1.0, "east")  # it restarted
+    facts["c"] = EndpointStatus("east", "ready", NOW, 1.0, "east")  # it restarted
     assert gate.review(rows, (), facts, known, NOW + S // 100, news=1) == []
     assert gate.review(rows, (), facts, known, NOW + S, news=1) == [1]
     assert gate.allowed[1][0]["c"] < 1.0
--- a/tests/versions/test_canary.py
+++ b/tests/versions/test_canary.py
@@ -12,14 +12,22 @@
 from swiftchute.api.settings import Settings
 from swiftchute.controller.controller import Core, Keep
 from swiftchute.controller.load_aggregation import Report
-from swiftchute.discovery.endpoint_list import News
-from swiftchute.safety.validator import Rules
-from swiftchute.versions.canary import LEAST, Limits, Tally, Trials, moved, shares, worse
+from swiftchute.discovery.endpoint_list import EndpointListChange
+from swiftchute.safety.validator import SafetyRules
+from swiftchute.versions.canary import (
+    MIN_REQUESTS,
+    CanaryLimits,
+    CanaryTrials,
+    ReportTotals,
+    moved_fraction,
+    regression,
+    weight_shares,
+)
 from tests.conftest import FACTS, Fixed, operation
 
 S = 1_000_000_000
 NOW = 1000 * S
-LIMITS = Limits(part=0.25, span=5 * S, most=30 * S, step=0.25)
+LIMITS = CanaryLimits(part=0.25, span=5 * S, most=30 * S, step=0.25)
 PROXIES = {f"p{k}": float(k + 1) for k in range(8)}
 EVEN = dict.fromkeys("abcd", 1.0)
 SKEWED = EVEN | {"a": 50.0}
@@ -28,12 +36,12 @@
 
 @pytest.fixture
 def trials():
-    made = Trials(LIMITS)
+    made = CanaryTrials(LIMITS)
     assert made.change("t", EVEN, SKEWED, (b"1", b"2"), PROXIES, OLD, frozenset(), NOW)
     return made
 
 
-def feed(trials, first, rest, at=NOW + S, invs=2 * LEAST):
+def feed(trials, first, rest, at=NOW + S, invs=2 * MIN_REQUESTS):
     """Both sides report so many errors of `invs`, after the first have acknowledged."""
     for p in ("p0", "p1"):
         trials.settled(p, {"t": b"2"}, NOW + S)
@@ -51,9 +59,9 @@
     for limits, after, proxies in (
         (LIMITS, EVEN | {"a": 1.2}, PROXIES),
         (LIMITS, SKEWED, {"p": 1.0}),
-        (Limits(), SKEWED, PROXIES),
+        (CanaryLimits(), SKEWED, PROXIES),
     ):
-        made = Trials(limits)
+        made = CanaryTrials(limits)
         assert not made.change("t", EVEN, after, (b"1", b"2"), proxies, OLD, frozenset(), NOW)
         assert made.rest("t", OLD) is None
 
@@ -71,7 +79,7 @@
     assert trials.over(NOW + 2 * S) == []
     assert trials.over(NOW + 6 * S) == []  # 2.6 standard errors: neither sure nor as good, it waits for more
     assert [end.back for _, end in trials.over(NOW + 30 * S)] == [True]
-    again = Trials(LIMITS)
+    again = CanaryTrials(LIMITS)
     again.change("t", EVEN, SKEWED, (b"1", b"2"), PROXIES, OLD, frozenset(), NOW)
     feed(again, 40, 1)
     ((_, end),) = again.over(NOW + 2 * S)
@@ -80,11 +88,14 @@
 
 
 def test_slow_answers_are_worse_and_few_say_nothing():
-    many = 10 * LEAST
-    slow, quick = Tally(many, 0, many * 900, many), Tally(many, 0, many * 300, many)
-    assert "ms a good answer" in worse(slow, quick, 3.0)
-    assert worse(quick, slow, 3.0) == ""
-    assert worse(Tally(LEAST - 1, LEAST - 1, 0, 0), Tally(many, 0, 0, 0), 3.0) == ""
+    many = 10 * MIN_REQUESTS
+    slow, quick = ReportTotals(many, 0, many * 900, many), ReportTotals(many, 0, many * 300, many)
+    assert "ms a good answer" in regression(slow, quick, 3.0)
+    assert regression(quick, slow, 3.0) == ""
+    assert (
+        regression(ReportTotals(MIN_REQUESTS - 1, MIN_REQUESTS - 1, 0, 0), ReportTotals(many, 0, 0, 0), 3.0)
+        == ""
+    )
 
 
 def test_only_time_under_the_new_table_counts(trials):
@@ -125,7 +136,7 @@
 
 
 def test_less_for_a_cold_server_never_waits(trials):
-    made = Trials(LIMITS)
+    made = CanaryTrials(LIMITS)
     cold = frozenset("d")
     assert not made.change("t", EVEN, SKEWED, (b"1", b"2"), PROXIES, OLD, cold, NOW)
     # nor within a trial: more for a cold server may be tried, less may not wait
@@ -150,7 +161,13 @@
 @hypothesis_settings(max_examples=300, deadline=None, derandomize=True)
 def test_the_rest_never_holds_a_server_that_closed_or_started_anew(steps):
     """Beside a set of servers that were ever out since the trial began, kept apart from what is tested."""
-    made, starts, lines, spoilt, clock = Trials(LIMITS), dict(OLD), dict(EVEN), set(), itertools.count(1)
+    made, starts, lines, spoilt, clock = (
+        CanaryTrials(LIMITS),
+        dict(OLD),
+        dict(EVEN),
+        set(),
+        itertools.count(1),
+    )
     for server, what in steps:
         opened = "t" in made.open
         if what == "out":
@@ -179,8 +196,10 @@
        two=st.dictionaries(st.sampled_from("abc"), st.floats(0.01, 9), min_size=1))  # fmt: skip
 @hypothesis_settings(max_examples=200, deadline=None, derandomize=True)
 def test_what_moves_is_half_of_the_absolute_differences(one, two):
-    one, two = shares(one), shares(two)
-    assert moved(one, two) == pytest.approx(sum(abs(one.get(n, 0) - two.get(n, 0)) for n in "abc") / 2)
+    one, two = weight_shares(one), weight_shares(two)
+    assert moved_fraction(one, two) == pytest.approx(
+        sum(abs(one.get(n, 0) - two.get(n, 0)) for n in "abc") / 2
+    )
 
 
 # -- on a planner
@@ -193,8 +212,12 @@
     settings = Settings(**(FACTS | {"operations": (operation("read"),), "egress_rate_entries_per_s": 1e6,
                                     "egress_queue_limit_entries": 1e6, "message_quota": 0}))  # fmt: skip
     keep = Keep(canary_part=0.25, canary_for=5 * S, canary_most=30 * S)
-    core = Core(settings, 7, lambda settings, seed: decider, NOW, Rules(), tables=keep)
-    core.listed(News("held", tuple(EndpointRecord(n, "east", "", 0, "ready", 1.0, 0) for n in "abcd"), ()))
+    core = Core(settings, 7, lambda settings, seed: decider, NOW, SafetyRules(), tables=keep)
+    core.listed(
+        EndpointListChange(
+            "held", tuple(EndpointRecord(n, "east", "", 0, "ready", 1.0, 0) for n in "abcd"), ()
+        )
+    )
     for p, rate in PROXIES.items():
         core.joined(p, "east", rate, True)
 
@@ -266,7 +289,7 @@
 def test_drains_reach_all_at_once_though_a_change_is_tried(planner):
     core, play = planner
     play(NOW + S, ("set_weight", 1, "a", 9.0))
-    core.listed(News("changes", (EndpointRecord("b", "east", "", 0, "draining", 1.0, 0),), ()))
+    core.listed(EndpointListChange("changes", (EndpointRecord("b", "east", "", 0, "draining", 1.0, 0),), ()))
     pushed, _ = play(NOW + 2 * S)
     assert pushed >= set(PROXIES) - {"p0", "p1"}
     for p in PROXIES:
@@ -274,7 +297,9 @@
     assert held(core, "p7") == {"a": 1.0, "c": 1.0, "d": 1.0}
     assert held(core, "p0")["a"] == 9.0
     # it comes back as another process: to those behind it is out until the trial is over
-    core.listed(News("changes", (EndpointRecord("b", "east", "", 0, "ready", 1.0, NOW + 2 * S),), ()))
+    core.listed(
+        EndpointListChange("changes", (EndpointRecord("b", "east", "", 0, "ready", 1.0, NOW + 2 * S),), ())
+    )
     play(NOW + 3 * S, ("set_weight", 1, "b", 0.1))
     assert "b" not in held(core, "p7")
 
--- a/tests/versions/test_history.py
+++ b/tests/versions/test_history.py
@@ -11,12 +11,22 @@
 
 from swiftchute.api.endpoints import EndpointRecord
 from swiftchute.api.events import TimerFired
-from swiftchute.discovery.endpoint_list import News
+from swiftchute.discovery.endpoint_list import EndpointListChange
 from swiftchute.versions import encoding
-from swiftchute.versions.encoding import BadForm, Delta, Mismatch, Table, apply, decode, diff, encode, name
-from swiftchute.versions.history import ANCHOR, History, Unknown
-from swiftchute.versions.model_checker import BUGS, Model, explore
-from swiftchute.versions.pinning import Impossible, Pin, Pins, Rejected
+from swiftchute.versions.encoding import (
+    Delta,
+    DeltaMismatchError,
+    EncodingError,
+    Table,
+    apply,
+    decode,
+    diff,
+    encode,
+    name,
+)
+from swiftchute.versions.history import ANCHOR, UnknownVersionError, VersionHistory
+from swiftchute.versions.model_checker import KNOWN_BUGS, Model, explore
+from swiftchute.versions.pinning import Pin, PinError, PinnedVersions, RejectionTracker
 from swiftchute.versions.sync import Receiver, Sender
 
 S = 1_000_000_000
@@ -45,16 +55,16 @@
 def test_bytes_cut_anywhere_or_of_another_form_are_refused():
     data = encode(made(a=1.0, b=2.0))
     for cut in range(len(data)):
-        with pytest.raises(BadForm):
+        with pytest.raises(EncodingError):
             decode(data[:cut])
-    with pytest.raises(BadForm, match="format 2"):
+    with pytest.raises(EncodingError, match="format 2"):
         decode(encode(Table((), (), 2)))
     for bad in (
         Table((), (("b", "east", 1), ("a", "east", 1))),  # not sorted
         Table((), (("a", "east", 1), ("a", "west", 1))),  # a server twice
         Table((), (("a", "east", 0),)),
     ):
-        with pytest.raises(BadForm):
+        with pytest.raises(EncodingError):
             decode(msgspec.msgpack.encode(bad))
 
 
@@ -62,7 +72,7 @@
 def test_a_flipped_byte_makes_another_version_or_none(place):
     data = bytearray(encode(made(a=1.0, b=2.0, c=3.0)))
     data[place % len(data)] ^= 1 << place % 8
-    with contextlib.suppress(BadForm):
+    with contextlib.suppress(EncodingError):
         assert name(decode(bytes(data))) != name(made(a=1.0, b=2.0, c=3.0))
 
 
@@ -71,10 +81,10 @@
     change = diff(before, after)
     assert apply(change, before) == after
     assert (change.gone, len(change.put)) == (("b",), 2)
-    with pytest.raises(Mismatch, match="not for"):
+    with pytest.raises(DeltaMismatchError, match="not for"):
         apply(change, made(a=1.0))
     lying = Delta(change.before, name(before), change.put, change.gone, change.levels)
-    with pytest.raises(Mismatch, match="not .* as it says"):
+    with pytest.raises(DeltaMismatchError, match="not .* as it says"):
         apply(lying, before)
 
 
@@ -91,7 +101,7 @@
 
 @pytest.fixture
 def history():
-    return History("0", most=100, age=3600 * S)
+    return VersionHistory("0", most=100, age=3600 * S)
 
 
 def test_equal_content_is_one_version_and_its_return_an_entry(history):
@@ -139,7 +149,7 @@
     # a gateway that never had it, one that claims a version of the future or of another planner: the whole
     for claim in (None, b"\0" * 16, name(made(z=9.0))):
         assert history.way(claim, two) == made(**many | {"s3": 2.0})
-    with pytest.raises(Unknown, match="not kept"):
+    with pytest.raises(UnknownVersionError, match="not kept"):
         history.way(one, b"\1" * 16)
 
 
@@ -154,9 +164,9 @@
         ("ffffffff", "no kept"),
         ("a", "four"),
     ):
-        with pytest.raises(Unknown, match=cause):
+        with pytest.raises(UnknownVersionError, match=cause):
             history.find("0.1", asked)
-    with pytest.raises(Unknown, match=r"no table '0.2'; there are 0.1"):
+    with pytest.raises(UnknownVersionError, match=r"no table '0.2'; there are 0.1"):
         history.find("0.2", "~1")
 
 
@@ -169,7 +179,7 @@
 
 
 def test_a_pin_proposes_open_servers_alone_and_ends_by_itself(history):
-    pins = Pins()
+    pins = PinnedVersions()
     pins.set("0.1", pin(history, a=1.0, b=2.0), {"a", "b"})
     assert pins.lines("0.1", {"b", "c"}) == {"b": 2.0}  # a drained one does not come back
     assert pins.lines("0.2", {"b"}) is None
@@ -183,22 +193,22 @@
 
 
 def test_a_version_whose_servers_are_all_gone_is_no_way_back(history):
-    with pytest.raises(Impossible, match="none of its 2 servers is open"):
-        Pins().set("0.1", pin(history, a=1.0, b=1.0), {"c"})
-    with pytest.raises(Impossible, match="not pinned"):
-        Pins().release("0.1")
+    with pytest.raises(PinError, match="none of its 2 servers is open"):
+        PinnedVersions().set("0.1", pin(history, a=1.0, b=1.0), {"c"})
+    with pytest.raises(PinError, match="not pinned"):
+        PinnedVersions().release("0.1")
 
 
 def test_what_a_part_of_the_proxies_rejects_is_taken_back_and_not_too_often():
-    rejected = Rejected(0.3, 2, 600 * S)
+    rejected = RejectionTracker(0.3, 2, 600 * S)
     assert not rejected.by("p1", "0.1", b"v", 10)
     assert not rejected.by("p1", "0.1", b"v", 10)  # one that rejects all it gets is one
     assert not rejected.by("p2", "0.1", b"v", 10)
     assert not rejected.by("p3", "0.1", b"w", 10)  # another version
     assert [rejected.by(p, "0.1", b"x", 10) for p in "abc"] == [False, False, True]
     assert [rejected.back_again(NOW + k * S) for k in (0, 1, 2, 700)] == [True, True, False, True]
-    assert not Rejected(0.3, 2, S).by("p", "0.1", b"v", 1)  # two at least
-    assert not any(Rejected(0.3, 0, S).by(p, "0.1", b"v", 1) for p in "abc")  # it is turned off
+    assert not RejectionTracker(0.3, 2, S).by("p", "0.1", b"v", 1)  # two at least
+    assert not any(RejectionTracker(0.3, 0, S).by(p, "0.1", b"v", 1) for p in "abc")  # it is turned off
 
 
 # -- at random: planner, gateways and a channel that loses, doubles and reorders
@@ -214,7 +224,7 @@
 
     def __init__(self):
         super().__init__()
-        self.history = History("0", most=ANCHOR, age=10**18)
+        self.history = VersionHistory("0", most=ANCHOR, age=10**18)
         self.random = random.Random(5)
         self.weights, self.now = {"a": 1.0}, NOW
         self.all = set()
@@ -258,11 +268,11 @@
     def take(self, gateway, data):
         try:
             self.bytes[gateway] = encode(decode(data))
-        except BadForm:
+        except EncodingError:
             try:
                 held = decode(self.bytes[gateway]) if self.bytes[gateway] else Table()
                 self.bytes[gateway] = encode(apply(encoding.decode_delta(data), held))
-            except Mismatch:
+            except DeltaMismatchError:
                 pass  # answered by what it does hold
         self.acks[gateway] = [*self.acks[gateway], encoding.digest(self.bytes[gateway])][-4:]
 
@@ -322,9 +332,9 @@
     assert two.broken == "more than 3000 states: not explored whole"
 
 
-@pytest.mark.parametrize("bug", BUGS)
+@pytest.mark.parametrize("bug", KNOWN_BUGS)
 def test_a_bug_put_back_in_is_found_with_its_shortest_trace(bug):
-    found = explore(Model(1, 3, 2, *BUGS[bug]))
+    found = explore(Model(1, 3, 2, *KNOWN_BUGS[bug]))
     assert found.broken
     assert "not explored" not in found.broken
     assert 0 < len(found.trace) < 12
@@ -338,7 +348,7 @@
     """A core with a table of three servers, pushed and acknowledged: (core, decider, round)."""
     core, decider = fixed
     entries = [EndpointRecord(n, "east", "", 0, "ready", 1.0, 0) for n in "abd"]
-    core.listed(News("held", tuple(entries), ()))
+    core.listed(EndpointListChange("held", tuple(entries), ()))
     core.joined("p", "east", 1.0, True)
 
     def play(now, *writes):
@@ -362,7 +372,7 @@
     core, play = planner
     play(NOW + S, ("set_weight", 1, "a", 2.0))
     play(NOW + 2 * S, ("set_admission", 1, 0, 0.5, 1))
-    core.listed(News(
+    core.listed(EndpointListChange(
         "changes", (EndpointRecord("b", "east", "", 0, "draining", 1.0, 0),), ()))  # fmt: skip
     play(NOW + 3 * S, ("set_weight", 1, "b", 0.0))
     assert [c.cause for c in core.history.log("0.1")] == ["list", "level", "health", "start"]
@@ -381,7 +391,7 @@
     # the module's orders meanwhile change nothing, and a drain leaves the pinned table
     play(NOW + 4 * S, ("set_weight", 1, "a", 70.0))
     assert weights(core)["a"] == 1.0
-    core.listed(News(
+    core.listed(EndpointListChange(
         "changes", (EndpointRecord("b", "east", "", 0, "draining", 1.0, 0),), ()))  # fmt: skip
     play(NOW + 5 * S)
     play(NOW + 6 * S)
--- a/tests/versions/test_recorded_trials.py
+++ b/tests/versions/test_recorded_trials.py
@@ -4,8 +4,8 @@
 import random
 
 from swiftchute.versions import encoding
-from swiftchute.versions.canary import Limits, Trials
-from swiftchute.versions.history import History
+from swiftchute.versions.canary import CanaryLimits, CanaryTrials
+from swiftchute.versions.history import VersionHistory
 
 SECOND_NS = 1_000_000_000
 NOW_NS = 1000 * SECOND_NS
@@ -17,7 +17,7 @@
     digest = hashlib.sha256()
     for seed in range(300):
         draw = random.Random(seed)
-        trials = Trials(Limits(0.25, 5 * SECOND_NS, 30 * SECOND_NS, 0.25))
+        trials = CanaryTrials(CanaryLimits(0.25, 5 * SECOND_NS, 30 * SECOND_NS, 0.25))
         proxies = {f"p{k}": draw.choice((1.0, 2.0, 5.0)) for k in range(9)}
         starts, lines, now, version = dict.fromkeys("abcd", 0), dict.fromkeys("abcd", 1.0), NOW_NS, 0
         for _ in range(60):
@@ -57,7 +57,7 @@
     digest = hashlib.sha256()
     for seed in range(10):
         draw = random.Random(seed)
-        history, now, held = History("0", 40, 100 * SECOND_NS), NOW_NS, []
+        history, now, held = VersionHistory("0", 40, 100 * SECOND_NS), NOW_NS, []
         weights = {"a": 1.0}
         for _ in range(300):
             now += draw.choice((0, SECOND_NS, 5 * SECOND_NS))
