--- a/swiftchute/cli/main.py
+++ b/swiftchute/cli/main.py
@@ -7,13 +7,13 @@
 
 import click
 
-from swiftchute.config import BadConfig, load
+from swiftchute.config import ConfigError, load
 
 
 def _load(path: str, read: Any = load) -> Any:
     try:
         return read(path)
-    except BadConfig as why:
+    except ConfigError as why:
         for problem in why.problems:
             click.echo(f"swiftchute: {problem}", err=True)
         sys.exit(2)
@@ -245,7 +245,8 @@
 
 def _asked(config: str, command: str, **arguments: Any) -> Any:
     """The running planner's answer; without one the command ends with exit code 2."""
-    from swiftchute.admin.client import Unanswered, call
+    from swiftchute.admin.client import call
+    from swiftchute.admin.errors import NoReplyError
 
     found = _load(config)
     if found.control is None:
@@ -255,7 +256,7 @@
         sys.exit(2)
     try:
         return call(found.control, command, **arguments)
-    except Unanswered as why:
+    except NoReplyError as why:
         click.echo(f"swiftchute: {why}", err=True)
         sys.exit(2)
 
