--- a/swiftchute/cli/__init__.py
+++ b/swiftchute/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: `swiftchute`, the same as `python -m swiftchute`."""
+"""The command line."""
--- /dev/null
+++ b/swiftchute/cli/serving.py
@@ -0,0 +1,78 @@
+"""Commands that check settings and run the programs: check, serve, proxy."""
+
+import importlib
+from typing import Any
+
+import click
+
+from swiftchute.cli.common import config_argument, fail, load_or_fail
+
+
+@click.command()
+@config_argument
+def check(config: str) -> None:
+    """Check a planner's settings and say what is wrong, without starting."""
+    loaded = load_or_fail(config)
+    settings = loaded.settings
+    click.echo(
+        f"{config}: planner {settings.instance} of {settings.instance_count} in {settings.zone},"
+        f" {len(settings.operations)} operations, list from a {loaded.list_kind}"
+    )
+
+
+def _import_policy(name: str) -> Any:
+    """Return the policy class that `package.module:Class` names."""
+    module, _, class_name = name.partition(":")
+    try:
+        return getattr(importlib.import_module(module), class_name)
+    except (ImportError, AttributeError, ValueError) as error:
+        fail(f"--decider {name}: {error}")
+
+
+@click.command()
+@config_argument
+@click.option("--decider", help="Another deciding module, as package.module:Name.")
+def serve(config: str, decider: str | None) -> None:
+    """Run a planner until it is told to stop."""
+    import uvloop
+
+    from swiftchute.daemon.service import CannotListen, Service
+    from swiftchute.observability.logging import setup
+    from swiftchute.policy import Reconciler
+
+    loaded = load_or_fail(config)
+    log = setup(loaded.log_level, planner=loaded.settings.instance)
+    policy = _import_policy(decider) if decider else Reconciler
+
+    async def run() -> None:
+        await Service(loaded, log, policy).run()
+
+    try:
+        uvloop.run(run())
+    except CannotListen as error:
+        fail(f"{config}: {error}")
+
+
+@click.command()
+@config_argument
+@click.option("--check", "check_only", is_flag=True, help="Say what is wrong with the settings, and end.")
+def proxy(config: str, check_only: bool) -> None:
+    """Run a proxy that follows a planner's tables, until it is told to stop."""
+    import uvloop
+
+    from swiftchute.config.proxy import load as load_proxy
+    from swiftchute.daemon.proxy import Daemon
+    from swiftchute.observability.logging import setup
+
+    loaded = load_or_fail(config, load_proxy)
+    if check_only:
+        click.echo(f"{config}: proxy {loaded.proxy['name']} in {loaded.proxy['zone']}")
+        return
+
+    async def run() -> None:
+        await Daemon(loaded, setup(loaded.log_level, proxy=loaded.proxy["name"])).run()
+
+    try:
+        uvloop.run(run())
+    except OSError as error:
+        fail(f"{config}: proxy.listen: {error}")
