--- /dev/null
+++ b/tests/proxy/test_recorded_behaviour.py
@@ -0,0 +1,425 @@
+"""The decisions and bytes of the proxy's I/O-free parts equal a recording, made before they were restructured.
+
+Each test plays a fixed pseudo-random sequence and compares the digest of all that it observed.
+"""
+
+import hashlib
+import itertools
+import random
+
+import pytest
+from envoy.config.cluster.v3.cluster_pb2 import Cluster
+from envoy.config.core.v3.health_check_pb2 import DRAINING
+from envoy.config.endpoint.v3.endpoint_components_pb2 import LbEndpoint
+from envoy.config.endpoint.v3.endpoint_pb2 import ClusterLoadAssignment
+from envoy.config.listener.v3.listener_pb2 import Listener
+from envoy.config.route.v3.route_pb2 import RouteConfiguration
+from envoy.extensions.filters.network.http_connection_manager.v3.http_connection_manager_pb2 import (
+    HttpConnectionManager,
+)
+from envoy.service.discovery.v3.discovery_pb2 import (
+    DeltaDiscoveryRequest,
+    DeltaDiscoveryResponse,
+    DiscoveryRequest,
+    DiscoveryResponse,
+    Resource,
+)
+from envoy.service.load_stats.v3.lrs_pb2 import LoadStatsRequest
+
+from swiftchute.proxy import response_headers
+from swiftchute.proxy.connection_pool import Limits as PoolLimits
+from swiftchute.proxy.connection_pool import Line, Pool
+from swiftchute.proxy.http_framing import Broken, Http1, Http2, Message
+from swiftchute.proxy.request import Core, Limits, Operation, Turned
+from swiftchute.proxy.retry import (
+    ANSWERED,
+    BROKEN,
+    ERRORED,
+    LATE,
+    REFUSED,
+    UNREACHABLE,
+    UNSENT,
+    WITHDRAWN,
+)
+from swiftchute.proxy.table_cache import Keep
+from swiftchute.proxy.xds_client import Client, Table
+from swiftchute.xds import names
+
+S = 1_000_000_000
+NOW = 1000 * S
+OUTCOMES = [
+    ANSWERED,
+    ANSWERED,
+    ANSWERED,
+    ERRORED,
+    BROKEN,
+    LATE,
+    REFUSED,
+    UNREACHABLE,
+    UNSENT,
+    WITHDRAWN,
+    None,
+]
+ENDPOINTS = [f"10.0.0.{k}:80" for k in range(12)]
+
+
+class Digest:
+    """Observations, and the digest of their text."""
+
+    def __init__(self):
+        self.count, self.sum = 0, hashlib.sha256()
+
+    def add(self, *values):
+        self.count += 1
+        self.sum.update(repr(values).encode() + b"\n")
+
+    def __repr__(self):
+        return f"{self.count} {self.sum.hexdigest()[:16]}"
+
+
+def random_table(chance, operation):
+    return Table(
+        f"0.{chance.randrange(9)}/{operation}",
+        {e: chance.randint(1, 9) for e in chance.sample(ENDPOINTS, chance.randint(0, 8))},
+        chance.choice([1.0, 1.0, 0.7, 0.2, 0.0]),
+        chance.randint(0, 3),
+        chance.random() < 0.5,
+        chance.choice([None, 0.3]),
+        chance.choice([None, 1.5]),
+    )
+
+
+def play_requests(digest, limits, seed, count=1500):
+    """Requests of four operations through the router: arrivals, attempts, outcomes, tables that change."""
+    chance = random.Random(seed)
+    client = Client("gw", "z", 1.0)
+    operations = {
+        "read": Operation("read", 2 * S, "idempotent"),
+        "key": Operation("key", S, "fingerprinted"),
+        "pay": Operation("pay", 4 * S, "side-effecting"),
+    }
+    core = Core(client, operations, limits, seed)
+    names_ = [*operations, "new", "none"]
+    now, active = NOW, []
+    client.held[names.LDS]["new"] = ("1", None)
+    for step in range(count):
+        now += chance.randrange(S // 20)
+        if step % 60 == 0:
+            client.tables = {op: random_table(chance, op) for op in names_[:4] if chance.random() < 0.9}
+            client.standing = {e: 1 for e in chance.sample(ENDPOINTS, chance.randint(0, 2))}
+            withdrawn = ClusterLoadAssignment()
+            address = withdrawn.endpoints.add().lb_endpoints.add().endpoint.address.socket_address
+            address.address, address.port_value = chance.choice(ENDPOINTS).split(":")[0], 80
+            client.held[names.EDS][names.WITHDRAWN] = ("1", withdrawn)
+            core.changed()
+            digest.add("tables", sorted(core.named), sorted(core.shut), sorted(core.tables))
+        if chance.random() < 0.6 or not active:
+            request = core.came(chance.choice(names_), f"caller-{chance.randrange(20)}", now)
+            if isinstance(request, Turned):
+                digest.add("rejected", str(request.why))
+                continue
+            active.append(request)
+        else:
+            request = active[chance.randrange(len(active))]
+            outcome = chance.choice(OUTCOMES)
+            if outcome is None:
+                active.remove(request)
+                core.given_up(request, now)
+                digest.add("abandoned", core.under_way)
+                continue
+            if core.ended(request, outcome, now):
+                active.remove(request)
+                digest.add("ended", outcome.kind, request.attempt, core.under_way)
+                continue
+        attempt = core.next(request, now)
+        if attempt is None:
+            active.remove(request)
+            core.given_up(request, now)
+            digest.add("nothing left", core.under_way)
+        else:
+            digest.add(attempt.server, attempt.until, request.attempt, request.until)
+        budget = core.budget
+        digest.add(round(budget.room, 9), budget.spent, budget.denied, sorted(core.avoided.now(now)))
+    digest.add(core.avoided.runs, sorted(core.at.items()), sorted(core.ends.items()))
+    digest.add(sorted((str(cause), many) for cause, many in core.turned.items()))
+    rows = ((cluster, c.dropped, sorted(c.servers.items())) for cluster, c in sorted(client.counted.items()))
+    digest.add(*rows)
+
+
+def test_router_decisions_equal_the_recording():
+    digest = Digest()
+    seeds = itertools.count(1)
+    for pick, again, limit in itertools.product(
+        ("weight", "rotate", "two-choices"), ("anew", "refused"), (0, 2)
+    ):
+        limits = Limits(under_way=30, server=limit, pick=pick, avoid_after=3, avoid_for=S, try_part=0.1,
+                        try_least=0.5, refused_again=again)  # fmt: skip
+        play_requests(digest, limits, next(seeds))
+    play_requests(digest, Limits(), next(seeds))
+    assert repr(digest) == ROUTER
+
+
+class PeerWindow:
+    """A connection whose peer takes so many more streams."""
+
+    def __init__(self, room):
+        self.room = room
+
+
+def test_pool_decisions_equal_the_recording():
+    digest, chance = Digest(), random.Random(5)
+    pool = Pool(PoolLimits(connections=3, streams=10, first=2, waiting=4, idle=3 * S))
+    now, busy, numbers = NOW, [], {}
+    for _ in range(5000):
+        now += chance.randrange(S // 5)
+        act = chance.random()
+        if act < 0.5:
+            found = pool.ask()
+            digest.add("ask", numbers[found] if isinstance(found, Line) else str(found))
+            if isinstance(found, Line):
+                pool.given(found, now)
+                busy.append(found)
+            elif found == "dial":
+                pool.dialling += 1
+            pool.waiting = chance.randrange(6)
+        elif act < 0.6 and pool.dialling:
+            pool.dialling -= 1
+            line = pool.opened(PeerWindow(chance.randint(1, 12)), now)
+            numbers[line] = len(numbers)
+        elif act < 0.9 and busy:
+            line = busy.pop(chance.randrange(len(busy)))
+            pool.answered(line, chance.random() < 0.8, now)
+            digest.add(numbers[line], line.warm, line.free, line.under_way)
+        elif act < 0.92 and pool.lines:
+            chance.choice(pool.lines).closing = True
+        elif pool.lines:
+            for line in pool.idle(now):
+                digest.add("idle", numbers[line])
+                pool.closed(line)
+    assert repr(digest) == POOL
+
+
+def address_of(endpoint, name):
+    host, _, port = name.partition(":")
+    address = endpoint.endpoint.address.socket_address
+    address.address, address.port_value = host, int(port)
+
+
+def random_resources(chance, kind, uses_collections):
+    """Resources by name, as a control plane may send them, complete or not."""
+    if kind == names.CDS:
+        found = {}
+        for operation in chance.sample(["read", "pay"], chance.randint(1, 2)):
+            cluster = Cluster(name=f"0.1/{operation}")
+            cluster.eds_cluster_config.service_name = chance.choice(["0.1", "0.2"])
+            found[cluster.name] = cluster
+        return found
+    if kind == names.EDS:
+        found = {}
+        for name in chance.sample(["0.1", "0.2", names.WITHDRAWN], 2):
+            made = ClusterLoadAssignment(cluster_name=name)
+            locality = made.endpoints.add()
+            if uses_collections and name != names.WITHDRAWN:
+                locality.leds_cluster_locality_config.leds_collection_name = names.collection(name, "z")
+            for endpoint in chance.sample(ENDPOINTS, chance.randint(1, 4)):
+                row = locality.lb_endpoints.add()
+                address_of(row, endpoint)
+                row.load_balancing_weight.value = chance.randint(1, 9)
+                if chance.random() < 0.2:
+                    row.health_status = DRAINING
+            if chance.random() < 0.3:
+                made.policy.drop_overloads.add(category="level").drop_percentage.numerator = 250_000
+            found[name] = made
+        return found
+    if kind == names.LEDS:
+        found = {}
+        for endpoint in chance.sample(ENDPOINTS, 4):
+            row = LbEndpoint()
+            address_of(row, endpoint)
+            row.load_balancing_weight.value = chance.randint(1, 9)
+            found[names.line_name(chance.choice(["0.1", "0.2"]), "z", endpoint)] = row
+        return found
+    found = {}
+    for operation in chance.sample(["read", "pay"], chance.randint(1, 2)):
+        if kind == names.LDS:
+            manager = HttpConnectionManager()
+            manager.rds.route_config_name = operation
+            listener = Listener(name=operation)
+            listener.api_listener.api_listener.Pack(manager)
+            found[operation] = listener
+        else:
+            configuration = RouteConfiguration(name=operation)
+            action = configuration.virtual_hosts.add().routes.add().route
+            action.cluster = f"0.1/{operation}"
+            if chance.random() < 0.5:
+                action.retry_policy.retry_on = chance.choice(["refused-stream,connect-failure", "5xx"])
+                action.retry_policy.num_retries.value = 2
+                action.retry_policy.per_try_timeout.FromMilliseconds(300)
+            if chance.random() < 0.5:
+                action.timeout.FromMilliseconds(1500)
+            found[operation] = configuration
+    return found
+
+
+@pytest.mark.parametrize("delta, lines", [(True, True), (True, False), (False, False)])
+def test_xds_requests_and_tables_equal_the_recording(delta, lines):
+    digest, chance = Digest(), random.Random(9)
+
+    def refuses(kind, name, message):
+        return "bad" if chance.random() < 0.1 else None
+
+    client = Client("gw", "z", 2.5, delta, lines, refuses)
+    client.standing = {"10.9.9.9:1": 1}
+
+    def sent(requests):
+        form = DeltaDiscoveryRequest if delta else DiscoveryRequest
+        digest.add([form.FromString(request).SerializeToString(deterministic=True) for request in requests])
+
+    for stream in range(6):
+        sent(client.hello(fresh=chance.random() < 0.5))
+        for order in range(1, 60):
+            kind = chance.choice([kind for kind in names.ORDER if delta or kind != names.LEDS])
+            found = random_resources(chance, kind, lines)
+            nonce = f"{stream if chance.random() < 0.95 else 99}-{order - chance.choice([0, 0, 0, 0, 5])}"
+            if delta:
+                response = DeltaDiscoveryResponse(type_url=kind, nonce=nonce)
+                for name, message in found.items():
+                    row = Resource(name=name, version=str(order))
+                    row.resource.Pack(message)
+                    response.resources.append(row)
+                if chance.random() < 0.2:
+                    response.removed_resources.append(chance.choice(["0.1", "0.2", "read"]))
+            else:
+                response = DiscoveryResponse(type_url=kind, nonce=nonce, version_info=str(order))
+                for message in found.values():
+                    response.resources.add().Pack(message)
+            if chance.random() < 0.02:
+                broken = response.resources[0].resource if delta else response.resources[0]
+                broken.value = b"\xff\xff"
+            sent(client.receive(response.SerializeToString()))
+            for operation in ("read", "pay", "none"):
+                table = client.table(operation)
+                digest.add(table and (table.cluster, table.lines, table.level, table.tries, table.sure,
+                                      table.per_try, table.timeout))  # fmt: skip
+                if table is not None:
+                    for endpoint in table.lines:
+                        client.met(table.cluster, endpoint, chance.random() < 0.8, chance.random())
+                    client.dropped(table.cluster)
+            digest.add(sorted(client.shut()), client.ignored, client.applied)
+        report = LoadStatsRequest.FromString(client.report(1.25, first=stream == 0))
+        digest.add(report.SerializeToString(deterministic=True))
+    assert repr(digest) == XDS[delta, lines]
+
+
+REQUEST = [(b":method", b"POST"), (b":scheme", b"http"), (b":path", b"/svc/read"), (b":authority", b"x"),
+           (b"content-type", b"application/grpc"), (b"grpc-timeout", b"900m"), (b"te", b"trailers"),
+           (b"Keep-Alive", b"5")]  # fmt: skip
+RESPONSE = [(b":status", b"200"), (b"content-type", b"application/grpc")]
+
+
+def play_frames(digest, client, server, seed):
+    """Messages both ways in pieces; what each side wrote, and the text of its events without class names."""
+    chance = random.Random(seed)
+
+    def events_of(found):
+        return [tuple(getattr(event, slot) for slot in event.__dataclass_fields__) for event in found]
+
+    asked = []
+    for _ in range(60):
+        headers = [field for field in REQUEST if field[0] != b"Keep-Alive"]
+        body = chance.randbytes(chance.choice([0, 3, 500, 30_000]))
+        try:
+            if client.room:
+                digest.add("send", client.send(Message(0, headers, body, [])), client.room)
+        except Broken as cause:
+            digest.add("broken", str(cause))
+        for writer, reader, is_server in ((client, server, True), (server, client, False)):
+            data = writer.out()
+            digest.add(data)
+            size = chance.choice([1000, 7000, 100_000])
+            for start in range(0, len(data), size):
+                try:
+                    found = reader.feed(data[start : start + size])
+                except Broken as cause:
+                    digest.add("broken", str(cause))
+                    return
+                digest.add(events_of(found), reader.closing)
+                asked += [event for event in found if is_server and isinstance(event, Message)]
+            if is_server and asked and chance.random() < 0.8:
+                number = asked.pop(0).number
+                act = chance.random()
+                if isinstance(server, Http2) and act < 0.2:
+                    server.reset(number, 7)
+                else:
+                    body = chance.randbytes(chance.choice([0, 10, 9000]))
+                    trailers = [(b"grpc-status", b"0")] if isinstance(server, Http2) else []
+                    server.send(Message(number, RESPONSE, body, trailers))
+                if isinstance(server, Http1):
+                    asked += [e for e in server.more() if isinstance(e, Message)]
+                elif act > 0.9:
+                    client.ping()
+    server.leave() if isinstance(server, Http2) else server.reset(0, 8)
+    digest.add(server.out(), server.closing, server.room)
+
+
+@pytest.mark.parametrize("make", [Http2, Http1])
+def test_frames_equal_the_recording(make):
+    digest = Digest()
+    for seed in range(4):
+        client, server = make(True, 20_000), make(False, 20_000)
+        client.start()
+        server.start()
+        play_frames(digest, client, server, seed)
+    assert repr(digest) == FRAMES[make.__name__]
+
+
+def test_forwarded_requests_and_local_responses_equal_the_recording():
+    digest = Digest()
+    for rpc, left in itertools.product((True, False), (1, 10**6, 7 * S)):
+        made = response_headers.onward(Message(3, REQUEST, b"body", [(b"x", b"y")]), rpc, left)
+        digest.add(made.number, made.headers, made.body, made.trailers)
+    for rpc in (True, False):
+        for why in ("unknown", "full", "no line", "level", "late", "unreachable", "refused", "withdrawn",
+                    "broken", "errored"):  # fmt: skip
+            made = response_headers.turned(why, rpc)
+            digest.add(made.number, made.headers, made.body, made.trailers)
+    for path in (b"/", b"/a/b%20c?d", b"", b"/x/"):
+        for timeout in (b"1H", b"2M", b"3S", b"4m", b"5u", b"6n", b"7x", b"", b"123456789S"):
+            asked = response_headers.read(Message(0, [(b":path", path), (b"grpc-timeout", timeout)]))
+            digest.add(asked.operation, asked.rpc, asked.within)
+    assert repr(digest) == HEADERS
+
+
+# A file of kept tables, as the first release wrote it.
+STORED = bytes.fromhex(
+    "b0b463048af6188b9301cf000000e8d4a5100082a47265616497a8302e312f7265616482ab31302e302e302e313a383003"
+    "ab31302e302e302e323a383001cb3fe000000000000001c3c0cb4010000000000000a370617997a7372e332f70617981aa"
+    "5b3a3a315d3a38303830cdffffcb3ff000000000000002c2cb3fd0000000000000c0"
+)
+STORED_TABLES = {
+    "read": Table("0.1/read", {"10.0.0.1:80": 3, "10.0.0.2:80": 1}, 0.5, 1, True, None, 4.0),
+    "pay": Table("7.3/pay", {"[::1]:8080": 65_535}, 1.0, 2, False, 0.25, None),
+}
+
+
+def test_a_cache_file_of_the_first_release_is_read(tmp_path):
+    path = tmp_path / "tables"
+    path.write_bytes(STORED)
+    assert Keep(str(path), 60 * S).load(NOW + S) == STORED_TABLES
+
+
+def test_a_cache_file_is_written_as_the_first_release_wrote_it(tmp_path):
+    path = tmp_path / "tables"
+    assert Keep(str(path), 60 * S).save(STORED_TABLES, NOW)
+    assert path.read_bytes() == STORED
+
+
+ROUTER = "26522 9b3d2b0d99b030f0"
+POOL = "3838 0fd016ea33ac71b4"
+XDS = {
+    (True, True): "1782 7f682c89ce32032d",
+    (True, False): "1782 ce7cd54bfe7ed3a4",
+    (False, False): "1782 429181f3fa440f32",
+}
+FRAMES = {"Http2": "1989 09f03602f10248ac", "Http1": "488 7374cea7ae5646a4"}
+HEADERS = "62 65acbee6817dbe4e"
