--- a/benchmarks/proxy.py
+++ b/benchmarks/proxy.py
@@ -19,9 +19,12 @@
 import uvloop
 from push import free_port
 
-from swiftchute.proxy.http_framing import Http2, Message
-from swiftchute.proxy.request import Core, Limits, Operation
-from swiftchute.proxy.xds_client import Client, Table
+from swiftchute.proxy.endpoint_table import EndpointTable
+from swiftchute.proxy.http2_connection import Http2Connection
+from swiftchute.proxy.http_framing import HttpMessage
+from swiftchute.proxy.request import RequestRouter
+from swiftchute.proxy.settings import Idempotency, ProxyLimits, RouteSettings
+from swiftchute.proxy.xds_client import XdsClient
 
 S = 1_000_000_000
 HEADERS = [(b":method", b"POST"), (b":path", b"/svc/read"), (b":scheme", b"http"), (b":authority", b"x"),
@@ -52,15 +55,15 @@
     """Answers every request with its own body."""
 
     def connection_made(self, transport):
-        self.transport, self.wire = transport, Http2(False, 2**20, 1000)
+        self.transport, self.wire = transport, Http2Connection(False, 2**20, 1000)
         self.wire.start()
-        transport.write(self.wire.out())
+        transport.write(self.wire.data_to_send())
 
     def data_received(self, data):
-        for event in self.wire.feed(data):
-            if isinstance(event, Message):
-                self.wire.send(Message(event.number, REPLY, event.body, [(b"grpc-status", b"0")]))
-        self.transport.write(self.wire.out())
+        for event in self.wire.receive_data(data):
+            if isinstance(event, HttpMessage):
+                self.wire.send(HttpMessage(event.stream_id, REPLY, event.body, [(b"grpc-status", b"0")]))
+        self.transport.write(self.wire.data_to_send())
 
 
 class Load(asyncio.Protocol):
@@ -70,21 +73,21 @@
         self.window, self.out, self.took = window, {}, []
 
     def connection_made(self, transport):
-        self.transport, self.wire = transport, Http2(True, 2**20)
+        self.transport, self.wire = transport, Http2Connection(True, 2**20)
         self.wire.start()
         for _ in range(self.window):
             self.call()
-        transport.write(self.wire.out())
+        transport.write(self.wire.data_to_send())
 
     def call(self):
-        self.out[self.wire.send(Message(0, HEADERS, bytes(5) + b"x" * 100))] = time.perf_counter_ns()
+        self.out[self.wire.send(HttpMessage(0, HEADERS, bytes(5) + b"x" * 100))] = time.perf_counter_ns()
 
     def data_received(self, data):
-        for event in self.wire.feed(data):
-            if isinstance(event, Message):
-                self.took.append(time.perf_counter_ns() - self.out.pop(event.number))
+        for event in self.wire.receive_data(data):
+            if isinstance(event, HttpMessage):
+                self.took.append(time.perf_counter_ns() - self.out.pop(event.stream_id))
                 self.call()
-        self.transport.write(self.wire.out())
+        self.transport.write(self.wire.data_to_send())
 
 
 async def load(port, window, seconds):
@@ -178,25 +181,27 @@
 def changes():
     """A table's change of 1 and of 100 lines, in tables of 100 and 400."""
     for many in (100, 400):
-        client = Client("gw", "z", 1.0)
+        client = XdsClient("gw", "z", 1.0)
         lines = {f"10.0.{k // 200}.{k % 200}:80": 10_000 + k for k in range(many)}
-        core = Core(client, {"read": Operation("read", S, "idempotent")}, Limits(), 7)
+        core = RequestRouter(
+            client, {"read": RouteSettings("read", S, Idempotency.IDEMPOTENT)}, ProxyLimits(), 7
+        )
         took = {}
         for changed in (1, 100):
             rows = []
             for turn in range(30):
                 new = lines | {n: w + turn + 1 for n, w in list(lines.items())[:changed]}
-                client.tables = {"read": Table("c", new)}
+                client.tables = {"read": EndpointTable("c", new)}
                 start = time.process_time_ns()
-                core.changed()
+                core.update_tables()
                 rows.append((time.process_time_ns() - start) / 1000)
             took[changed] = statistics.median(rows)
-        client.held = {kind: {} for kind in client.held}
+        client.resources = {kind: {} for kind in client.resources}
         start = time.process_time_ns()
         for _ in range(20_000):
-            inv = core.came("read", "k", 0)
-            core.next(inv, 0)
-            core.given_up(inv, 0)
+            inv = core.admit("read", "k", 0)
+            core.next_attempt(inv, 0)
+            core.abandon(inv, 0)
         pick = (time.process_time_ns() - start) / 20_000_000
         print(f"{many} lines: a change of 1 line {took[1]:.0f} us, of 100 {took[100]:.0f}; an invocation's"
               f" decisions {pick:.1f} us")  # fmt: skip
--- a/benchmarks/push.py
+++ b/benchmarks/push.py
@@ -25,7 +25,7 @@
 from grpclib.client import Channel
 from grpclib.const import Cardinality
 
-from swiftchute.proxy.xds_client import Client
+from swiftchute.proxy.xds_client import XdsClient
 from swiftchute.xds.server import ADS, Raw
 
 WORKERS, PROCESSES = int(os.environ.get("WORKERS", "100")), 4
@@ -117,7 +117,9 @@
     """A gateway's stream and tables, without invocations."""
 
     def __init__(self, number: int, port: int, form: str) -> None:
-        self.client = Client(f"g{number:04}", "z", 5.0, delta=form != "sotw", lines=form == "lines")
+        self.client = XdsClient(
+            f"g{number:04}", "z", 5.0, delta=form != "sotw", endpoint_collections=form == "lines"
+        )
         self.port, self.bytes, self.stalled = port, 0, asyncio.Event()
         self.server, self.there, self.done = "", False, 0
 
@@ -128,7 +130,7 @@
 
     def look(self) -> None:
         table = self.client.tables.get("lot-estimate")
-        if self.done is None and table is not None and (self.server in table.lines) == self.there:
+        if self.done is None and table is not None and (self.server in table.weights) == self.there:
             self.done = time.monotonic_ns()
 
     async def run(self) -> None:
@@ -136,7 +138,7 @@
         method = ADS + ("DeltaAggregatedResources" if self.client.delta else "StreamAggregatedResources")
         async with channel.request(method, Cardinality.STREAM_STREAM, bytes, bytes) as stream:
             await stream.send_request()
-            for request in self.client.hello(True):
+            for request in self.client.open_stream(True):
                 await stream.send_message(request)
             while True:
                 while self.stalled.is_set():
--- a/swiftchute/cli/main.py
+++ b/swiftchute/cli/main.py
@@ -85,11 +85,11 @@
 
     found = _load(config, load_proxy)
     if check_only:
-        click.echo(f"{config}: proxy {found.proxy['name']} in {found.proxy['zone']}")
+        click.echo(f"{config}: proxy {found.node} in {found.zone}")
         return
 
     async def run() -> None:
-        await Daemon(found, setup(found.log_level, proxy=found.proxy["name"])).run()
+        await Daemon(found, setup(found.log_level, proxy=found.node)).run()
 
     try:
         uvloop.run(run())
--- a/swiftchute/config/proxy.py
+++ b/swiftchute/config/proxy.py
@@ -18,7 +18,18 @@
     path,
     size,
 )
-from swiftchute.proxy.request import Limits, Operation
+from swiftchute.proxy.settings import (
+    AdmissionDraw,
+    Idempotency,
+    LoadBalancing,
+    PoolLimits,
+    ProxyLimits,
+    RouteSettings,
+    ServerSettings,
+)
+
+_LIMITS = ProxyLimits()  # the defaults
+_SERVER = ServerSettings()
 
 _PROXY: FieldTable = {
     "name": Field(name, REQUIRED),
@@ -30,40 +41,67 @@
     "rate": Field(number(0.001), 1.0),
     "standing": Field(list_of(address), ()),
     "seed": Field(number(0, 2**63, True), 0),
-    "pick": Field(one_of("weight", "rotate", "two-choices"), "weight", "pick"),
-    "under_way": Field(number(1, 10**6, True), 2000, "under_way"),
-    "server_under_way": Field(number(0, 10**6, True), 0, "server"),
-    "avoid_after": Field(number(0, 1000, True), 5, "avoid_after"),
-    "avoid_for": Field(duration(10 * MILLISECOND_NS, 600 * SECOND_NS), 3 * SECOND_NS, "avoid_for"),
-    "try_part": Field(number(0, 1), 0.2, "try_part"),
-    "try_least": Field(number(0, 10_000), 3.0, "try_least"),
-    "refused_again": Field(one_of("anew", "refused"), "anew", "refused_again"),
-    "connections": Field(number(1, 1000, True), 2),
-    "streams": Field(number(1, 10_000, True), 100),
-    "first": Field(number(1, 10_000, True), 4),
-    "waiting": Field(number(1, 10**6, True), 200),
-    "idle": Field(duration(100 * MILLISECOND_NS, 3600 * SECOND_NS), 60 * SECOND_NS),
-    "silent": Field(duration(100 * MILLISECOND_NS, 600 * SECOND_NS), 2 * SECOND_NS),
-    "connect_within": Field(duration(10 * MILLISECOND_NS, 60 * SECOND_NS), SECOND_NS),
-    "message_most": Field(size(1, 2**30), 2**20),
-    "callers": Field(number(1, 10**6, True), 2000),
-    "drain": Field(duration(0, 600 * SECOND_NS), 5 * SECOND_NS),
+    "pick": Field(one_of(*LoadBalancing), _LIMITS.load_balancing),
+    "under_way": Field(number(1, 10**6, True), _LIMITS.max_in_flight),
+    "server_under_way": Field(number(0, 10**6, True), _LIMITS.max_in_flight_per_endpoint),
+    "avoid_after": Field(number(0, 1000, True), _LIMITS.ejection_failures),
+    "avoid_for": Field(duration(10 * MILLISECOND_NS, 600 * SECOND_NS), _LIMITS.ejection_ns),
+    "try_part": Field(number(0, 1), _LIMITS.retry_budget_fraction),
+    "try_least": Field(number(0, 10_000), _LIMITS.min_retries_per_s),
+    "refused_again": Field(one_of(*AdmissionDraw), _LIMITS.admission_draw),
+    "connections": Field(number(1, 1000, True), _SERVER.pool.max_connections),
+    "streams": Field(number(1, 10_000, True), _SERVER.pool.max_streams),
+    "first": Field(number(1, 10_000, True), _SERVER.pool.initial_streams),
+    "waiting": Field(number(1, 10**6, True), _SERVER.pool.max_waiting),
+    "idle": Field(duration(100 * MILLISECOND_NS, 3600 * SECOND_NS), _SERVER.pool.idle_timeout_ns),
+    "silent": Field(duration(100 * MILLISECOND_NS, 600 * SECOND_NS), _SERVER.silence_timeout_ns),
+    "connect_within": Field(duration(10 * MILLISECOND_NS, 60 * SECOND_NS), _SERVER.connect_timeout_ns),
+    "message_most": Field(size(1, 2**30), _SERVER.max_message_bytes),
+    "callers": Field(number(1, 10**6, True), _SERVER.max_downstream_connections),
+    "drain": Field(duration(0, 600 * SECOND_NS), _SERVER.drain_timeout_ns),
     "keep": Field(path, None),
     "keep_for": Field(duration(SECOND_NS, 7 * 24 * 3600 * SECOND_NS), 3600 * SECOND_NS),
 }
 _OPERATION: FieldTable = {
     "timeout": Field(duration(MILLISECOND_NS), REQUIRED),
-    "repeats": Field(one_of("idempotent", "fingerprinted", "side-effecting"), REQUIRED),
+    "repeats": Field(one_of(*Idempotency), REQUIRED),
 }
 
 
 @dataclass(frozen=True)
 class ProxyConfig:
-    """A checked file: the `proxy` block's values, the core's limits, and what is known of operations."""
+    """A checked file.
+
+    Attributes:
+        node: name of the proxy.
+        zone: its zone.
+        control_plane_servers: host and port of each.
+        delta: use the incremental variant of xDS.
+        endpoint_collections: ask for endpoints one by one (LEDS).
+        request_rate_per_s: requests that the proxy expects.
+        static_endpoints: "host:port" of the endpoints used before any table is received.
+        seed: of all random decisions.
+        cache_path: file of the cached tables, None for no cache.
+        cache_max_age_ns: age past which cached tables are not used.
+        limits: limits and rules of the request path.
+        server: settings of the sockets.
+        routes: known operations by name.
+        log_level: lowest level that is logged.
+    """
 
-    proxy: dict[str, Any]
-    limits: Limits
-    operations: dict[str, Operation]
+    node: str
+    zone: str
+    control_plane_servers: tuple[tuple[str, int], ...]
+    delta: bool
+    endpoint_collections: bool
+    request_rate_per_s: float
+    static_endpoints: tuple[str, ...]
+    seed: int
+    cache_path: str | None
+    cache_max_age_ns: int
+    limits: ProxyLimits
+    server: ServerSettings
+    routes: dict[str, RouteSettings]
     log_level: str
 
 
@@ -78,7 +116,7 @@
     checker.reject_top_level_fields(body)
     blocks: dict[str, Block] = {}
     values: dict[str, dict[str, Any]] = {}
-    operations: dict[str, Operation] = {}
+    operations: dict[str, dict[str, Any]] = {}
     for block in body.blocks:
         if block.name == "operation" and len(block.labels) == 1:
             _add_operation(checker, block, operations)
@@ -97,16 +135,70 @@
         checker.add_problem(blocks["proxy"].values["planners"].line, "proxy.planners", "names none")
     checker.raise_problems()
     log = values.get("log") or checker.parse_fields(Block("log", (), 1), _LOG, "log")
-    limits = Limits(**{field.target: proxy[key] for key, field in _PROXY.items() if field.target})
-    return ProxyConfig(proxy, limits, operations, log["level"])
+    routes = {name: _make_route(name, row) for name, row in operations.items()}
+    return _make_config(proxy, routes, log["level"])
 
 
-def _add_operation(checker: Checker, block: Block, operations: dict[str, Operation]) -> None:
-    values = checker.parse_fields(block, _OPERATION, block.full_name)
+def _add_operation(checker: Checker, block: Block, operations: dict[str, dict[str, Any]]) -> None:
     name = block.labels[0]
+    values = checker.parse_fields(block, _OPERATION, block.full_name)
     if name in operations:
         checker.add_problem(block.line, block.full_name, "stands twice")
-    operations[name] = Operation(name, values.get("timeout", 0), values.get("repeats", ""))
+    operations[name] = values
+
+
+def _make_route(name: str, values: dict[str, Any]) -> RouteSettings:
+    return RouteSettings(name, values["timeout"], Idempotency(values["repeats"]))
+
+
+def _make_config(values: dict[str, Any], routes: dict[str, RouteSettings], log_level: str) -> ProxyConfig:
+    return ProxyConfig(
+        node=values["name"],
+        zone=values["zone"],
+        control_plane_servers=tuple(values["planners"]),
+        delta=values["form"] == "delta",
+        endpoint_collections=values["lines"],
+        request_rate_per_s=values["rate"],
+        static_endpoints=tuple(f"{host}:{port}" for host, port in values["standing"]),
+        seed=values["seed"],
+        cache_path=values["keep"],
+        cache_max_age_ns=values["keep_for"],
+        limits=_make_limits(values),
+        server=_make_server_settings(values),
+        routes=routes,
+        log_level=log_level,
+    )
+
+
+def _make_limits(values: dict[str, Any]) -> ProxyLimits:
+    return ProxyLimits(
+        max_in_flight=values["under_way"],
+        max_in_flight_per_endpoint=values["server_under_way"],
+        load_balancing=LoadBalancing(values["pick"]),
+        ejection_failures=values["avoid_after"],
+        ejection_ns=values["avoid_for"],
+        retry_budget_fraction=values["try_part"],
+        min_retries_per_s=values["try_least"],
+        admission_draw=AdmissionDraw(values["refused_again"]),
+    )
+
+
+def _make_server_settings(values: dict[str, Any]) -> ServerSettings:
+    return ServerSettings(
+        listen_address=values["listen"],
+        pool=PoolLimits(
+            max_connections=values["connections"],
+            max_streams=values["streams"],
+            initial_streams=values["first"],
+            max_waiting=values["waiting"],
+            idle_timeout_ns=values["idle"],
+        ),
+        silence_timeout_ns=values["silent"],
+        connect_timeout_ns=values["connect_within"],
+        max_message_bytes=values["message_most"],
+        max_downstream_connections=values["callers"],
+        drain_timeout_ns=values["drain"],
+    )
 
 
 _LOG: FieldTable = {"level": Field(one_of("debug", "info", "warning", "error"), "info")}
--- a/swiftchute/daemon/proxy.py
+++ b/swiftchute/daemon/proxy.py
@@ -1,93 +1,124 @@
-"""A proxy as a process: its core, its sockets, the way to its planners, and the tables it keeps on disk."""
+"""A proxy as a process: its router, its sockets, its control plane client and its cached tables."""
 
 import asyncio
 import signal
 import time
+from collections.abc import Callable
 from typing import Any
 
 from swiftchute.config.proxy import ProxyConfig
-from swiftchute.proxy.control_client import Link
-from swiftchute.proxy.request import Core
-from swiftchute.proxy.server import Proxy
-from swiftchute.proxy.table_cache import Keep
-from swiftchute.proxy.xds_client import Client, Table
+from swiftchute.proxy.control_client import ControlPlaneClient
+from swiftchute.proxy.endpoint_table import EndpointTable
+from swiftchute.proxy.request import RequestRouter
+from swiftchute.proxy.server import ProxyServer
+from swiftchute.proxy.table_cache import TableCache
+from swiftchute.proxy.xds_client import XdsClient
 
-SAVE_EVERY = 1.0  # seconds: a change is on disk so soon, and a busy planner writes no disk full
+SAVE_INTERVAL_S = 1.0  # a change is on disk so soon, and a busy control plane does not write without pause
+USER_AGENT = "swiftchute-proxy"
 
 
-class Planners(Link):
-    """The link of a proxy that runs: its core follows what the client takes in."""
+class RouterControlPlaneClient(ControlPlaneClient):
+    """The control plane client of a running proxy: its router follows the tables that are received."""
 
-    def __init__(self, *given: Any, core: Core, log: Any) -> None:
-        """As `Link`; `core` is told of changes."""
-        super().__init__(*given)
-        self.core, self.log = core, log
+    def __init__(self, *arguments: Any, router: RequestRouter, log: Any) -> None:
+        """As `ControlPlaneClient`; `router` is updated after each response."""
+        super().__init__(*arguments)
+        self.router = router
+        self.log = log
 
-    def opened(self, planner: str, stream: int) -> None:
-        """Joined."""
-        self.log.info("joined", planner=planner, stream=stream)
+    def on_stream_opened(self, server: str, stream: int) -> None:
+        """Log that the proxy is connected."""
+        self.log.info("joined", planner=server, stream=stream)
 
-    def closed(self, planner: str, stream: int) -> None:
-        """The tables stay as they are."""
-        self.log.warning("planner lost", planner=planner, stream=stream, tables=len(self.core.tables))
+    def on_stream_closed(self, server: str, stream: int) -> None:
+        """Log that the connection was lost; the tables stay in force."""
+        self.log.warning("planner lost", planner=server, stream=stream, tables=len(self.router.tables))
 
-    def applied(self) -> None:
-        """What was taken in holds from the next invocation on."""
-        self.core.changed()
+    def on_applied(self) -> None:
+        """Put the received tables in force for the next request."""
+        self.router.update_tables()
 
 
 class Daemon:
-    """Runs one proxy until it is told to stop."""
+    """Runs one proxy until it is stopped."""
 
     def __init__(self, config: ProxyConfig, log: Any) -> None:
         """Nothing is open before `run`."""
-        p = self.plumbing = config.proxy
         self.log = log
-        self.client = Client(
-            p["name"], p["zone"], p["rate"], p["form"] == "delta", p["lines"], agent="swiftchute-proxy"
+        self.client = XdsClient(
+            config.node,
+            config.zone,
+            config.request_rate_per_s,
+            config.delta,
+            config.endpoint_collections,
+            agent=USER_AGENT,
+        )
+        self.client.static_endpoints = dict.fromkeys(config.static_endpoints, 1)
+        self.router = RequestRouter(self.client, config.routes, config.limits, config.seed)
+        self.table_cache: TableCache | None = None
+        if config.cache_path:
+            self.table_cache = TableCache(config.cache_path, config.cache_max_age_ns)
+        self.server = ProxyServer(self.router, config.server)
+        self.control_plane = RouterControlPlaneClient(
+            self.client, config.control_plane_servers, config.seed, router=self.router, log=log
         )
-        self.client.standing = {f"{host}:{port}": 1 for host, port in p["standing"]}
-        self.core = Core(self.client, config.operations, config.limits, p["seed"])
-        self.keep = Keep(p["keep"], p["keep_for"]) if p["keep"] else None
-        self.proxy = Proxy(self.core, p)
-        self.planners = Planners(self.client, p["planners"], p["seed"], core=self.core, log=log)
         self.stop = asyncio.Event()
         self.address: tuple[str, int] | None = None
 
-    async def run(self, ready: Any = None, signals: bool = True) -> None:
-        """Serve until SIGTERM or SIGINT, or cancelled; `ready(address)` once callers are taken."""
+    async def run(self, ready: Callable[[tuple[str, int]], None] | None = None, signals: bool = True) -> None:
+        """Serve until SIGTERM or SIGINT, or cancelled.
+
+        Args:
+            ready: called with the address once callers are accepted.
+            signals: whether to handle the signals.
+        """
         for number in (signal.SIGTERM, signal.SIGINT) if signals else ():
             asyncio.get_running_loop().add_signal_handler(number, self.stop.set)
-        if self.keep is not None:
-            self.client.tables = self.keep.load(time.time_ns())
-            self.log.info("kept tables", tables=len(self.client.tables), why=self.keep.why)
-        self.core.changed()
-        self.address = await self.proxy.start()
+        self._load_tables()
+        self.router.update_tables()
+        self.address = await self.server.start()
         self.log.info("serving", address=f"{self.address[0]}:{self.address[1]}")
-        self.planners.start()
-        saving = asyncio.ensure_future(self._save())
+        self.control_plane.start()
+        saving = asyncio.ensure_future(self._save_periodically())
         if ready is not None:
             ready(self.address)
         try:
             await self.stop.wait()
         finally:
             saving.cancel()
-            await self.planners.stop()
-            await self.proxy.stop()
-            if self.keep is not None:
-                self._saved(self.keep, dict(self.client.tables))
-            counts = dict(self.core.ends) | {f"turned {k}": v for k, v in self.core.turned.items()}
-            self.log.info("stopped", counts=counts, tries_denied=self.core.budget.denied,
-                          avoided=self.core.avoided.runs, callers_refused=self.proxy.turned_away)  # fmt: skip
-
-    async def _save(self) -> None:
+            await self._shut_down()
+
+    async def _shut_down(self) -> None:
+        await self.control_plane.stop()
+        await self.server.stop()
+        if self.table_cache is not None:
+            self._save_tables(self.table_cache, dict(self.client.tables))
+        router = self.router
+        attempts = {str(result): count for result, count in router.attempt_counts.items()}
+        rejections = {f"turned {cause}": count for cause, count in router.rejection_counts.items()}
+        self.log.info(
+            "stopped",
+            counts=attempts | rejections,
+            tries_denied=router.retry_budget.denied,
+            avoided=router.ejector.ejection_count,
+            callers_refused=self.server.rejected_connections,
+        )
+
+    def _load_tables(self) -> None:
+        if self.table_cache is None:
+            return
+        self.client.tables = self.table_cache.load(time.time_ns())
+        self.log.info("kept tables", tables=len(self.client.tables), why=self.table_cache.last_error)
+
+    async def _save_periodically(self) -> None:
         while True:
-            await asyncio.sleep(SAVE_EVERY)
-            if self.keep is not None:
-                # off the loop: a slow disk must not hold an invocation up
-                await asyncio.to_thread(self._saved, self.keep, dict(self.client.tables))
-
-    def _saved(self, keep: Keep, tables: dict[str, Table]) -> None:
-        before = keep.why
-        if not keep.save(tables, time.time_ns()) and keep.why != before:
-            self.log.warning("tables not kept", cause=keep.why)
+            await asyncio.sleep(SAVE_INTERVAL_S)
+            if self.table_cache is not None:
+                # in a thread: a slow disk must not delay requests
+                await asyncio.to_thread(self._save_tables, self.table_cache, dict(self.client.tables))
+
+    def _save_tables(self, cache: TableCache, tables: dict[str, EndpointTable]) -> None:
+        previous_error = cache.last_error
+        if not cache.save(tables, time.time_ns()) and cache.last_error != previous_error:
+            self.log.warning("tables not kept", cause=cache.last_error)
--- a/swiftchute/drill/fault_actions.py
+++ b/swiftchute/drill/fault_actions.py
@@ -429,16 +429,16 @@
         """A gateway refuses each change of its endpoints for a while, removals apart, and reconnects
         halfway."""
         client = self.gateways[gateway].client
-        held = client.held
-        client.refuses = (
+        held = client.resources
+        client.validate = (
             lambda kind, name, message: "not taken today"
             if (kind.endswith("LbEndpoint") and name not in held[kind])
             else None
         )
         await asyncio.sleep(seconds / 2)
-        self.gateways[gateway].cut()
+        self.gateways[gateway].disconnect()
         await asyncio.sleep(seconds / 2)
-        client.refuses = lambda kind, name, message: None
+        client.validate = lambda kind, name, message: None
 
 
 def _settled(log: list[dict[str, Any]]) -> int | None:
--- a/swiftchute/drill/invariants.py
+++ b/swiftchute/drill/invariants.py
@@ -15,7 +15,7 @@
 from swiftchute.api.settings import Settings
 from swiftchute.fakes.backend import Receipt
 from swiftchute.fakes.gateway import Order, Stream, Try
-from swiftchute.proxy.xds_client import Client
+from swiftchute.proxy.xds_client import XdsClient
 
 S = 1_000_000_000
 
@@ -123,14 +123,14 @@
                 at = end
         return at
 
-    def replayed(self) -> Iterator[tuple[Client, list[Order]]]:
+    def replayed(self) -> Iterator[tuple[XdsClient, list[Order]]]:
         """Each gateway's client, fresh, with its orders in the sequence in which they came."""
         by: dict[str, list[Order]] = defaultdict(list)
         for order in self.e.orders:
             by[order.gateway].append(order)
         for gateway, (zone, rate, delta, lines, standing) in sorted(self.e.gateways.items()):
-            client = Client(gateway, zone, rate, delta, lines)
-            client.standing = dict(standing)
+            client = XdsClient(gateway, zone, rate, delta, lines)
+            client.static_endpoints = dict(standing)
             yield client, sorted(by[gateway], key=lambda o: o.at)
 
     # -- 1
@@ -190,12 +190,12 @@
                 if order is not None:
                     if order.stream != stream:
                         stream = order.stream
-                        client.hello(True)
+                        client.open_stream(True)
                     client.receive(order.data)
                 held = self.stream(client.node, at)
                 for op in self.set.operations:
                     table = client.table(op.name)
-                    empty = held is not None and (table is None or not table.lines)
+                    empty = held is not None and (table is None or not table.weights)
                     began = bare.get(op.name)
                     if began is not None:
                         # the span ends with its stream too: a proxy that is cut off is not joined
@@ -342,7 +342,7 @@
             for order in orders:
                 if order.stream != stream:
                     stream = order.stream
-                    client.hello(True)
+                    client.open_stream(True)
                     recent.clear()  # counted from its joining
                 parsed = (DeltaDiscoveryResponse if order.delta else DiscoveryResponse).FromString(order.data)
                 version = parsed.system_version_info if order.delta else parsed.version_info
@@ -361,7 +361,7 @@
                         )
                 count = 0
                 for table in {t.cluster.partition("/")[0]: t for t in client.tables.values()}.items():
-                    name, now = table[0], dict(table[1].lines) | {"": table[1].level}
+                    name, now = table[0], dict(table[1].weights) | {"": table[1].admission_rate}
                     old = before.get(name, {})
                     count += sum(old.get(k) != now.get(k) for k in old.keys() | now.keys())
                     before[name] = now
--- a/swiftchute/drill/predict.py
+++ b/swiftchute/drill/predict.py
@@ -13,7 +13,7 @@
 from scipy import stats
 
 from swiftchute.drill.invariants import Evidence
-from swiftchute.proxy.xds_client import Client
+from swiftchute.proxy.xds_client import XdsClient
 
 
 @dataclass(frozen=True)
@@ -48,8 +48,8 @@
     expected: dict[str, float] = defaultdict(float)
     spread: dict[str, float] = defaultdict(float)
     for gateway, (zone, rate, delta, lines, standing) in sorted(evidence.gateways.items()):
-        client = Client(gateway, zone, rate, delta, lines)
-        client.standing = dict(standing)
+        client = XdsClient(gateway, zone, rate, delta, lines)
+        client.static_endpoints = dict(standing)
         waiting = sorted(orders[gateway], key=lambda o: o.at)
         place = stream = 0
         for t in sorted(tries[gateway], key=lambda t: t.at):
@@ -58,14 +58,14 @@
                 place += 1
                 if order.stream != stream:
                     stream = order.stream
-                    client.hello(True)
+                    client.open_stream(True)
                 client.receive(order.data)
             table = client.table(t.operation)
-            if table is None or t.server not in table.lines:
+            if table is None or t.server not in table.weights:
                 continue  # it was picked by the table before, which changed as it was sent
             observed[t.server] += 1
-            total = sum(table.lines.values())
-            for server, weight in table.lines.items():
+            total = sum(table.weights.values())
+            for server, weight in table.weights.items():
                 part = weight / total
                 expected[server] += part
                 spread[server] += part * (1 - part)
--- a/swiftchute/drill/scenario.py
+++ b/swiftchute/drill/scenario.py
@@ -28,7 +28,7 @@
 from swiftchute.fakes.relay import Relay
 from swiftchute.fakes.resolver import Caller, Resolver
 from swiftchute.observability.logging import setup
-from swiftchute.proxy.xds_client import Client
+from swiftchute.proxy.xds_client import XdsClient
 
 S = 1_000_000_000
 _RUNS = itertools.count()
@@ -428,10 +428,12 @@
                 self.dialled[f"{at[0]}:{at[1]}"] = str(number)
                 dial.append(at)
             share = 0.5 + self.random.random()
-            client = Client(f"gw-{k:02}", zone, day.rate * share, delta=k % 4 != 3, lines=k % 2 == 0)
+            client = XdsClient(
+                f"gw-{k:02}", zone, day.rate * share, delta=k % 4 != 3, endpoint_collections=k % 2 == 0
+            )
             own = [w.address for w in self.workers if w.zone == zone]
-            client.standing = dict.fromkeys(self.random.sample(own, min(STANDING, len(own))), 1)
-            gateway = Gateway(client, dial, self.random.getrandbits(32), keepalive=0.8, worth=worth)
+            client.static_endpoints = dict.fromkeys(self.random.sample(own, min(STANDING, len(own))), 1)
+            gateway = Gateway(client, dial, self.random.getrandbits(32), keepalive_s=0.8, worth=worth)
             self.gateways.append(gateway)
             gateway.start()
         for (number, _), at in self.views.items():
@@ -451,7 +453,7 @@
         try:
             await self._fleet()
             for _ in range(100):  # planners of their own processes need a moment to come up
-                if all(g.joined for g in self.gateways if not isinstance(g, Caller)):
+                if all(g.connected_to for g in self.gateways if not isinstance(g, Caller)):
                     break
                 await asyncio.sleep(0.1)
             begin = time.monotonic()
@@ -459,7 +461,11 @@
                 for name, row in OPERATIONS.items():
                     self.tasks.append(
                         asyncio.ensure_future(
-                            g.load(name, g.client.rate * self._share(name, row[1]), self.day.seconds)
+                            g.load(
+                                name,
+                                g.client.request_rate_per_s * self._share(name, row[1]),
+                                self.day.seconds,
+                            )
                         )
                     )
             self.say(
@@ -509,10 +515,10 @@
             {
                 g.client.node: (
                     g.client.zone,
-                    g.client.rate,
+                    g.client.request_rate_per_s,
                     g.client.delta,
-                    g.client.lines,
-                    dict(g.client.standing),
+                    g.client.endpoint_collections,
+                    dict(g.client.static_endpoints),
                 )
                 for g in self.gateways
                 if not isinstance(g, Caller)
@@ -564,14 +570,16 @@
 
     def _replay(self, result: Result) -> None:
         """Deliver every order of the day twice more: nothing may change and no worker may hear of it."""
-        before = {g.client.node: (repr(g.client.tables), repr(g.client.held)) for g in self.gateways}
+        before = {g.client.node: (repr(g.client.tables), repr(g.client.resources)) for g in self.gateways}
         heard = sum(len(w.receipts) for w in self.workers)
         tries = sum(len(g.record.tries) for g in self.gateways)
         by = {g.client.node: g.client for g in self.gateways}
         for order in result.evidence.orders * 2:
             by[order.gateway].receive(order.data)
             result.replayed += 1
-        result.changed = [n for n, was in before.items() if (repr(by[n].tables), repr(by[n].held)) != was]
+        result.changed = [
+            n for n, was in before.items() if (repr(by[n].tables), repr(by[n].resources)) != was
+        ]
         if (
             sum(len(w.receipts) for w in self.workers) != heard
             or sum(len(g.record.tries) for g in self.gateways) != tries
--- a/swiftchute/fakes/gateway.py
+++ b/swiftchute/fakes/gateway.py
@@ -9,25 +9,33 @@
 from dataclasses import dataclass, field
 
 from swiftchute.fakes.backend import SERVICE
-from swiftchute.proxy.control_client import Link
-from swiftchute.proxy.http_framing import Message
-from swiftchute.proxy.request import Core, Invocation, Limits, Operation
-from swiftchute.proxy.response_headers import Asked
-from swiftchute.proxy.retry import WITHDRAWN, End
-from swiftchute.proxy.server import Proxy
-from swiftchute.proxy.xds_client import Client
+from swiftchute.proxy.control_client import ControlPlaneClient
+from swiftchute.proxy.http_framing import HttpMessage
+from swiftchute.proxy.request import ActiveRequest, RequestRouter
+from swiftchute.proxy.response_headers import RequestInfo
+from swiftchute.proxy.retry import AttemptOutcome, RequestResult
+from swiftchute.proxy.server import ProxyServer
+from swiftchute.proxy.settings import Idempotency, PoolLimits, ProxyLimits, RouteSettings, ServerSettings
+from swiftchute.proxy.xds_client import XdsClient
 
 RECORD_MOST = 500_000
 WAITING_MOST = 200
 S = 1_000_000_000
 TIMEOUT = 4 * S  # of an invocation whose route names none
-ENDS = {"answered": "succeeded", "level": "rate-limited", "full": "gateway full"}
+ENDS = {
+    RequestResult.ANSWERED: "succeeded",
+    RequestResult.NOT_ADMITTED: "rate-limited",
+    RequestResult.AT_CAPACITY: "gateway full",
+}
 _HEADERS = [(b":method", b"POST"), (b":scheme", b"http"), (b":authority", b"worker"),
             (b"content-type", b"application/grpc+proto"), (b"user-agent", b"swiftchute-standin")]  # fmt: skip
-_PLUMBING = {
-    "connections": 2, "streams": 100, "first": 100, "waiting": 200, "idle": 60 * S, "silent": 60 * S,
-    "connect_within": S, "message_most": 2**20, "drain": 0,
-}  # fmt: skip
+_SETTINGS = ServerSettings(
+    pool=PoolLimits(2, 100, initial_streams=100, max_waiting=200, idle_timeout_ns=60 * S),
+    silence_timeout_ns=60 * S,
+    connect_timeout_ns=S,
+    max_message_bytes=2**20,
+    drain_timeout_ns=0,
+)
 
 
 @dataclass(frozen=True)
@@ -88,27 +96,29 @@
             self.lost += 1
 
 
-class Gateway(Link):
+class Gateway(ControlPlaneClient):
     """One gateway. `planners` are addresses in the order of dialling."""
 
     def __init__(
         self,
-        client: Client,
+        client: XdsClient,
         planners: list[tuple[str, int]],
         seed: int,
         avoids_after: int = 5,
-        redial: tuple[float, float] = (0.1, 0.6),
-        keepalive: float = 1.0,
+        reconnect_delay_s: tuple[float, float] = (0.1, 0.6),
+        keepalive_s: float = 1.0,
         worth: dict[str, tuple[float, float, float]] | None = None,
     ) -> None:
         """`worth`: by operation the latency objective in seconds, the billed value and the part that a late
         answer earns; the others as `Link`'s."""
-        super().__init__(client, planners, seed, redial, keepalive)
+        super().__init__(client, planners, seed, reconnect_delay_s, keepalive_s)
         self.worth = worth or {}
         self.record = Record()
-        limits = Limits(under_way=WAITING_MOST, avoid_after=avoids_after, try_part=1.0)
+        limits = ProxyLimits(
+            max_in_flight=WAITING_MOST, ejection_failures=avoids_after, retry_budget_fraction=1.0
+        )
         # a plain proxy does as its tables say, whatever the operation: the rules are the planner's to keep
-        self.core = Core(client, {}, limits, self.random.getrandbits(32), "idempotent")
+        self.core = RequestRouter(client, {}, limits, self.random.getrandbits(32), Idempotency.IDEMPOTENT)
         self.proxy = _Recorded(self)
         self.count = 0
         self.reading = asyncio.Event()  # cleared: it stops reading its stream
@@ -125,27 +135,34 @@
 
     def start(self) -> None:
         """Dial and go on until `stop`."""
-        self.core.changed()
+        self.core.update_tables()
         super().start()
 
     async def die(self) -> None:
         """Its process is gone, and with it its tables; `start` brings it back with its standing table."""
         await super().stop()
         client = self.client
-        fresh = Client(client.node, client.zone, client.rate, client.delta, client.lines, client.refuses)
-        fresh.standing = client.standing
+        fresh = XdsClient(
+            client.node,
+            client.zone,
+            client.request_rate_per_s,
+            client.delta,
+            client.endpoint_collections,
+            client.validate,
+        )
+        fresh.static_endpoints = client.static_endpoints
         self.client = self.core.client = fresh
-        self.core.changed()
+        self.core.update_tables()
 
-    def applied(self) -> None:
+    def on_applied(self) -> None:
         """What was taken in holds from the next invocation on."""
-        self.core.changed()
+        self.core.update_tables()
 
-    def opened(self, planner: str, stream: int) -> None:
+    def on_stream_opened(self, planner: str, stream: int) -> None:
         """Record a stream that opened."""
         self._streamed(planner, stream, True)
 
-    def closed(self, planner: str, stream: int) -> None:
+    def on_stream_closed(self, planner: str, stream: int) -> None:
         """Record a stream that broke."""
         self._streamed(planner, stream, False)
 
@@ -153,16 +170,16 @@
         row = Stream(time.monotonic_ns(), self.client.node, stream, planner, on)
         self.record.add(self.record.streams, row)
 
-    def order(self, planner: str, stream: int, data: bytes) -> None:
+    def on_response(self, planner: str, stream: int, data: bytes) -> None:
         """Record a response."""
         row = Order(time.monotonic_ns(), self.client.node, stream, planner, self.client.delta, data)
         self.record.add(self.record.orders, row)
 
-    async def before_reading(self) -> None:
+    async def before_receiving(self) -> None:
         """Stand still for as long as a drill asks."""
         await self.reading.wait()
 
-    async def before_answering(self) -> None:
+    async def before_acknowledging(self) -> None:
         """Answer as late as a drill asks."""
         if self.ack_delay:
             await asyncio.sleep(self.ack_delay)
@@ -196,9 +213,9 @@
 
     async def ready(self, operation: str) -> None:
         """Let the core know an operation, if no listener has named it yet."""
-        if operation not in self.core.operations:
-            self.core.operations[operation] = Operation(operation, TIMEOUT, "idempotent")
-            self.core.changed()
+        if operation not in self.core.routes:
+            self.core.routes[operation] = RouteSettings(operation, TIMEOUT, Idempotency.IDEMPOTENT)
+            self.core.update_tables()
 
     async def invoke(self, operation: str) -> str:
         """One invocation: returns how it ended."""
@@ -207,25 +224,26 @@
         await self.ready(operation)
         body = f"{inv}|0|{self.client.node}".encode()
         headers = [(b":path", (SERVICE + operation).encode()), *_HEADERS]
-        message = Message(0, headers, bytes(1) + len(body).to_bytes(4, "big") + body)
-        why, _ = await self.proxy.invoke(message, Asked(operation, True, None), inv, True)
-        if why == "no line":
+        message = HttpMessage(0, headers, bytes(1) + len(body).to_bytes(4, "big") + body)
+        result, _ = await self.proxy.route_request(message, RequestInfo(operation, True, None), inv, True)
+        if result is RequestResult.NO_ENDPOINT:
             self.record.add(self.record.bare, (time.monotonic_ns(), self.client.node, operation))
-        return self._end(ENDS.get(why, why), operation, time.monotonic() - began)
+        return self._end(ENDS.get(result, result.value), operation, time.monotonic() - began)
 
 
-class _Recorded(Proxy):
+class _Recorded(ProxyServer):
     """The proxy that a stand-in's invocations go through; its tries are recorded as they were sent."""
 
     def __init__(self, gateway: Gateway) -> None:
-        super().__init__(gateway.core, _PLUMBING)
+        super().__init__(gateway.core, _SETTINGS)
         self.gateway = gateway
 
-    def told(self, inv: Invocation, end: End) -> None:
+    def on_attempt_ended(self, request: ActiveRequest, outcome: AttemptOutcome) -> None:
         """Record a try, as of when it was written; one that was withdrawn before that is none."""
-        if end is WITHDRAWN:
+        if outcome is AttemptOutcome.WITHDRAWN:
             return
-        at, kind = inv.sent or inv.began, ENDS.get(end.kind, end.kind)
-        row = Try(at, self.gateway.client.node, inv.server or "", inv.operation.name, inv.key, inv.attempt,
-                  kind, (self.clock() - at) / S)  # fmt: skip
+        at = request.attempt_sent_ns or request.attempt_started_ns
+        kind = ENDS.get(outcome.result, outcome.result.value)
+        row = Try(at, self.gateway.client.node, request.endpoint or "", request.route.name, request.caller,
+                  request.retries, kind, (self.clock() - at) / S)  # fmt: skip
         self.gateway.record.add(self.gateway.record.tries, row)
--- a/swiftchute/fakes/resolver.py
+++ b/swiftchute/fakes/resolver.py
@@ -17,8 +17,10 @@
 import dns.rdatatype
 
 from swiftchute.fakes.gateway import TIMEOUT, Gateway
-from swiftchute.proxy.request import Operation
-from swiftchute.proxy.xds_client import Client, Table
+from swiftchute.proxy.endpoint_table import EndpointTable
+from swiftchute.proxy.request import RoutingTable
+from swiftchute.proxy.settings import Idempotency, RouteSettings
+from swiftchute.proxy.xds_client import XdsClient
 
 WAIT = 0.5  # seconds for an answer
 FAILED = 0.2  # seconds that a failure is kept
@@ -114,7 +116,7 @@
     def __init__(self, lines: tuple[Line, ...]) -> None:
         """At least one line."""
         least = min(line.priority for line in lines)
-        self.servers = tuple(line.server for line in lines)
+        self.endpoints = tuple(line.server for line in lines)
         self.row = sorted((x for x in lines if x.priority == least), key=lambda line: line.weight > 0)
         self.total = sum(line.weight for line in self.row)
 
@@ -134,7 +136,7 @@
 
     def __init__(self, node: str, zone: str, rate: float, resolver: Resolver, seed: int, worth: dict) -> None:
         """`rate` invocations a second come to it."""
-        super().__init__(Client(node, zone, rate, False, False), [("", 0)], seed, worth=worth)
+        super().__init__(XdsClient(node, zone, rate, False, False), [("", 0)], seed, worth=worth)
         self.resolver = resolver
         self.last: dict[str, Cached] = {}
         # when it went by another answer for an operation, and whether that has lines
@@ -149,20 +151,23 @@
         if held is self.last.get(operation):
             return
         self.last[operation] = held
-        self.core.operations.setdefault(operation, Operation(operation, TIMEOUT, "idempotent"))
+        self.core.routes.setdefault(operation, RouteSettings(operation, TIMEOUT, Idempotency.IDEMPOTENT))
         self.core.tables.pop(operation, None)
         if held.lines:
             lines = {line.server: line.weight for line in held.lines}
-            self.core.tables[operation] = (Table(f"dns/{operation}", lines, 1.0, 1), Srv(held.lines))
-        self.core.named = {s for table, _ in self.core.tables.values() for s in table.lines}
+            table = EndpointTable(f"dns/{operation}", lines, 1.0, 1)
+            self.core.tables[operation] = RoutingTable(table, Srv(held.lines))
+        self.core.known_endpoints = {
+            endpoint for routing in self.core.tables.values() for endpoint in routing.table.weights
+        }
         ways = {f"{kept.upstream[0]}:{kept.upstream[1]}" for kept in self.last.values() if kept.lines}
-        if len(ways) == 1 and self.joined not in ways:  # none of its answers is another planner's now
+        if len(ways) == 1 and self.connected_to not in ways:  # none of its answers is another planner's now
             # by whose answers it goes: to the checker that is the planner it is joined to
-            if self.joined:
-                self.closed(self.joined, self.streams)
-            self.streams += 1
-            self.joined = ways.pop()
-            self.opened(self.joined, self.streams)
+            if self.connected_to:
+                self.on_stream_closed(self.connected_to, self.stream_count)
+            self.stream_count += 1
+            self.connected_to = ways.pop()
+            self.on_stream_opened(self.connected_to, self.stream_count)
         self.record.add(self.answers, (time.monotonic_ns(), operation, bool(held.lines)))
         if not held.lines:
             # it asks again: else a rare operation would look bare until its next invocation
--- a/swiftchute/proxy/connection_pool.py
+++ b/swiftchute/proxy/connection_pool.py
@@ -1,98 +1,118 @@
-"""Connections to one server: which one is used, when another is made, and who waits. No I/O, no clock.
+"""The connections to one endpoint: which one is used, when another is made, who waits. No I/O, no clock.
 
-    pool = Pool(limits)
-    pool.ask()                 # a Line to use, DIAL, WAIT, or FULL: so many wait already
-    pool.opened(line, now); pool.answered(line); pool.closed(line)
-    pool.idle(now)             # lines that nobody has used for so long
-
-A new connection takes a few invocations at once and twice as many after each round of answers, so that a
-server that has just come is not met by all that waited. One connection is being made at a time.
+A new connection carries a few requests at once and twice as many after each round of successes, so that an
+endpoint that has just started does not receive all that waited. One connection is made at a time.
 """
 
 from dataclasses import dataclass, field
-from typing import Any
+from enum import StrEnum
+from typing import Protocol
+
+from swiftchute.proxy.settings import PoolLimits
+
 
-S = 1_000_000_000
-DIAL, WAIT, FULL = "dial", "wait", "full"
+class StreamCapacity(Protocol):
+    """The framing of a connection, as far as the pool needs it."""
+
+    @property
+    def available_streams(self) -> int:
+        """How many more streams the peer accepts now."""
 
 
-@dataclass(frozen=True)
-class Limits:
-    """Connections to a server, invocations at once on one, on a new one, invocations that may wait for one,
-    and how long one is kept without use."""
+class PoolDecision(StrEnum):
+    """What to do with a request that no connection can carry now."""
 
-    connections: int = 2
-    streams: int = 100
-    first: int = 4
-    waiting: int = 200
-    idle: int = 60 * S
+    DIAL = "dial"  # make a connection and wait
+    WAIT = "wait"
+    FULL = "full"  # as many wait as may
 
 
 @dataclass(eq=False)
-class Line:
-    """One connection. `wire` tells how many more streams its peer takes (`room`)."""
-
-    wire: Any
-    warm: int
-    under_way: int = 0
-    answered: int = 0
-    used: int = 0
+class PooledConnection:
+    """One connection of a pool.
+
+    Attributes:
+        framing: says how many more streams the peer accepts.
+        stream_limit: requests at once that the connection may carry now.
+        in_flight: requests that it carries.
+        successes: successful requests since the limit was last raised.
+        last_used_ns: when a request on it last started or ended.
+        closing: it accepts no more requests.
+    """
+
+    framing: StreamCapacity
+    stream_limit: int
+    in_flight: int = 0
+    successes: int = 0
+    last_used_ns: int = 0
     closing: bool = False
 
     @property
-    def free(self) -> int:
-        """How many more invocations it may be given."""
-        return 0 if self.closing else min(self.warm - self.under_way, self.wire.room)
+    def available_streams(self) -> int:
+        """How many more requests it may carry."""
+        if self.closing:
+            return 0
+        return min(self.stream_limit - self.in_flight, self.framing.available_streams)
 
 
 @dataclass
-class Pool:
-    """The connections to one server."""
-
-    limits: Limits
-    lines: list[Line] = field(default_factory=list)
-    dialling: int = 0
+class ConnectionPool:
+    """The connections to one endpoint.
+
+    Attributes:
+        limits: limits of the pool.
+        connections: the open ones.
+        dialing: connections that are being made.
+        waiting: requests that wait for a connection.
+    """
+
+    limits: PoolLimits
+    connections: list[PooledConnection] = field(default_factory=list)
+    dialing: int = 0
     waiting: int = 0
 
-    def ask(self) -> Line | str:
-        """Where the next invocation goes: the line with most room, as long as one has any."""
-        best = max(self.lines, key=lambda line: line.free, default=None)
-        if best is not None and best.free > 0:
+    def select(self) -> PooledConnection | PoolDecision:
+        """The connection for the next request, the one with most available streams, or what to do instead."""
+        best = max(self.connections, key=lambda connection: connection.available_streams, default=None)
+        if best is not None and best.available_streams > 0:
             return best
-        if self.waiting >= self.limits.waiting:
-            return FULL
-        if not self.dialling and len(self.lines) < self.limits.connections:
-            return DIAL
-        return WAIT
+        if self.waiting >= self.limits.max_waiting:
+            return PoolDecision.FULL
+        if not self.dialing and len(self.connections) < self.limits.max_connections:
+            return PoolDecision.DIAL
+        return PoolDecision.WAIT
 
-    def opened(self, wire: Any, now: int) -> Line:
+    def add(self, framing: StreamCapacity, now_ns: int) -> PooledConnection:
         """A connection was made."""
-        line = Line(wire, self.limits.first, used=now)
-        self.lines.append(line)
-        return line
-
-    def given(self, line: Line, now: int) -> None:
-        """It carries one more."""
-        line.under_way += 1
-        line.used = now
-
-    def answered(self, line: Line, good: bool, now: int) -> None:
-        """One on it ended; once as many as it takes were answered it takes twice as many."""
-        line.under_way -= 1
-        line.used = now
-        line.answered += good
-        if line.answered >= line.warm and line.warm < self.limits.streams:
-            line.warm, line.answered = min(2 * line.warm, self.limits.streams), 0
-
-    def closed(self, line: Line) -> None:
-        """It is gone."""
-        if line in self.lines:
-            self.lines.remove(line)
-
-    def idle(self, now: int) -> list[Line]:
-        """Lines to close: nobody has used them for so long, or they take nothing more and carry nothing."""
-        return [
-            line
-            for line in self.lines
-            if not line.under_way and (line.closing or now - line.used >= self.limits.idle)
-        ]
+        connection = PooledConnection(framing, self.limits.initial_streams, last_used_ns=now_ns)
+        self.connections.append(connection)
+        return connection
+
+    def remove(self, connection: PooledConnection) -> None:
+        """A connection was closed."""
+        if connection in self.connections:
+            self.connections.remove(connection)
+
+    def request_started(self, connection: PooledConnection, now_ns: int) -> None:
+        """A request was assigned to the connection."""
+        connection.in_flight += 1
+        connection.last_used_ns = now_ns
+
+    def request_ended(self, connection: PooledConnection, succeeded: bool, now_ns: int) -> None:
+        """A request on the connection ended; after as many successes as its limit, the limit is doubled."""
+        connection.in_flight -= 1
+        connection.last_used_ns = now_ns
+        connection.successes += succeeded
+        max_streams = self.limits.max_streams
+        if connection.successes >= connection.stream_limit and connection.stream_limit < max_streams:
+            connection.stream_limit = min(2 * connection.stream_limit, max_streams)
+            connection.successes = 0
+
+    def idle_connections(self, now_ns: int) -> list[PooledConnection]:
+        """Connections to close: unused for the idle timeout, or closing with nothing in flight."""
+        return [connection for connection in self.connections if self._is_idle(connection, now_ns)]
+
+    def _is_idle(self, connection: PooledConnection, now_ns: int) -> bool:
+        if connection.in_flight:
+            return False
+        return connection.closing or now_ns - connection.last_used_ns >= self.limits.idle_timeout_ns
--- a/swiftchute/proxy/control_client.py
+++ b/swiftchute/proxy/control_client.py
@@ -1,7 +1,7 @@
-"""The way from a proxy to its planners: one ADS and one LRS stream, dialled again with jitter.
+"""The connection of a proxy to the control plane: one ADS and one LRS stream, reconnected with jitter.
 
-A subclass, or whoever sets the hooks, learns of `opened`, `closed` and each `order` before it is applied. It
-decides nothing but when to dial: the tables are the client core's.
+`ControlPlaneClient` decides nothing but when to connect; the tables are those of its `XdsClient`. A subclass
+learns of streams and responses by overriding the `on_` and `before_` methods.
 """
 
 import asyncio
@@ -15,134 +15,156 @@
 from grpclib.const import Cardinality
 from grpclib.exceptions import GRPCError, StreamTerminatedError
 
-from swiftchute.proxy.xds_client import Client
+from swiftchute.proxy.xds_client import XdsClient
 from swiftchute.xds.server import ADS, LRS, Raw
 
-LOST = (GRPCError, StreamTerminatedError, ConnectionError, OSError, asyncio.TimeoutError)
-CONNECT_WITHIN = 2.0
+STREAM_ERRORS = (GRPCError, StreamTerminatedError, ConnectionError, OSError, asyncio.TimeoutError)
+CONNECT_TIMEOUT_S = 2.0
+RECONNECT_DELAY_S = (0.1, 0.6)  # drawn from this range
+KEEPALIVE_S = 1.0
+MIN_REPORT_INTERVAL_S = 0.05
+NS_PER_S_FLOAT = 1e9
 
 
-class Link:
-    """Dials the planners in turn until `stop`; `joined` names the one whose stream is open."""
+class ControlPlaneClient:
+    """Connects to the servers of the control plane in turn until `stop`.
+
+    Attributes:
+        client: the state of the xDS client.
+        servers: host and port of each server.
+        connected_to: "host:port" of the server whose stream is open, or None.
+        stream_count: streams that were started so far; the last one's number.
+    """
 
     def __init__(
         self,
-        client: Client,
-        planners: Sequence[tuple[str, int]],
+        client: XdsClient,
+        servers: Sequence[tuple[str, int]],
         seed: int,
-        redial: tuple[float, float] = (0.1, 0.6),
-        keepalive: float = 1.0,
+        reconnect_delay_s: tuple[float, float] = RECONNECT_DELAY_S,
+        keepalive_s: float = KEEPALIVE_S,
     ) -> None:
-        """`redial` bounds the wait before dialling again, `keepalive` how soon a planner that stands
-        still is left (seconds)."""
-        self.client, self.planners, self.random = client, list(planners), random.Random(seed)
-        self.redial, self.keepalive = redial, keepalive
+        """Nothing is connected before `start`.
+
+        Args:
+            client: the state of the xDS client.
+            servers: host and port of each server.
+            seed: of the first server and of the delays.
+            reconnect_delay_s: bounds of the delay before the next connection.
+            keepalive_s: interval of pings, and time for their answer.
+        """
+        self.client = client
+        self.servers = list(servers)
+        self.random = random.Random(seed)
+        self.reconnect_delay_s = reconnect_delay_s
+        self.keepalive_s = keepalive_s
         self.tasks: list[asyncio.Task] = []
-        self.streams = 0
-        self.link: Channel | None = None
-        self.at = self.random.randrange(len(self.planners))
-        self.joined: str | None = None
-
-    # -- hooks
-
-    def opened(self, planner: str, stream: int) -> None:
-        """A stream to a planner is open, the n-th."""
+        self.stream_count = 0
+        self.connected_to: str | None = None
+        self._channel: Channel | None = None
+        self._next_server = self.random.randrange(len(self.servers))
 
-    def closed(self, planner: str, stream: int) -> None:
-        """It broke."""
+    def on_stream_opened(self, server: str, stream: int) -> None:
+        """A stream to a server is open; `stream` is its number."""
 
-    def order(self, planner: str, stream: int, data: bytes) -> None:
-        """A response came, and is applied next."""
+    def on_stream_closed(self, server: str, stream: int) -> None:
+        """It ended."""
 
-    def applied(self) -> None:
-        """It was applied; its answer goes out next."""
+    def on_response(self, server: str, stream: int, data: bytes) -> None:
+        """A response was received, and is applied next."""
 
-    async def before_reading(self) -> None:
-        """May hold up the next response."""
+    def on_applied(self) -> None:
+        """It was applied; its acknowledgement is sent next."""
 
-    async def before_answering(self) -> None:
-        """May hold up an answer."""
+    async def before_receiving(self) -> None:
+        """May delay the next response."""
 
-    # -- streams
+    async def before_acknowledging(self) -> None:
+        """May delay an acknowledgement."""
 
     def start(self) -> None:
-        """Dial and go on until `stop`."""
-        self.tasks = [asyncio.ensure_future(self._dial())]
+        """Connect, and reconnect until `stop`."""
+        self.tasks = [asyncio.ensure_future(self._run())]
 
     async def stop(self) -> None:
-        """End everything."""
+        """End all tasks and close the connection."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
-        if self.link is not None:
-            self.link.close()
+        self.disconnect()
 
-    def cut(self) -> None:
-        """Break the stream from this side."""
-        if self.link is not None:
-            self.link.close()
+    def disconnect(self) -> None:
+        """Close the connection from this side."""
+        if self._channel is not None:
+            self._channel.close()
 
-    async def _dial(self) -> None:
+    async def _run(self) -> None:
         while True:
-            host, port = self.planners[self.at % len(self.planners)]
-            config = Configuration(
-                _keepalive_time=self.keepalive,
-                _keepalive_timeout=self.keepalive,
-                _keepalive_permit_without_calls=True,
-                _http2_max_pings_without_data=0,
-                _http2_min_sent_ping_interval_without_data=self.keepalive / 2,
-            )
-            self.link = Channel(host, port, codec=Raw(), config=config)
-            reports = None
-            self.streams += 1
-            mine = self.streams
-            try:
-                async with asyncio.timeout(CONNECT_WITHIN):
-                    await self.link.__connect__()
-                reports = asyncio.ensure_future(self._reports(self.link))
-                await self._stream(self.link, f"{host}:{port}", mine)
-            except LOST:
-                pass
-            finally:
-                if self.joined:
-                    self.closed(self.joined, mine)
-                self.joined = None
-                if reports:
-                    reports.cancel()
-                    with contextlib.suppress(asyncio.CancelledError, *LOST):
-                        await reports
-                self.link.close()
-            self.at += 1
-            await asyncio.sleep(self.random.uniform(*self.redial))
-
-    async def _stream(self, link: Channel, planner: str, mine: int) -> None:
-        form = "DeltaAggregatedResources" if self.client.delta else "StreamAggregatedResources"
-        async with link.request(ADS + form, Cardinality.STREAM_STREAM, bytes, bytes) as stream:
+            host, port = self.servers[self._next_server % len(self.servers)]
+            self.stream_count += 1
+            await self._run_connection(host, port, self.stream_count)
+            self._next_server += 1
+            await asyncio.sleep(self.random.uniform(*self.reconnect_delay_s))
+
+    async def _run_connection(self, host: str, port: int, stream: int) -> None:
+        """One connection, until it fails or ends."""
+        channel = self._channel = Channel(host, port, codec=Raw(), config=self._configuration())
+        reports = None
+        try:
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                await channel.__connect__()
+            reports = asyncio.ensure_future(self._run_load_reports(channel))
+            await self._run_stream(channel, f"{host}:{port}", stream)
+        except STREAM_ERRORS:
+            pass
+        finally:
+            if self.connected_to:
+                self.on_stream_closed(self.connected_to, stream)
+            self.connected_to = None
+            if reports:
+                reports.cancel()
+                with contextlib.suppress(asyncio.CancelledError, *STREAM_ERRORS):
+                    await reports
+            channel.close()
+
+    def _configuration(self) -> Configuration:
+        return Configuration(
+            _keepalive_time=self.keepalive_s,
+            _keepalive_timeout=self.keepalive_s,
+            _keepalive_permit_without_calls=True,
+            _http2_max_pings_without_data=0,
+            _http2_min_sent_ping_interval_without_data=self.keepalive_s / 2,
+        )
+
+    async def _run_stream(self, channel: Channel, server: str, stream_number: int) -> None:
+        variant = "DeltaAggregatedResources" if self.client.delta else "StreamAggregatedResources"
+        async with channel.request(ADS + variant, Cardinality.STREAM_STREAM, bytes, bytes) as stream:
             await stream.send_request()
-            for request in self.client.hello(fresh=not self.client.tables):
+            for request in self.client.open_stream(fresh=not self.client.tables):
                 await stream.send_message(request)
-            self.joined = planner
-            self.opened(planner, mine)
+            self.connected_to = server
+            self.on_stream_opened(server, stream_number)
             while True:
-                await self.before_reading()
+                await self.before_receiving()
                 data = await stream.recv_message()
                 if data is None:
                     return
-                self.order(planner, mine, data)
-                answers = self.client.receive(data)
-                self.applied()
-                await self.before_answering()
-                for answer in answers:
-                    await stream.send_message(answer)
-
-    async def _reports(self, link: Channel) -> None:
-        async with link.request(LRS, Cardinality.STREAM_STREAM, bytes, bytes) as stream:
+                self.on_response(server, stream_number, data)
+                requests = self.client.receive(data)
+                self.on_applied()
+                await self.before_acknowledging()
+                for request in requests:
+                    await stream.send_message(request)
+
+    async def _run_load_reports(self, channel: Channel) -> None:
+        async with channel.request(LRS, Cardinality.STREAM_STREAM, bytes, bytes) as stream:
             await stream.send_request()
-            await stream.send_message(self.client.report(0, first=True))
-            answer = await stream.recv_message()
-            if answer is None:
+            await stream.send_message(self.client.build_load_report(0, first=True))
+            response = await stream.recv_message()
+            if response is None:
                 return
-            every = LoadStatsResponse.FromString(answer).load_reporting_interval.ToNanoseconds() / 1e9
+            interval = LoadStatsResponse.FromString(response).load_reporting_interval
+            interval_s = interval.ToNanoseconds() / NS_PER_S_FLOAT
             while True:
-                await asyncio.sleep(max(every, 0.05))
-                await stream.send_message(self.client.report(every))
+                await asyncio.sleep(max(interval_s, MIN_REPORT_INTERVAL_S))
+                await stream.send_message(self.client.build_load_report(interval_s))
--- /dev/null
+++ b/swiftchute/proxy/errors.py
@@ -0,0 +1,19 @@
+"""Errors that the proxy raises on purpose."""
+
+from swiftchute.api.errors import SwiftchuteError
+
+
+class ProxyError(SwiftchuteError):
+    """Base class of the proxy's errors."""
+
+
+class HttpFramingError(ProxyError):
+    """The peer violated HTTP, or the connection accepts nothing more; the text names the cause."""
+
+
+class EmptyTableError(ProxyError, ValueError):
+    """A picker was made for a table without endpoints."""
+
+
+class TableCacheError(ProxyError):
+    """The file of cached tables cannot be used; the text names the file and the cause."""
--- /dev/null
+++ b/swiftchute/proxy/http1_connection.py
@@ -0,0 +1,167 @@
+"""The framing of one HTTP/1.1 connection, by h11: one message each way at a time. No I/O, no clock."""
+
+from typing import Any
+
+import h11
+
+from swiftchute.proxy.errors import HttpFramingError
+from swiftchute.proxy.http_framing import (
+    MAX_HEADER_BYTES,
+    Headers,
+    HttpEvent,
+    HttpMessage,
+    MessageTooLarge,
+    PartialMessage,
+)
+
+# headers of one connection, or that the framing sets itself
+_DROPPED_HEADERS = (b"content-length", b"transfer-encoding", b"connection", b"keep-alive", b"upgrade", b"te")
+
+
+class Http1Connection:
+    """One side of a connection.
+
+    Attributes:
+        busy: a request is in flight.
+        closing: the connection takes no new request.
+    """
+
+    def __init__(self, client: bool, max_message_bytes: int) -> None:
+        """`client`: whether this side sends the requests; `max_message_bytes` is the body of one message."""
+        self.client = client
+        self.max_message_bytes = max_message_bytes
+        self.busy = False
+        self.closing = False
+        role = h11.CLIENT if client else h11.SERVER
+        self._h11 = h11.Connection(role, max_incomplete_event_size=MAX_HEADER_BYTES)
+        self._partial_message: PartialMessage | None = None
+        self._unsent = bytearray()
+
+    def start(self) -> None:
+        """Send nothing: HTTP/1.1 has no preface."""
+
+    @property
+    def available_streams(self) -> int:
+        """How many more requests the peer accepts now: one at a time."""
+        return int(not self.closing and not self.busy)
+
+    def data_to_send(self) -> bytes:
+        """The bytes to write now."""
+        data = bytes(self._unsent)
+        self._unsent = bytearray()
+        return data
+
+    def receive_data(self, data: bytes) -> list[HttpEvent]:
+        """The events of these bytes; empty bytes say that the peer closed.
+
+        Raises:
+            HttpFramingError: the bytes violate the protocol.
+        """
+        try:
+            self._h11.receive_data(data)
+        except h11.ProtocolError as error:
+            self.closing = True
+            raise HttpFramingError(str(error)) from None
+        return self.next_events()
+
+    def next_events(self) -> list[HttpEvent]:
+        """The events of what has arrived; a request that arrived during another waits for its response.
+
+        Raises:
+            HttpFramingError: what has arrived violates the protocol.
+        """
+        events: list[HttpEvent] = []
+        try:
+            while (h11_event := self._h11.next_event()) not in (h11.NEED_DATA, h11.PAUSED):
+                if isinstance(h11_event, h11.ConnectionClosed):
+                    self.closing = True
+                    break
+                self._handle(h11_event, events)
+        except (h11.ProtocolError, ValueError) as error:
+            self.closing = True
+            raise HttpFramingError(str(error)) from None
+        return events
+
+    def send(self, message: HttpMessage) -> int:
+        """Send a request, or the response to the one that arrived.
+
+        Returns:
+            0, in place of a stream's id.
+
+        Raises:
+            HttpFramingError: the connection accepts nothing.
+        """
+        try:
+            if self.client:
+                self.busy = True
+            self._unsent += self._h11.send(self._head_of(message))
+            if message.body:
+                self._unsent += self._h11.send(h11.Data(data=message.body))
+            self._unsent += self._h11.send(h11.EndOfMessage())
+        except (h11.ProtocolError, KeyError, ValueError) as error:
+            self.closing = True
+            raise HttpFramingError(str(error)) from None
+        if not self.client:
+            self._end_exchange()
+        return 0
+
+    def reset_stream(self, stream_id: int, error_code: int) -> None:
+        """Give a request up: HTTP/1.1 can only close the connection for that."""
+        self.closing = True
+
+    def _handle(self, h11_event: Any, events: list[HttpEvent]) -> None:
+        match h11_event:
+            case h11.Request():
+                self._handle_request(h11_event)
+            case h11.Response():
+                status = (b":status", str(h11_event.status_code).encode())
+                self._partial_message = PartialMessage([status, *_headers_of(h11_event)])
+            case h11.Data() if self._partial_message is not None:
+                self._handle_data(self._partial_message, h11_event.data, events)
+            case h11.EndOfMessage() if self._partial_message is not None:
+                partial, self._partial_message = self._partial_message, None
+                events.append(HttpMessage(0, partial.headers, bytes(partial.body)))
+                if self.client:
+                    self._end_exchange()
+
+    def _handle_request(self, request: h11.Request) -> None:
+        self.busy = True
+        if self._h11.they_are_waiting_for_100_continue:
+            self._unsent += self._h11.send(h11.InformationalResponse(status_code=100, headers=[]))
+        pseudo_headers = [(b":method", request.method), (b":path", request.target)]
+        self._partial_message = PartialMessage(pseudo_headers + _headers_of(request))
+
+    def _handle_data(self, partial: PartialMessage, data: bytes, events: list[HttpEvent]) -> None:
+        if len(partial.body) + len(data) > self.max_message_bytes:
+            self._partial_message = None
+            self.closing = True
+            events.append(MessageTooLarge(0))
+        else:
+            partial.body += data
+
+    def _head_of(self, message: HttpMessage) -> h11.Request | h11.Response:
+        """The first line and headers; raises KeyError or ValueError without the pseudo-headers needed."""
+        pseudo_headers = {name: value for name, value in message.headers if name[:1] == b":"}
+        headers = [
+            (name, value)
+            for name, value in message.headers
+            if name[:1] != b":" and name.lower() not in _DROPPED_HEADERS
+        ]
+        headers.append((b"content-length", str(len(message.body)).encode()))
+        if self.client:
+            return h11.Request(
+                method=pseudo_headers[b":method"], target=pseudo_headers[b":path"], headers=headers
+            )
+        return h11.Response(status_code=int(pseudo_headers[b":status"]), headers=headers)
+
+    def _end_exchange(self) -> None:
+        """Both messages are complete: the connection is free, if it may be reused."""
+        if self._h11.our_state is h11.DONE and self._h11.their_state is h11.DONE:
+            self._h11.start_next_cycle()
+            self.busy = False
+        else:
+            self.closing = True
+
+
+def _headers_of(h11_event: h11.Request | h11.Response) -> Headers:
+    return [(bytes(name), bytes(value)) for name, value in h11_event.headers]
--- /dev/null
+++ b/swiftchute/proxy/http2_connection.py
@@ -0,0 +1,245 @@
+"""The framing of one HTTP/2 connection, by h2. No I/O, no clock.
+
+connection = Http2Connection(client=True, max_message_bytes=2**20)
+connection.start()
+stream_id = connection.send(HttpMessage(0, headers, body))
+transport.write(connection.data_to_send())
+for event in connection.receive_data(data): ...
+"""
+
+from typing import Any
+
+import h2.config
+import h2.connection
+import h2.errors
+import h2.events
+import h2.exceptions
+import h2.settings
+
+from swiftchute.proxy.errors import HttpFramingError
+from swiftchute.proxy.http_framing import (
+    ENHANCE_YOUR_CALM,
+    MAX_HEADER_BYTES,
+    GoAway,
+    Headers,
+    HttpEvent,
+    HttpMessage,
+    MessageTooLarge,
+    PartialMessage,
+    PingAcknowledged,
+    StreamReset,
+)
+
+PREFACE_BYTES = 24  # of a client's connection preface (RFC 9113, 3.4)
+FRAME_HEADER_BYTES = 9
+GOAWAY_TYPE = 7
+GOAWAY_MIN_BYTES = 8  # last stream and error code
+MAX_FRAME_BYTES = 2**14  # payload; the initial SETTINGS_MAX_FRAME_SIZE, which is never raised
+STREAM_WINDOW_BYTES = 2**18
+CONNECTION_WINDOW_INCREMENT_BYTES = 2**22
+DEFAULT_MAX_STREAMS = 100  # assumed of a peer that has not announced its limit
+PING_PAYLOAD = b"alive?\0\0"
+
+
+class Http2Connection:
+    """One side of a connection.
+
+    Attributes:
+        closing: the connection takes no new streams.
+        h2: the protocol state of the h2 library.
+    """
+
+    def __init__(self, client: bool, max_message_bytes: int, max_streams: int = DEFAULT_MAX_STREAMS) -> None:
+        """Nothing is sent before `start`.
+
+        Args:
+            client: whether this side opens the streams.
+            max_message_bytes: body of one message.
+            max_streams: streams that the peer may have open at once.
+        """
+        self.client = client
+        self.max_message_bytes = max_message_bytes
+        self.closing = False
+        self.h2 = h2.connection.H2Connection(
+            h2.config.H2Configuration(client_side=client, header_encoding=None)
+        )
+        self.h2.local_settings = h2.settings.Settings(
+            client=client,
+            initial_values={
+                h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: max_streams,
+                h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: STREAM_WINDOW_BYTES,
+                h2.settings.SettingCodes.MAX_HEADER_LIST_SIZE: MAX_HEADER_BYTES,
+                h2.settings.SettingCodes.ENABLE_PUSH: 0,
+            },
+        )
+        self._partial_messages: dict[int, PartialMessage] = {}
+        self._unsent_bodies: dict[int, tuple[memoryview, Headers]] = {}  # waiting for a window; and trailers
+        self._partial_frame = bytearray()
+        self._preface_bytes_left = 0 if client else PREFACE_BYTES
+
+    def start(self) -> None:
+        """Send the preface and settings."""
+        self.h2.initiate_connection()
+        self.h2.increment_flow_control_window(CONNECTION_WINDOW_INCREMENT_BYTES)
+
+    @property
+    def available_streams(self) -> int:
+        """How many more streams the peer accepts now."""
+        if self.closing:
+            return 0
+        try:
+            max_streams = self.h2.remote_settings.max_concurrent_streams
+            return max(max_streams - self.h2.open_outbound_streams, 0)
+        except KeyError:
+            return DEFAULT_MAX_STREAMS
+
+    def data_to_send(self) -> bytes:
+        """The bytes to write now."""
+        return self.h2.data_to_send()
+
+    def receive_data(self, data: bytes) -> list[HttpEvent]:
+        """The events of these bytes; raises HttpFramingError if they violate the protocol."""
+        events: list[HttpEvent] = []
+        try:
+            h2_events = self.h2.receive_data(self._remove_goaways(data, events))
+        except (h2.exceptions.H2Error, ValueError, KeyError, IndexError) as error:
+            self.closing = True
+            raise HttpFramingError(f"{type(error).__name__}: {error}") from None
+        for h2_event in h2_events:
+            self._handle(h2_event, events)
+        self._send_waiting_bodies()
+        return events
+
+    def send(self, message: HttpMessage) -> int:
+        """Send a request, or the response on the stream of `message`.
+
+        Returns:
+            The stream's id; that of a request is assigned here.
+
+        Raises:
+            HttpFramingError: the connection or the stream accepts nothing; nothing was sent.
+        """
+        stream_id = message.stream_id
+        try:
+            if self.client:
+                stream_id = self.h2.get_next_available_stream_id()
+            headers_only = not message.body and not message.trailers
+            self.h2.send_headers(stream_id, message.headers, end_stream=headers_only)
+            if not headers_only:
+                self._unsent_bodies[stream_id] = (memoryview(message.body), message.trailers)
+                self._send_body(stream_id)
+        except h2.exceptions.H2Error as error:
+            self._unsent_bodies.pop(stream_id, None)
+            raise HttpFramingError(f"{type(error).__name__}: {error}") from None
+        return stream_id
+
+    def reset_stream(self, stream_id: int, error_code: int) -> None:
+        """Reset a stream; does nothing if it has ended."""
+        self._partial_messages.pop(stream_id, None)
+        self._unsent_bodies.pop(stream_id, None)
+        try:
+            self.h2.reset_stream(stream_id, error_code)
+        except h2.exceptions.H2Error:
+            return
+
+    def ping(self) -> None:
+        """Ask the peer for a sign of life."""
+        self.h2.ping(PING_PAYLOAD)
+
+    def send_goaway(self) -> None:
+        """Announce that no new streams are accepted."""
+        self.closing = True
+        self.h2.close_connection()
+
+    def _remove_goaways(self, data: bytes, events: list[HttpEvent]) -> bytes:
+        """The whole frames that have arrived, without GOAWAY frames, which become events at once.
+
+        For h2 a connection ends with a GOAWAY, and the responses still to come on it would be lost: streams
+        up to the last one continue (RFC 9113, 6.8).
+        """
+        frames = bytearray(data[: self._preface_bytes_left])
+        self._preface_bytes_left -= len(frames)
+        self._partial_frame += data[len(frames) :]
+        start = 0
+        while len(self._partial_frame) - start >= FRAME_HEADER_BYTES:
+            payload_bytes = int.from_bytes(self._partial_frame[start : start + 3], "big")
+            if payload_bytes > MAX_FRAME_BYTES:
+                raise ValueError(f"a frame of {payload_bytes} bytes")
+            end = start + FRAME_HEADER_BYTES + payload_bytes
+            if len(self._partial_frame) < end:
+                break
+            frame = self._partial_frame[start:end]
+            start = end
+            if frame[3] == GOAWAY_TYPE and payload_bytes >= GOAWAY_MIN_BYTES:
+                self.closing = True
+                events.append(_parse_goaway(frame))
+            else:
+                frames += frame
+        del self._partial_frame[:start]
+        return bytes(frames)
+
+    def _handle(self, h2_event: Any, events: list[HttpEvent]) -> None:
+        match h2_event:
+            case h2.events.RequestReceived() | h2.events.ResponseReceived():
+                self._partial_messages[h2_event.stream_id] = PartialMessage(list(h2_event.headers))
+            case h2.events.TrailersReceived():
+                partial = self._partial_messages.get(h2_event.stream_id)
+                if partial is not None:
+                    partial.trailers = list(h2_event.headers)
+            case h2.events.DataReceived():
+                self._handle_data(h2_event, events)
+            case h2.events.StreamEnded():
+                self._handle_end(h2_event.stream_id, events)
+            case h2.events.StreamReset():
+                self._partial_messages.pop(h2_event.stream_id, None)
+                self._unsent_bodies.pop(h2_event.stream_id, None)
+                events.append(StreamReset(h2_event.stream_id, int(h2_event.error_code)))
+            case h2.events.ConnectionTerminated():
+                self.closing = True
+                events.append(GoAway(h2_event.last_stream_id or 0, int(h2_event.error_code)))
+            case h2.events.PingAckReceived():
+                events.append(PingAcknowledged())
+
+    def _handle_data(self, h2_event: h2.events.DataReceived, events: list[HttpEvent]) -> None:
+        stream_id = h2_event.stream_id
+        self.h2.acknowledge_received_data(h2_event.flow_controlled_length, stream_id)
+        partial = self._partial_messages.get(stream_id)
+        if partial is None:
+            return
+        if len(partial.body) + len(h2_event.data) > self.max_message_bytes:
+            del self._partial_messages[stream_id]
+            self.reset_stream(stream_id, ENHANCE_YOUR_CALM)
+            events.append(MessageTooLarge(stream_id))
+        else:
+            partial.body += h2_event.data
+
+    def _handle_end(self, stream_id: int, events: list[HttpEvent]) -> None:
+        partial = self._partial_messages.pop(stream_id, None)
+        if partial is not None:
+            events.append(HttpMessage(stream_id, partial.headers, bytes(partial.body), partial.trailers))
+
+    def _send_waiting_bodies(self) -> None:
+        for stream_id in list(self._unsent_bodies):
+            try:
+                self._send_body(stream_id)
+            except h2.exceptions.H2Error:
+                self._unsent_bodies.pop(stream_id, None)  # its stream is closed
+
+    def _send_body(self, stream_id: int) -> None:
+        """Send as much of a body as the windows allow, and the trailers after it."""
+        body, trailers = self._unsent_bodies[stream_id]
+        while body:
+            window_bytes = min(self.h2.local_flow_control_window(stream_id), self.h2.max_outbound_frame_size)
+            if window_bytes <= 0:
+                self._unsent_bodies[stream_id] = (body, trailers)
+                return
+            chunk, body = body[:window_bytes], body[window_bytes:]
+            self.h2.send_data(stream_id, bytes(chunk), end_stream=not body and not trailers)
+        if trailers:
+            self.h2.send_headers(stream_id, trailers, end_stream=True)
+        del self._unsent_bodies[stream_id]
+
+
+def _parse_goaway(frame: bytearray) -> GoAway:
+    last_stream_id = int.from_bytes(frame[9:13], "big") & 0x7FFFFFFF
+    return GoAway(last_stream_id, int.from_bytes(frame[13:17], "big"))
--- a/swiftchute/proxy/load_balancing.py
+++ b/swiftchute/proxy/load_balancing.py
@@ -1,107 +1,149 @@
-"""Picking a server by a table's weights. No I/O, no clock.
+"""Picking an endpoint by a table's weights. No I/O, no clock.
 
-    picker = Alias(weights); picker.pick(chance)          # in constant time, made anew once a version
-    picker = Rotation(weights); picker.pick(chance)       # by turns, evenly spread in proportion
-    server = choose(picker, chance, but=avoided, tries=8)
-
-Weights are whole numbers of 1 or more by server, as tables have them.
+Weights are whole numbers of 1 or more by endpoint, as tables have them.
 """
 
 import heapq
 import random
-from collections.abc import Callable, Collection, Mapping
+from collections.abc import Callable, Collection, Mapping, Sequence
 from typing import Protocol
 
+from swiftchute.proxy.errors import EmptyTableError
+from swiftchute.proxy.settings import LoadBalancing
+
+MAX_DRAWS = 8  # draws for an endpoint that is allowed, before any allowed one is taken
+
 
-class Picker(Protocol):
-    """Gives a server at a time."""
+class EndpointPicker(Protocol):
+    """Picks one endpoint at a time."""
 
-    servers: tuple[str, ...]
+    endpoints: tuple[str, ...]
 
     def pick(self, chance: random.Random) -> str:
-        """The next server."""
+        """The next endpoint; `chance` is the source of random numbers."""
 
 
-class Alias:
-    """Vose's alias table: two numbers of chance a pick, whatever the table's size."""
+class WeightedRandomPicker:
+    """Vose's alias table: two random numbers a pick, whatever the table's size."""
 
     def __init__(self, weights: Mapping[str, int]) -> None:
-        """Raises ValueError without servers."""
+        """Build the alias table; raises EmptyTableError without endpoints."""
         if not weights:
-            raise ValueError("no servers to pick from")
-        self.servers = tuple(weights)
+            raise EmptyTableError("no endpoints to pick from")
+        self.endpoints = tuple(weights)
         mean = sum(weights.values()) / len(weights)
-        parts = [w / mean for w in weights.values()]
-        self.keep = [1.0] * len(parts)
-        self.other = list(range(len(parts)))
-        small = [k for k, part in enumerate(parts) if part < 1]
-        large = [k for k, part in enumerate(parts) if part >= 1]
+        portions = [weight / mean for weight in weights.values()]
+        self.probabilities = [1.0] * len(portions)  # of keeping the drawn place
+        self.aliases = list(range(len(portions)))  # the place taken otherwise
+        small = [place for place, portion in enumerate(portions) if portion < 1]
+        large = [place for place, portion in enumerate(portions) if portion >= 1]
         while small and large:
-            one, rich = small.pop(), large[-1]
-            self.keep[one], self.other[one] = parts[one], rich
-            parts[rich] -= 1 - parts[one]
-            if parts[rich] < 1:
+            place, donor = small.pop(), large[-1]
+            self.probabilities[place] = portions[place]
+            self.aliases[place] = donor
+            portions[donor] -= 1 - portions[place]
+            if portions[donor] < 1:
                 small.append(large.pop())
 
     def pick(self, chance: random.Random) -> str:
-        """A server by its weight."""
-        place = chance.randrange(len(self.servers))
-        return self.servers[place if chance.random() < self.keep[place] else self.other[place]]
+        """An endpoint by its weight."""
+        place = chance.randrange(len(self.endpoints))
+        keeps = chance.random() < self.probabilities[place]
+        return self.endpoints[place if keeps else self.aliases[place]]
 
 
-class Rotation:
-    """By turns: each server is due again after a stretch that its weight makes short, from a start by chance
-    (many proxies that rotate must not go in step)."""
+class RoundRobinPicker:
+    """Weighted round robin: an endpoint is due again after an interval inverse to its weight.
+
+    The start of each interval is random, so that many proxies do not pick in step.
+    """
 
     def __init__(self, weights: Mapping[str, int]) -> None:
-        """Raises ValueError without servers."""
+        """Compute the intervals; raises EmptyTableError without endpoints."""
         if not weights:
-            raise ValueError("no servers to pick from")
-        self.servers = tuple(weights)
+            raise EmptyTableError("no endpoints to pick from")
+        self.endpoints = tuple(weights)
         total = sum(weights.values())
-        self.every = {server: total / weight for server, weight in weights.items()}
-        self.due: list[tuple[float, int, str]] = []
+        self._intervals = {endpoint: total / weight for endpoint, weight in weights.items()}
+        self._due: list[tuple[float, int, str]] = []  # heap of (due turn, place, endpoint)
 
     def pick(self, chance: random.Random) -> str:
-        """The one that is due first."""
-        if not self.due:
-            self.due = [(chance.random() * self.every[s], place, s) for place, s in enumerate(self.servers)]
-            heapq.heapify(self.due)
-        when, place, server = self.due[0]
-        heapq.heapreplace(self.due, (when + self.every[server], place, server))
-        return server
-
-
-class TwoChoices:
-    """Two by weight, and of these the one with fewer invocations under way for its weight."""
-
-    def __init__(self, weights: Mapping[str, int], under_way: Callable[[str], int]) -> None:
-        """`under_way` counts a server's."""
-        self.alias, self.weights, self.under_way = Alias(weights), weights, under_way
-        self.servers = self.alias.servers
+        """The endpoint that is due first."""
+        if not self._due:
+            self._due = [
+                (chance.random() * self._intervals[endpoint], place, endpoint)
+                for place, endpoint in enumerate(self.endpoints)
+            ]
+            heapq.heapify(self._due)
+        turn, place, endpoint = self._due[0]
+        heapq.heapreplace(self._due, (turn + self._intervals[endpoint], place, endpoint))
+        return endpoint
+
+
+class TwoChoicesPicker:
+    """Draws two endpoints by weight and picks the one with fewer requests in flight for its weight."""
+
+    def __init__(self, weights: Mapping[str, int], in_flight: Callable[[str], int]) -> None:
+        """`in_flight` counts the requests in flight to an endpoint; raises EmptyTableError without any."""
+        self._random_picker = WeightedRandomPicker(weights)
+        self._weights = weights
+        self._in_flight = in_flight
+        self.endpoints = self._random_picker.endpoints
 
     def pick(self, chance: random.Random) -> str:
-        """The less busy of two."""
-        one, two = self.alias.pick(chance), self.alias.pick(chance)
-        return min((one, two), key=lambda s: (self.under_way(s) + 1) / self.weights[s])
-
-
-def choose(
-    picker: Picker, chance: random.Random, but: Collection[str], avoided: Collection[str], tries: int = 8
+        """The less loaded of two."""
+        first = self._random_picker.pick(chance)
+        second = self._random_picker.pick(chance)
+        return min((first, second), key=self._load)
+
+    def _load(self, endpoint: str) -> float:
+        return (self._in_flight(endpoint) + 1) / self._weights[endpoint]
+
+
+def make_picker(
+    load_balancing: LoadBalancing, weights: Mapping[str, int], in_flight: Callable[[str], int]
+) -> EndpointPicker:
+    """The picker of a table with these weights; raises EmptyTableError if there are none."""
+    if load_balancing == LoadBalancing.ROUND_ROBIN:
+        return RoundRobinPicker(weights)
+    if load_balancing == LoadBalancing.TWO_CHOICES:
+        return TwoChoicesPicker(weights, in_flight)
+    return WeightedRandomPicker(weights)
+
+
+def choose_endpoint(
+    picker: EndpointPicker,
+    chance: random.Random,
+    excluded: Collection[str],
+    avoided: Collection[str],
+    max_draws: int = MAX_DRAWS,
 ) -> str | None:
-    """A server past those that must not be (`but`: None if that is all of them) and those that are avoided
-    (unless that is all the others): drawn again a few times, so that the rest keep their proportions; then
-    the first in order that will do, from a place by chance."""
-    left = [s for s in picker.servers if s not in but] if but or avoided else picker.servers
-    if not left:
+    """Pick an endpoint that is not excluded, and not avoided as long as any other is left.
+
+    It is drawn again a few times, so that the allowed ones keep their proportions, and then taken at random
+    from the allowed ones.
+
+    Args:
+        picker: the table's picker.
+        chance: source of random numbers.
+        excluded: endpoints that must not be picked; None is returned if that is all of them.
+        avoided: endpoints that are picked only if no other is left.
+        max_draws: draws before an allowed one is taken at random.
+    """
+    candidates: Sequence[str] = picker.endpoints
+    if excluded or avoided:
+        candidates = [endpoint for endpoint in picker.endpoints if endpoint not in excluded]
+    if not candidates:
         return None
-    well = [s for s in left if s not in avoided] if avoided else left
-    allowed = well or left
-    if len(allowed) == len(picker.servers):
+    preferred = candidates
+    if avoided:
+        preferred = [endpoint for endpoint in candidates if endpoint not in avoided]
+    allowed = preferred or candidates
+    if len(allowed) == len(picker.endpoints):
         return picker.pick(chance)
-    wanted = set(allowed)
-    for _ in range(tries):
-        server = picker.pick(chance)
-        if server in wanted:
-            return server
+    allowed_set = set(allowed)
+    for _ in range(max_draws):
+        endpoint = picker.pick(chance)
+        if endpoint in allowed_set:
+            return endpoint
     return chance.choice(allowed)
--- a/swiftchute/proxy/request.py
+++ b/swiftchute/proxy/request.py
@@ -1,17 +1,17 @@
-"""What a proxy does with invocations, without I/O: which server, for how long, and whether to try again.
-
-    core = Core(client, operations, limits, seed)
-    core.changed()                                   # the client took in an order: tables are looked at anew
-    inv = core.came("lot-estimate", key, now)        # Invocation, or Turned away
-    where = core.next(inv, now)                      # Try(server, until), or None: nothing is left to try
-    core.withdrawn(server)                           # asked before a try is written: it goes elsewhere
-    last = core.ended(inv, end, now)                 # whether the invocation is over
-    core.given_up(inv, now)                          # its caller went away
-
-An invocation ends by the table it began with: weights, tries and levels that change under way are the next
-one's. Only a server that is withdrawn meanwhile is not gone to any more. The planner's orders are all there
-is to a table; how a table is followed (which server within its weights, what this proxy itself has found
-failing, how many may be under way) is decided here.
+"""The request path without I/O: admission, the endpoint of each attempt, its deadline, and retries.
+
+    router = RequestRouter(client, routes, limits, seed)
+    router.update_tables()                                # after the client applied a response
+    request = router.admit("lot-estimate", caller, now_ns)     # ActiveRequest or Rejection
+    attempt = router.next_attempt(request, now_ns)        # Attempt, or None: nothing is left to try
+    router.is_withdrawn(attempt.endpoint)                 # asked before an attempt is sent
+    finished = router.attempt_ended(request, outcome, now_ns)
+    router.abandon(request, now_ns)                       # its caller went away, or nothing is left
+
+A request follows the table it began with: weights, retries and admission rates that change meanwhile are the
+next one's. Only a withdrawn endpoint gets no more attempts. The control plane decides what is in a table; how
+a table is followed is decided by the rules that the router calls: `admission`, `load_balancing`,
+`outlier_ejection`, `retry`.
 """
 
 import random
@@ -19,221 +19,292 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-import xxhash
-
-from swiftchute.proxy.load_balancing import Alias, Picker, Rotation, TwoChoices, choose
-from swiftchute.proxy.outlier_ejection import Avoided
-from swiftchute.proxy.retry import LATE, WITHDRAWN, Budget, End, again
-from swiftchute.proxy.xds_client import Client, Table
+from swiftchute.proxy.admission import AdmissionControl
+from swiftchute.proxy.endpoint_table import EndpointTable
+from swiftchute.proxy.load_balancing import EndpointPicker, choose_endpoint, make_picker
+from swiftchute.proxy.outlier_ejection import OutlierEjector
+from swiftchute.proxy.retry import AttemptOutcome, RequestResult, RetryBudget, should_retry
+from swiftchute.proxy.settings import NS_PER_S, Idempotency, ProxyLimits, RouteSettings
+from swiftchute.proxy.xds_client import XdsClient
 from swiftchute.xds import names
 
-S = 1_000_000_000
-TIMEOUT = 15 * S  # of an operation that neither the settings nor its route say more of
-REFUSED_FOR = 2 * S  # a caller that comes again within so long is refused again, where that is asked for
-
-
-@dataclass(frozen=True)
-class Operation:
-    """What is known of an operation beside its table: `timeout` in ns where the route names none."""
-
-    name: str
-    timeout: int
-    repeats: str  # "idempotent", "fingerprinted" or "side-effecting"
-
-
-@dataclass(frozen=True)
-class Limits:
-    """Invocations under way at most, in all and to a server (0: no limit); how a server is picked ("weight",
-    "rotate" or "two-choices"); failures in a row that shut it out and for how long; further tries as a part
-    of invocations and beside them; whether a caller that was refused is drawn "anew" or "refused" again."""
-
-    under_way: int = 2000
-    server: int = 0
-    pick: str = "weight"
-    avoid_after: int = 5
-    avoid_for: int = 3 * S
-    try_part: float = 0.2
-    try_least: float = 3.0
-    refused_again: str = "anew"
+DEFAULT_REQUEST_TIMEOUT_NS = 15 * NS_PER_S  # where neither the settings nor the route have one
 
 
 @dataclass(frozen=True)
-class Turned:
-    """An invocation that is answered at once: why ("unknown", "full", "level", "no line")."""
+class Rejection:
+    """A request that is answered at once, and why."""
 
-    why: str
+    cause: RequestResult
 
 
 @dataclass(frozen=True)
-class Try:
-    """Where to send it, and until when (ns) this try may take."""
+class Attempt:
+    """The endpoint of an attempt, and when the attempt ends at the latest."""
 
-    server: str
-    until: int
+    endpoint: str
+    deadline_ns: int
 
 
 @dataclass
-class Invocation:
-    """One under way: its table as it was when it came."""
-
-    operation: Operation
-    key: str
-    table: Table
-    picker: Picker
-    came: int
-    until: int
-    attempt: int = 0
-    tried: set[str] = field(default_factory=set)
-    server: str | None = None
-    began: int = 0
-    sent: int = 0  # when its try was written; 0: not yet
-    over: bool = False
-
-
-class Core:
-    """The state of one proxy."""
+class ActiveRequest:
+    """A request in flight, with its table as it was when the request arrived.
+
+    Attributes:
+        route: what is known of its operation.
+        caller: tells its caller from others.
+        table: its table.
+        picker: the table's picker.
+        arrived_at_ns: when it arrived.
+        deadline_ns: when it ends at the latest.
+        retries: attempts after the first; those that were never sent do not count.
+        attempted: endpoints that attempts went to.
+        endpoint: the endpoint of the last attempt, None before the first.
+        attempt_started_ns: when the last attempt started.
+        attempt_sent_ns: when it was written to a connection; 0 means not yet.
+        finished: no more attempts follow.
+    """
+
+    route: RouteSettings
+    caller: str
+    table: EndpointTable
+    picker: EndpointPicker
+    arrived_at_ns: int
+    deadline_ns: int
+    retries: int = 0
+    attempted: set[str] = field(default_factory=set)
+    endpoint: str | None = None
+    attempt_started_ns: int = 0
+    attempt_sent_ns: int = 0
+    finished: bool = False
+
+    def limit_deadline(self, deadline_ns: int) -> None:
+        """Let the request end by `deadline_ns` at the latest: its caller waits no longer."""
+        self.deadline_ns = min(self.deadline_ns, deadline_ns)
+
+    def result_of(self, outcome: AttemptOutcome | None, answered: bool, now_ns: int) -> RequestResult:
+        """How the request ended.
+
+        Args:
+            outcome: of the last attempt; None if there was none.
+            answered: whether an endpoint's response is passed on.
+            now_ns: the time now.
+        """
+        if not answered and now_ns >= self.deadline_ns:
+            return RequestResult.TIMED_OUT
+        return RequestResult.NO_ENDPOINT if outcome is None else outcome.result
+
+
+@dataclass(frozen=True, slots=True)
+class RoutingTable:
+    """A table in force and its picker."""
+
+    table: EndpointTable
+    picker: EndpointPicker
+
+
+class RequestRouter:
+    """The request state of one proxy.
+
+    Attributes:
+        client: holds the tables that were received.
+        routes: what is known of each operation, by name.
+        tables: tables in force by operation.
+        known_endpoints: endpoints of any table in force.
+        in_flight: requests in flight.
+        in_flight_by_endpoint: attempts in flight by endpoint.
+        attempt_counts: attempts that ended, by result.
+        rejection_counts: rejected requests by cause.
+    """
 
     def __init__(
-        self, client: Client, operations: Mapping[str, Operation], limits: Limits, seed: int,
-        unknown: str = "side-effecting",
-    ) -> None:  # fmt: skip
-        """`client` holds the tables; `unknown`: how operations repeat of which nothing is known."""
-        self.unknown = unknown
-        self.client, self.operations, self.limits = client, dict(operations), limits
+        self,
+        client: XdsClient,
+        routes: Mapping[str, RouteSettings],
+        limits: ProxyLimits,
+        seed: int,
+        default_idempotency: Idempotency = Idempotency.SIDE_EFFECTING,
+    ) -> None:
+        """No table is in force before `update_tables`.
+
+        Args:
+            client: holds the tables.
+            routes: known operations by name.
+            limits: limits and rules of the request path.
+            seed: of all random decisions.
+            default_idempotency: of operations that are not in `routes`.
+        """
+        self.client = client
+        self.routes = dict(routes)
+        self.limits = limits
+        self.default_idempotency = default_idempotency
         self.random = random.Random(seed)
-        self.avoided = Avoided(limits.avoid_after, limits.avoid_for, self.random.getrandbits(32))
-        self.budget = Budget(limits.try_part, limits.try_least)
-        self.tables: dict[str, tuple[Table, Picker]] = {}
-        self.shut: set[str] = set()
-        self.named: set[str] = set()  # servers of any table
-        self.under_way = 0
-        self.at: Counter[str] = Counter()  # under way by server
-        self.ends: Counter[str] = Counter()
-        self.turned: Counter[str] = Counter()
-
-    # -- tables
-
-    def changed(self) -> None:
-        """Take over what the client holds now; a table that stayed the same keeps its picker."""
-        self.shut = self.client.shut()
-        named = self.named = set()
-        for name in self.client.held[names.LDS]:
-            if name not in self.operations:
-                self.operations[name] = Operation(name, TIMEOUT, self.unknown)
-        for name in self.operations:
-            table = self.client.table(name)
-            if table is None or not table.lines:
-                self.tables.pop(name, None)
+        self.ejector = OutlierEjector(
+            limits.ejection_failures, limits.ejection_ns, self.random.getrandbits(32)
+        )
+        self.admission = AdmissionControl(limits.max_in_flight, limits.admission_draw, self.random)
+        self.retry_budget = RetryBudget(limits.retry_budget_fraction, limits.min_retries_per_s)
+        self.tables: dict[str, RoutingTable] = {}
+        self.known_endpoints: set[str] = set()
+        self.in_flight = 0
+        self.in_flight_by_endpoint: Counter[str] = Counter()
+        self.attempt_counts: Counter[str] = Counter()
+        self.rejection_counts: Counter[str] = Counter()
+        self._withdrawn: set[str] = set()
+
+    def update_tables(self) -> None:
+        """Put the client's tables in force; a table with the same weights keeps its picker."""
+        self._withdrawn = self.client.withdrawn_endpoints()
+        self.known_endpoints = set()
+        for operation in self.client.resources[names.LDS]:
+            if operation not in self.routes:
+                self.routes[operation] = RouteSettings(
+                    operation, DEFAULT_REQUEST_TIMEOUT_NS, self.default_idempotency
+                )
+        for operation in self.routes:
+            table = self.client.table(operation)
+            if table is None or not table.weights:
+                self.tables.pop(operation, None)
                 continue
-            named.update(table.lines)
-            kept = self.tables.get(name)
-            if kept is None or kept[0].lines != table.lines:
-                self.tables[name] = (table, self._picker(table.lines))
-            elif kept[0] != table:
-                self.tables[name] = (table, kept[1])
-        self.avoided.forget(named)
-
-    def _picker(self, lines: Mapping[str, int]) -> Picker:
-        if self.limits.pick == "rotate":
-            return Rotation(lines)
-        if self.limits.pick == "two-choices":
-            return TwoChoices(lines, self.at.__getitem__)
-        return Alias(lines)
-
-    def withdrawn(self, server: str) -> bool:
-        """Whether nothing may go there any more, whatever table an invocation began with."""
-        return server in self.shut or server not in self.named
-
-    # -- invocations
-
-    def came(self, operation: str, key: str, now: int) -> Invocation | Turned:
-        """An invocation came; `key` tells its caller from others. What is past a bound, or that the level
-        turns away, is answered at once."""
-        known = self.operations.get(operation)
-        if known is None:
-            return self._turned("unknown")
-        if self.under_way >= self.limits.under_way:
-            return self._turned("full")
-        held = self.tables.get(operation)
-        if held is None:
-            return self._turned("no line")
-        table, picker = held
-        if table.level < 1 and self._draw(key, operation, now) >= table.level:
-            self.client.dropped(table.cluster)
-            return self._turned("level")
-        span = int(table.timeout * S) if table.timeout else known.timeout
-        self.under_way += 1
-        self.budget.came(now)
-        return Invocation(known, key, table, picker, now, now + span)
-
-    def _turned(self, why: str) -> Turned:
-        self.turned[why] += 1
-        return Turned(why)
-
-    def _draw(self, key: str, operation: str, now: int) -> float:
-        """0 to 1: by chance, or the same for a caller that comes again soon."""
-        if self.limits.refused_again == "anew":
-            return self.random.random()
-        return xxhash.xxh3_64_intdigest(f"{key}\0{operation}\0{now // REFUSED_FOR}".encode()) / 2**64
-
-    def next(self, inv: Invocation, now: int) -> Try | None:
-        """The next try; None if there is no server left or no time."""
-        left = inv.until - now
-        if left <= 0:
+            self.known_endpoints.update(table.weights)
+            self._update_table(operation, table)
+        self.ejector.retain(self.known_endpoints)
+
+    def is_withdrawn(self, endpoint: str) -> bool:
+        """Whether the endpoint gets no more attempts, whatever table a request began with."""
+        return endpoint in self._withdrawn or endpoint not in self.known_endpoints
+
+    def admit(self, operation: str, caller: str, now_ns: int) -> ActiveRequest | Rejection:
+        """A request arrived; `caller` tells its caller from others."""
+        route = self.routes.get(operation)
+        if route is None:
+            return self._reject(RequestResult.UNKNOWN_OPERATION)
+        if not self.admission.has_capacity(self.in_flight):
+            return self._reject(RequestResult.AT_CAPACITY)
+        routing = self.tables.get(operation)
+        if routing is None:
+            return self._reject(RequestResult.NO_ENDPOINT)
+        table = routing.table
+        if not self.admission.admits(table, operation, caller, now_ns):
+            self.client.record_drop(table.cluster)
+            return self._reject(RequestResult.NOT_ADMITTED)
+        timeout_ns = route.request_timeout_ns
+        if table.request_timeout_s:
+            timeout_ns = int(table.request_timeout_s * NS_PER_S)
+        self.in_flight += 1
+        self.retry_budget.record_request(now_ns)
+        return ActiveRequest(route, caller, table, routing.picker, now_ns, now_ns + timeout_ns)
+
+    def next_attempt(self, request: ActiveRequest, now_ns: int) -> Attempt | None:
+        """The next attempt; None if no endpoint or no time is left."""
+        remaining_ns = request.deadline_ns - now_ns
+        if remaining_ns <= 0:
             return None
-        avoided = self.avoided.now(now)
-        if self.limits.server:
-            avoided |= {s for s, many in self.at.items() if many >= self.limits.server}
-        gone = inv.tried
-        held = self.tables.get(inv.operation.name)
-        if held is None or held[1] is not inv.picker:  # the table of now names nobody who is withdrawn
-            gone = gone | {s for s in inv.picker.servers if self.withdrawn(s)}
-        server = choose(inv.picker, self.random, gone, avoided)
-        if server is None:
+        endpoint = choose_endpoint(
+            request.picker, self.random, self._excluded_endpoints(request), self._avoided_endpoints(now_ns)
+        )
+        if endpoint is None:
             return None
-        inv.server, inv.began, inv.sent = server, now, 0
-        self.at[server] += 1
-        self.avoided.picked(server, now)
-        last = inv.attempt >= inv.table.tries
-        spent = left if last or not inv.table.per_try else min(left, int(inv.table.per_try * S))
-        return Try(server, now + spent)
-
-    def ended(self, inv: Invocation, end: End, now: int) -> bool:
-        """A try ended; whether the invocation is over with it. Sums count what was sent."""
-        server = inv.server
-        assert server is not None
-        self._left(server)
-        inv.tried.add(server)
-        if end is WITHDRAWN:
-            self.avoided.released(server)
+        request.endpoint = endpoint
+        request.attempt_started_ns = now_ns
+        request.attempt_sent_ns = 0
+        self.in_flight_by_endpoint[endpoint] += 1
+        self.ejector.attempt_started(endpoint, now_ns)
+        return Attempt(endpoint, now_ns + _attempt_timeout_ns(request, remaining_ns))
+
+    def attempt_ended(self, request: ActiveRequest, outcome: AttemptOutcome, now_ns: int) -> bool:
+        """An attempt ended; returns whether the request is finished with it.
+
+        Load reports count what was sent, so not an attempt whose endpoint was withdrawn before.
+        """
+        endpoint = request.endpoint
+        assert endpoint is not None
+        self._release(endpoint)
+        request.attempted.add(endpoint)
+        if outcome is AttemptOutcome.WITHDRAWN:
+            self.ejector.attempt_abandoned(endpoint)
         else:
-            self.avoided.ended(server, end.good, now)
-            self.client.met(inv.table.cluster, server, end.good, (now - inv.began) / S)
-        self.ends[end.kind] += 1
-        if not again(end, inv.table, inv.operation.repeats, inv.attempt, now, inv.until, self.budget):
-            self._over(inv)
+            latency_s = (now_ns - request.attempt_started_ns) / NS_PER_S
+            self.ejector.attempt_ended(endpoint, outcome.succeeded, now_ns)
+            self.client.record_attempt(request.table.cluster, endpoint, outcome.succeeded, latency_s)
+        self.attempt_counts[outcome.result] += 1
+        if not should_retry(
+            outcome,
+            request.table,
+            request.route.idempotency,
+            request.retries,
+            now_ns,
+            request.deadline_ns,
+            self.retry_budget,
+        ):
+            self._finish(request)
             return True
-        inv.attempt += end is not WITHDRAWN
+        request.retries += outcome is not AttemptOutcome.WITHDRAWN
         return False
 
-    def given_up(self, inv: Invocation, now: int) -> None:
-        """Its caller went away, or nothing is left to try; what its last try would have come to is not known,
-        unless it had all of its time."""
-        if inv.over:
+    def abandon(self, request: ActiveRequest, now_ns: int) -> None:
+        """The caller went away, or nothing is left to try; does nothing if the request is finished.
+
+        The outcome of an attempt in flight is not known, unless it had all of its time.
+        """
+        if request.finished:
             return
-        if inv.server is not None and self.at[inv.server] and inv.server not in inv.tried:
-            self._left(inv.server)
-            if now >= inv.until:
-                self.avoided.ended(inv.server, LATE.good, now)
+        endpoint = request.endpoint
+        if (
+            endpoint is not None
+            and self.in_flight_by_endpoint[endpoint]
+            and endpoint not in request.attempted
+        ):
+            self._release(endpoint)
+            if now_ns >= request.deadline_ns:
+                self.ejector.attempt_ended(endpoint, False, now_ns)
             else:
-                self.avoided.released(inv.server)
-        self._over(inv)
-
-    def _left(self, server: str) -> None:
-        self.at[server] -= 1
-        if self.at[server] <= 0:
-            del self.at[server]
-
-    def _over(self, inv: Invocation) -> None:
-        inv.over = True
-        self.under_way -= 1
+                self.ejector.attempt_abandoned(endpoint)
+        self._finish(request)
+
+    def _update_table(self, operation: str, table: EndpointTable) -> None:
+        current = self.tables.get(operation)
+        if current is None or current.table.weights != table.weights:
+            picker = make_picker(
+                self.limits.load_balancing, table.weights, self.in_flight_by_endpoint.__getitem__
+            )
+            self.tables[operation] = RoutingTable(table, picker)
+        elif current.table != table:
+            self.tables[operation] = RoutingTable(table, current.picker)
+
+    def _reject(self, cause: RequestResult) -> Rejection:
+        self.rejection_counts[cause] += 1
+        return Rejection(cause)
+
+    def _avoided_endpoints(self, now_ns: int) -> set[str]:
+        """Endpoints that are ejected or have as many requests in flight as they may."""
+        avoided = self.ejector.ejected(now_ns)
+        limit = self.limits.max_in_flight_per_endpoint
+        if limit:
+            avoided |= {endpoint for endpoint, count in self.in_flight_by_endpoint.items() if count >= limit}
+        return avoided
+
+    def _excluded_endpoints(self, request: ActiveRequest) -> set[str]:
+        """Endpoints that this request was sent to, and withdrawn ones."""
+        routing = self.tables.get(request.route.name)
+        if routing is not None and routing.picker is request.picker:
+            return request.attempted  # the table in force has no withdrawn endpoint
+        withdrawn = {endpoint for endpoint in request.picker.endpoints if self.is_withdrawn(endpoint)}
+        return request.attempted | withdrawn
+
+    def _release(self, endpoint: str) -> None:
+        self.in_flight_by_endpoint[endpoint] -= 1
+        if self.in_flight_by_endpoint[endpoint] <= 0:
+            del self.in_flight_by_endpoint[endpoint]
+
+    def _finish(self, request: ActiveRequest) -> None:
+        request.finished = True
+        self.in_flight -= 1
+
+
+def _attempt_timeout_ns(request: ActiveRequest, remaining_ns: int) -> int:
+    """The time of an attempt: its table's, but all that is left for the last attempt."""
+    timeout_s = request.table.attempt_timeout_s
+    if not timeout_s or request.retries >= request.table.max_retries:
+        return remaining_ns
+    return min(remaining_ns, int(timeout_s * NS_PER_S))
--- a/swiftchute/proxy/table_cache.py
+++ b/swiftchute/proxy/table_cache.py
@@ -1,10 +1,8 @@
-"""The last tables a proxy was given, kept on disk for a start at which no planner answers.
+"""The last tables a proxy was given, cached on disk for a start at which no control plane answers.
 
-    keep = Keep(path, age=3600 * S)
-    keep.save(tables, wall); tables = keep.load(wall)        # {} with `why` if there is nothing to go by
-
-A file is written beside its place and renamed over it, so that a cut leaves the last whole one; a checksum
-tells a damaged one. What is older than `age` is not gone by: its servers may be other machines by then.
+A file is written beside its place and renamed over it, so that a crash leaves the last complete one; a
+checksum detects a damaged one. A file older than the maximum age is not used: its addresses may belong to
+other machines by then.
 """
 
 import os
@@ -13,68 +11,112 @@
 import msgspec
 import xxhash
 
-from swiftchute.proxy.xds_client import Table
+from swiftchute.proxy.endpoint_table import EndpointTable
+from swiftchute.proxy.errors import TableCacheError
+from swiftchute.proxy.settings import NS_PER_S
+
+FORMAT_VERSION = 1
+MAX_FILE_BYTES = 64 * 2**20
+CHECKSUM_BYTES = 8
 
-S = 1_000_000_000
-FORMAT = 1
-BYTES_MOST = 64 * 2**20
+# cluster, weights, admission rate, retries, proof required, attempt timeout (s), request timeout (s)
+_StoredTable = tuple[str, dict[str, int], float, int, bool, float | None, float | None]
 
 
-class _Kept(msgspec.Struct, array_like=True):
+class _StoredTables(msgspec.Struct, array_like=True):
+    """The stored format: an array without field names."""
+
     format: int
-    at: int  # wall clock, ns
-    tables: dict[str, tuple[str, dict[str, int], float, int, bool, float | None, float | None]]
+    saved_at_ns: int  # wall clock
+    tables: dict[str, _StoredTable]
+
 
+class TableCache:
+    """One file of tables; `last_error` says why the last call failed, or is empty."""
 
-class Keep:
-    """One file; `why` says why the last call came to nothing."""
+    def __init__(self, path: str, max_age_ns: int) -> None:
+        """Nothing is read or written yet.
 
-    def __init__(self, path: str, age: int) -> None:
-        """`age` in ns."""
-        self.path, self.age, self.why = path, age, ""
-        self.last = b""
+        Args:
+            path: the file; `path` with ".new" is written first.
+            max_age_ns: age past which a file is not used.
+        """
+        self.path = path
+        self.max_age_ns = max_age_ns
+        self.last_error = ""
+        self._last_saved = b""
 
-    def save(self, tables: Mapping[str, Table], wall: int) -> bool:
-        """Write them, if they are not what was written last; whether they are on disk."""
-        rows = {name: (t.cluster, t.lines, t.level, t.tries, t.sure, t.per_try, t.timeout)
-                for name, t in tables.items() if t.lines}  # fmt: skip
-        body = msgspec.msgpack.encode(rows)
-        if body == self.last or not rows:
+    def save(self, tables: Mapping[str, EndpointTable], wall_ns: int) -> bool:
+        """Write the tables that have endpoints, unless they equal what was written last.
+
+        Args:
+            tables: by operation.
+            wall_ns: wall-clock time.
+
+        Returns:
+            Whether the tables are on disk; if not, `last_error` has the cause.
+        """
+        stored = {operation: _to_stored(table) for operation, table in tables.items() if table.weights}
+        body = msgspec.msgpack.encode(stored)
+        if body == self._last_saved or not stored:
             return True
-        data = msgspec.msgpack.encode(_Kept(FORMAT, wall, rows))
+        data = msgspec.msgpack.encode(_StoredTables(FORMAT_VERSION, wall_ns, stored))
         try:
-            with open(self.path + ".new", "wb") as out:
-                out.write(xxhash.xxh3_64_digest(data) + data)
-                out.flush()
-                os.fsync(out.fileno())
-            os.replace(self.path + ".new", self.path)
-        except OSError as why:
-            self.why = f"{self.path}: {why.strerror or why}"
+            self._write(xxhash.xxh3_64_digest(data) + data)
+        except OSError as error:
+            self.last_error = f"{self.path}: {error.strerror or error}"
             return False
-        self.last, self.why = body, ""
+        self._last_saved = body
+        self.last_error = ""
         return True
 
-    def load(self, wall: int) -> dict[str, Table]:
-        """What was kept; nothing if it is damaged, of another format, or too old."""
+    def load(self, wall_ns: int) -> dict[str, EndpointTable]:
+        """The cached tables by operation; empty, with `last_error`, if the file cannot be used."""
         try:
-            with open(self.path, "rb") as source:
-                data = source.read(BYTES_MOST)
-        except OSError as why:
-            self.why = f"{self.path}: {why.strerror or why}"
-            return {}
-        if xxhash.xxh3_64_digest(data[8:]) != data[:8]:
-            self.why = f"{self.path}: damaged"
+            stored = self._decode(self._read(), wall_ns)
+        except TableCacheError as error:
+            self.last_error = str(error)
             return {}
+        self.last_error = ""
+        return {operation: EndpointTable(*row) for operation, row in stored.tables.items()}
+
+    def _write(self, content: bytes) -> None:
+        new_path = self.path + ".new"
+        with open(new_path, "wb") as file:
+            file.write(content)
+            file.flush()
+            os.fsync(file.fileno())
+        os.replace(new_path, self.path)
+
+    def _read(self) -> bytes:
         try:
-            kept = msgspec.msgpack.decode(data[8:], type=_Kept)
-        except (msgspec.DecodeError, UnicodeDecodeError) as why:
-            self.why = f"{self.path}: {why}"
-            return {}
-        if kept.format != FORMAT:
-            self.why = f"{self.path}: format {kept.format}; this program knows {FORMAT}"
-            return {}
-        if not 0 <= wall - kept.at <= self.age:
-            self.why = f"{self.path}: {(wall - kept.at) / S:.0f} s old"
-            return {}
-        self.why = ""
-        return {name: Table(*row) for name, row in kept.tables.items()}
+            with open(self.path, "rb") as file:
+                return file.read(MAX_FILE_BYTES)
+        except OSError as error:
+            raise TableCacheError(f"{self.path}: {error.strerror or error}") from None
+
+    def _decode(self, content: bytes, wall_ns: int) -> _StoredTables:
+        checksum, data = content[:CHECKSUM_BYTES], content[CHECKSUM_BYTES:]
+        if xxhash.xxh3_64_digest(data) != checksum:
+            raise TableCacheError(f"{self.path}: damaged")
+        try:
+            stored = msgspec.msgpack.decode(data, type=_StoredTables)
+        except (msgspec.DecodeError, UnicodeDecodeError) as error:
+            raise TableCacheError(f"{self.path}: {error}") from None
+        if stored.format != FORMAT_VERSION:
+            raise TableCacheError(f"{self.path}: format {stored.format}; this program knows {FORMAT_VERSION}")
+        if not 0 <= wall_ns - stored.saved_at_ns <= self.max_age_ns:
+            raise TableCacheError(f"{self.path}: {(wall_ns - stored.saved_at_ns) / NS_PER_S:.0f} s old")
+        return stored
+
+
+def _to_stored(table: EndpointTable) -> _StoredTable:
+    return (
+        table.cluster,
+        table.weights,
+        table.admission_rate,
+        table.max_retries,
+        table.requires_proof,
+        table.attempt_timeout_s,
+        table.request_timeout_s,
+    )
--- /dev/null
+++ b/swiftchute/proxy/upstream_connection.py
@@ -0,0 +1,148 @@
+"""One connection to an endpoint: an asyncio protocol around the framing. No rule is decided here."""
+
+import asyncio
+from collections.abc import Callable
+from typing import Any, NamedTuple
+
+from swiftchute.proxy.connection_pool import PooledConnection
+from swiftchute.proxy.errors import HttpFramingError
+from swiftchute.proxy.http1_connection import Http1Connection
+from swiftchute.proxy.http2_connection import Http2Connection
+from swiftchute.proxy.http_framing import (
+    CANCEL,
+    GoAway,
+    HttpEvent,
+    HttpMessage,
+    MessageTooLarge,
+    StreamReset,
+)
+from swiftchute.proxy.keepalive import Keepalive, KeepaliveAction
+from swiftchute.proxy.retry import AttemptOutcome, outcome_of_reset
+from swiftchute.proxy.settings import MAX_UNREAD_BYTES
+
+Clock = Callable[[], int]
+
+
+class AttemptEnd(NamedTuple):
+    """How an attempt ended on its connection; a response is yet to be classified."""
+
+    outcome: AttemptOutcome
+    response: HttpMessage | None
+
+
+class UpstreamConnection(asyncio.Protocol):
+    """A connection to an endpoint, with a future for each attempt in flight.
+
+    Attributes:
+        framing: the protocol state.
+        pooled: its entry in the pool, None until it is added.
+    """
+
+    def __init__(
+        self,
+        framing: Http2Connection | Http1Connection,
+        on_closed: Callable[["UpstreamConnection"], None],
+        clock: Clock,
+    ) -> None:
+        """`on_closed` is called when the connection is lost; `clock` gives the time in ns."""
+        self.framing = framing
+        self.pooled: PooledConnection | None = None
+        self._on_closed = on_closed
+        self._clock = clock
+        self._attempts: dict[int, asyncio.Future[AttemptEnd]] = {}
+        self._keepalive = Keepalive(clock())
+
+    def send(self, request: HttpMessage) -> tuple[int, asyncio.Future[AttemptEnd]]:
+        """Write a request.
+
+        Returns:
+            Its stream's id, and the future of its end.
+
+        Raises:
+            HttpFramingError: nothing of it was written.
+        """
+        stream_id = self.framing.send(request)
+        future = self._attempts[stream_id] = asyncio.get_running_loop().create_future()
+        self._flush()
+        return stream_id, future
+
+    def cancel(self, stream_id: int) -> None:
+        """Nobody waits for this attempt any more; does nothing if it has ended."""
+        if self._attempts.pop(stream_id, None) is None:
+            return
+        self.framing.reset_stream(stream_id, CANCEL)
+        self._flush()
+        if isinstance(self.framing, Http1Connection):
+            self.close()
+
+    def check_alive(self, now_ns: int, silence_timeout_ns: int) -> None:
+        """Ping a silent connection with attempts in flight, and close it if the ping is not answered."""
+        if not self._attempts or not isinstance(self.framing, Http2Connection):
+            return
+        action = self._keepalive.check(now_ns, silence_timeout_ns)
+        if action is KeepaliveAction.CLOSE:
+            self.close()
+        elif action is KeepaliveAction.PING:
+            self.framing.ping()
+            self._flush()
+
+    def close(self) -> None:
+        """Close without waiting for anything."""
+        self.transport.abort()
+
+    def connection_made(self, transport: Any) -> None:
+        """The connection is established."""
+        self.transport = transport
+        transport.set_write_buffer_limits(high=MAX_UNREAD_BYTES)
+        self.framing.start()
+        self._flush()
+
+    def data_received(self, data: bytes) -> None:
+        """The endpoint sent bytes."""
+        self._keepalive.data_received(self._clock())
+        try:
+            events = self.framing.receive_data(data)
+        except HttpFramingError:
+            self.close()
+            return
+        for event in events:
+            self._handle(event)
+        self._flush()
+        if self.framing.closing and self.pooled is not None:
+            self.pooled.closing = True
+            if not self._attempts:
+                self.close()
+
+    def eof_received(self) -> bool:
+        """The endpoint sends no more; an HTTP/1.1 response may end with that."""
+        if isinstance(self.framing, Http1Connection):
+            self.data_received(b"")
+        return False
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """The connection is closed; what was in flight was sent, so it may have run."""
+        for stream_id in list(self._attempts):
+            self._end(stream_id, AttemptOutcome.CONNECTION_LOST)
+        self._on_closed(self)
+
+    def _handle(self, event: HttpEvent) -> None:
+        match event:
+            case HttpMessage():
+                self._end(event.stream_id, AttemptOutcome.FAILED, event)
+            case StreamReset():
+                self._end(event.stream_id, outcome_of_reset(event.error_code))
+            case MessageTooLarge():
+                self._end(event.stream_id, AttemptOutcome.FAILED)
+            case GoAway():
+                for stream_id in [number for number in self._attempts if number > event.last_stream_id]:
+                    self._end(stream_id, AttemptOutcome.REFUSED)
+
+    def _end(self, stream_id: int, outcome: AttemptOutcome, response: HttpMessage | None = None) -> None:
+        future = self._attempts.pop(stream_id, None)
+        if future is not None and not future.done():
+            future.set_result(AttemptEnd(outcome, response))
+
+    def _flush(self) -> None:
+        data = self.framing.data_to_send()
+        if data and not self.transport.is_closing():
+            self.transport.write(data)
--- a/tests/config/test_schema.py
+++ b/tests/config/test_schema.py
@@ -11,7 +11,7 @@
 from swiftchute.discovery.endpoint_list import BadList, Registry
 from swiftchute.discovery.sources import FileSource, HttpSource
 from swiftchute.observability.logging import mode_fields
-from swiftchute.proxy.xds_client import Client
+from swiftchute.proxy.xds_client import XdsClient
 from swiftchute.xds import load_reports
 
 S, MS = 1_000_000_000, 1_000_000
@@ -216,13 +216,13 @@
 
 
 def test_a_report_is_read_by_operation_and_server():
-    client = Client("n", "east", 1.0)
+    client = XdsClient("n", "east", 1.0)
     for _ in range(3):
-        client.met("0.1/read", "127.0.0.1:90", True, 0.2)
-    client.met("0.1/read", "127.0.0.1:90", False, 1.0)
-    client.dropped("0.1/read")
-    client.met("0.1/unknown", "127.0.0.1:90", True, 0.2)
-    report, node = load_reports.decode(client.report(0.5, first=True), frozenset({"read"}))
+        client.record_attempt("0.1/read", "127.0.0.1:90", True, 0.2)
+    client.record_attempt("0.1/read", "127.0.0.1:90", False, 1.0)
+    client.record_drop("0.1/read")
+    client.record_attempt("0.1/unknown", "127.0.0.1:90", True, 0.2)
+    report, node = load_reports.decode(client.build_load_report(0.5, first=True), frozenset({"read"}))
     assert (report.span, report.arrived) == (S // 2, (("read", 5, 1),))
     assert report.met == (("127.0.0.1:90", 4, 1, 600 * MS, 3),)
     assert node.id == "n"
--- a/tests/proxy/test_recorded_behaviour.py
+++ b/tests/proxy/test_recorded_behaviour.py
@@ -1,4 +1,4 @@
-"""The decisions and bytes of the proxy's I/O-free parts equal a recording, made before they were restructured.
+"""The decisions and bytes of the proxy's I/O-free parts equal a recording of an earlier version.
 
 Each test plays a fixed pseudo-random sequence and compares the digest of all that it observed.
 """
@@ -6,6 +6,7 @@
 import hashlib
 import itertools
 import random
+from dataclasses import astuple
 
 import pytest
 from envoy.config.cluster.v3.cluster_pb2 import Cluster
@@ -27,37 +28,39 @@
 from envoy.service.load_stats.v3.lrs_pb2 import LoadStatsRequest
 
 from swiftchute.proxy import response_headers
-from swiftchute.proxy.connection_pool import Limits as PoolLimits
-from swiftchute.proxy.connection_pool import Line, Pool
-from swiftchute.proxy.http_framing import Broken, Http1, Http2, Message
-from swiftchute.proxy.request import Core, Limits, Operation, Turned
-from swiftchute.proxy.retry import (
-    ANSWERED,
-    BROKEN,
-    ERRORED,
-    LATE,
-    REFUSED,
-    UNREACHABLE,
-    UNSENT,
-    WITHDRAWN,
+from swiftchute.proxy.connection_pool import ConnectionPool, PooledConnection
+from swiftchute.proxy.endpoint_table import EndpointTable
+from swiftchute.proxy.errors import HttpFramingError
+from swiftchute.proxy.http1_connection import Http1Connection
+from swiftchute.proxy.http2_connection import Http2Connection
+from swiftchute.proxy.http_framing import HttpMessage
+from swiftchute.proxy.request import Rejection, RequestRouter
+from swiftchute.proxy.retry import AttemptOutcome, RequestResult
+from swiftchute.proxy.settings import (
+    AdmissionDraw,
+    Idempotency,
+    LoadBalancing,
+    PoolLimits,
+    ProxyLimits,
+    RouteSettings,
 )
-from swiftchute.proxy.table_cache import Keep
-from swiftchute.proxy.xds_client import Client, Table
+from swiftchute.proxy.table_cache import TableCache
+from swiftchute.proxy.xds_client import XdsClient
 from swiftchute.xds import names
 
 S = 1_000_000_000
 NOW = 1000 * S
 OUTCOMES = [
-    ANSWERED,
-    ANSWERED,
-    ANSWERED,
-    ERRORED,
-    BROKEN,
-    LATE,
-    REFUSED,
-    UNREACHABLE,
-    UNSENT,
-    WITHDRAWN,
+    AttemptOutcome.SUCCEEDED,
+    AttemptOutcome.SUCCEEDED,
+    AttemptOutcome.SUCCEEDED,
+    AttemptOutcome.FAILED,
+    AttemptOutcome.CONNECTION_LOST,
+    AttemptOutcome.TIMED_OUT,
+    AttemptOutcome.REFUSED,
+    AttemptOutcome.UNREACHABLE,
+    AttemptOutcome.NOT_SENT,
+    AttemptOutcome.WITHDRAWN,
     None,
 ]
 ENDPOINTS = [f"10.0.0.{k}:80" for k in range(12)]
@@ -78,7 +81,7 @@
 
 
 def random_table(chance, operation):
-    return Table(
+    return EndpointTable(
         f"0.{chance.randrange(9)}/{operation}",
         {e: chance.randint(1, 9) for e in chance.sample(ENDPOINTS, chance.randint(0, 8))},
         chance.choice([1.0, 1.0, 0.7, 0.2, 0.0]),
@@ -92,31 +95,36 @@
 def play_requests(digest, limits, seed, count=1500):
     """Requests of four operations through the router: arrivals, attempts, outcomes, tables that change."""
     chance = random.Random(seed)
-    client = Client("gw", "z", 1.0)
+    client = XdsClient("gw", "z", 1.0)
     operations = {
-        "read": Operation("read", 2 * S, "idempotent"),
-        "key": Operation("key", S, "fingerprinted"),
-        "pay": Operation("pay", 4 * S, "side-effecting"),
+        "read": RouteSettings("read", 2 * S, Idempotency.IDEMPOTENT),
+        "key": RouteSettings("key", S, Idempotency.WITH_KEY),
+        "pay": RouteSettings("pay", 4 * S, Idempotency.SIDE_EFFECTING),
     }
-    core = Core(client, operations, limits, seed)
+    core = RequestRouter(client, operations, limits, seed)
     names_ = [*operations, "new", "none"]
     now, active = NOW, []
-    client.held[names.LDS]["new"] = ("1", None)
+    client.resources[names.LDS]["new"] = ("1", None)
     for step in range(count):
         now += chance.randrange(S // 20)
         if step % 60 == 0:
             client.tables = {op: random_table(chance, op) for op in names_[:4] if chance.random() < 0.9}
-            client.standing = {e: 1 for e in chance.sample(ENDPOINTS, chance.randint(0, 2))}
+            client.static_endpoints = dict.fromkeys(chance.sample(ENDPOINTS, chance.randint(0, 2)), 1)
             withdrawn = ClusterLoadAssignment()
             address = withdrawn.endpoints.add().lb_endpoints.add().endpoint.address.socket_address
             address.address, address.port_value = chance.choice(ENDPOINTS).split(":")[0], 80
-            client.held[names.EDS][names.WITHDRAWN] = ("1", withdrawn)
-            core.changed()
-            digest.add("tables", sorted(core.named), sorted(core.shut), sorted(core.tables))
+            client.resources[names.EDS][names.WITHDRAWN] = ("1", withdrawn)
+            core.update_tables()
+            digest.add(
+                "tables",
+                sorted(core.known_endpoints),
+                sorted(client.withdrawn_endpoints()),
+                sorted(core.tables),
+            )
         if chance.random() < 0.6 or not active:
-            request = core.came(chance.choice(names_), f"caller-{chance.randrange(20)}", now)
-            if isinstance(request, Turned):
-                digest.add("rejected", str(request.why))
+            request = core.admit(chance.choice(names_), f"caller-{chance.randrange(20)}", now)
+            if isinstance(request, Rejection):
+                digest.add("rejected", str(request.cause))
                 continue
             active.append(request)
         else:
@@ -124,78 +132,86 @@
             outcome = chance.choice(OUTCOMES)
             if outcome is None:
                 active.remove(request)
-                core.given_up(request, now)
-                digest.add("abandoned", core.under_way)
+                core.abandon(request, now)
+                digest.add("abandoned", core.in_flight)
                 continue
-            if core.ended(request, outcome, now):
+            if core.attempt_ended(request, outcome, now):
                 active.remove(request)
-                digest.add("ended", outcome.kind, request.attempt, core.under_way)
+                digest.add("ended", outcome.result.value, request.retries, core.in_flight)
                 continue
-        attempt = core.next(request, now)
+        attempt = core.next_attempt(request, now)
         if attempt is None:
             active.remove(request)
-            core.given_up(request, now)
-            digest.add("nothing left", core.under_way)
+            core.abandon(request, now)
+            digest.add("nothing left", core.in_flight)
         else:
-            digest.add(attempt.server, attempt.until, request.attempt, request.until)
-        budget = core.budget
-        digest.add(round(budget.room, 9), budget.spent, budget.denied, sorted(core.avoided.now(now)))
-    digest.add(core.avoided.runs, sorted(core.at.items()), sorted(core.ends.items()))
-    digest.add(sorted((str(cause), many) for cause, many in core.turned.items()))
-    rows = ((cluster, c.dropped, sorted(c.servers.items())) for cluster, c in sorted(client.counted.items()))
+            digest.add(attempt.endpoint, attempt.deadline_ns, request.retries, request.deadline_ns)
+        budget = core.retry_budget
+        digest.add(round(budget.tokens, 9), budget.granted, budget.denied, sorted(core.ejector.ejected(now)))
+    digest.add(
+        core.ejector.ejection_count,
+        sorted(core.in_flight_by_endpoint.items()),
+        sorted((str(result), count) for result, count in core.attempt_counts.items()),
+    )
+    digest.add(sorted((str(cause), many) for cause, many in core.rejection_counts.items()))
+    rows = (
+        (
+            cluster,
+            c.dropped,
+            [(address, list(astuple(load))) for address, load in sorted(c.endpoints.items())],
+        )
+        for cluster, c in sorted(client.load_by_cluster.items())
+    )
     digest.add(*rows)
 
 
 def test_router_decisions_equal_the_recording():
     digest = Digest()
     seeds = itertools.count(1)
-    for pick, again, limit in itertools.product(
-        ("weight", "rotate", "two-choices"), ("anew", "refused"), (0, 2)
-    ):
-        limits = Limits(under_way=30, server=limit, pick=pick, avoid_after=3, avoid_for=S, try_part=0.1,
-                        try_least=0.5, refused_again=again)  # fmt: skip
+    for pick, draw, limit in itertools.product(LoadBalancing, AdmissionDraw, (0, 2)):
+        limits = ProxyLimits(30, limit, pick, 3, S, 0.1, 0.5, draw)
         play_requests(digest, limits, next(seeds))
-    play_requests(digest, Limits(), next(seeds))
+    play_requests(digest, ProxyLimits(), next(seeds))
     assert repr(digest) == ROUTER
 
 
 class PeerWindow:
     """A connection whose peer takes so many more streams."""
 
-    def __init__(self, room):
-        self.room = room
+    def __init__(self, available_streams):
+        self.available_streams = available_streams
 
 
 def test_pool_decisions_equal_the_recording():
     digest, chance = Digest(), random.Random(5)
-    pool = Pool(PoolLimits(connections=3, streams=10, first=2, waiting=4, idle=3 * S))
+    pool = ConnectionPool(PoolLimits(3, 10, 2, 4, 3 * S))
     now, busy, numbers = NOW, [], {}
     for _ in range(5000):
         now += chance.randrange(S // 5)
         act = chance.random()
         if act < 0.5:
-            found = pool.ask()
-            digest.add("ask", numbers[found] if isinstance(found, Line) else str(found))
-            if isinstance(found, Line):
-                pool.given(found, now)
+            found = pool.select()
+            digest.add("ask", numbers[found] if isinstance(found, PooledConnection) else str(found))
+            if isinstance(found, PooledConnection):
+                pool.request_started(found, now)
                 busy.append(found)
             elif found == "dial":
-                pool.dialling += 1
+                pool.dialing += 1
             pool.waiting = chance.randrange(6)
-        elif act < 0.6 and pool.dialling:
-            pool.dialling -= 1
-            line = pool.opened(PeerWindow(chance.randint(1, 12)), now)
+        elif act < 0.6 and pool.dialing:
+            pool.dialing -= 1
+            line = pool.add(PeerWindow(chance.randint(1, 12)), now)
             numbers[line] = len(numbers)
         elif act < 0.9 and busy:
             line = busy.pop(chance.randrange(len(busy)))
-            pool.answered(line, chance.random() < 0.8, now)
-            digest.add(numbers[line], line.warm, line.free, line.under_way)
-        elif act < 0.92 and pool.lines:
-            chance.choice(pool.lines).closing = True
-        elif pool.lines:
-            for line in pool.idle(now):
+            pool.request_ended(line, chance.random() < 0.8, now)
+            digest.add(numbers[line], line.stream_limit, line.available_streams, line.in_flight)
+        elif act < 0.92 and pool.connections:
+            chance.choice(pool.connections).closing = True
+        elif pool.connections:
+            for line in pool.idle_connections(now):
                 digest.add("idle", numbers[line])
-                pool.closed(line)
+                pool.remove(line)
     assert repr(digest) == POOL
 
 
@@ -268,15 +284,15 @@
     def refuses(kind, name, message):
         return "bad" if chance.random() < 0.1 else None
 
-    client = Client("gw", "z", 2.5, delta, lines, refuses)
-    client.standing = {"10.9.9.9:1": 1}
+    client = XdsClient("gw", "z", 2.5, delta, lines, refuses)
+    client.static_endpoints = {"10.9.9.9:1": 1}
 
     def sent(requests):
         form = DeltaDiscoveryRequest if delta else DiscoveryRequest
         digest.add([form.FromString(request).SerializeToString(deterministic=True) for request in requests])
 
     for stream in range(6):
-        sent(client.hello(fresh=chance.random() < 0.5))
+        sent(client.open_stream(fresh=chance.random() < 0.5))
         for order in range(1, 60):
             kind = chance.choice([kind for kind in names.ORDER if delta or kind != names.LEDS])
             found = random_resources(chance, kind, lines)
@@ -299,14 +315,13 @@
             sent(client.receive(response.SerializeToString()))
             for operation in ("read", "pay", "none"):
                 table = client.table(operation)
-                digest.add(table and (table.cluster, table.lines, table.level, table.tries, table.sure,
-                                      table.per_try, table.timeout))  # fmt: skip
+                digest.add(table and astuple(table))
                 if table is not None:
-                    for endpoint in table.lines:
-                        client.met(table.cluster, endpoint, chance.random() < 0.8, chance.random())
-                    client.dropped(table.cluster)
-            digest.add(sorted(client.shut()), client.ignored, client.applied)
-        report = LoadStatsRequest.FromString(client.report(1.25, first=stream == 0))
+                    for endpoint in table.weights:
+                        client.record_attempt(table.cluster, endpoint, chance.random() < 0.8, chance.random())
+                    client.record_drop(table.cluster)
+            digest.add(sorted(client.withdrawn_endpoints()), client.ignored, client.applied)
+        report = LoadStatsRequest.FromString(client.build_load_report(1.25, first=stream == 0))
         digest.add(report.SerializeToString(deterministic=True))
     assert repr(digest) == XDS[delta, lines]
 
@@ -329,40 +344,40 @@
         headers = [field for field in REQUEST if field[0] != b"Keep-Alive"]
         body = chance.randbytes(chance.choice([0, 3, 500, 30_000]))
         try:
-            if client.room:
-                digest.add("send", client.send(Message(0, headers, body, [])), client.room)
-        except Broken as cause:
+            if client.available_streams:
+                digest.add("send", client.send(HttpMessage(0, headers, body, [])), client.available_streams)
+        except HttpFramingError as cause:
             digest.add("broken", str(cause))
         for writer, reader, is_server in ((client, server, True), (server, client, False)):
-            data = writer.out()
+            data = writer.data_to_send()
             digest.add(data)
             size = chance.choice([1000, 7000, 100_000])
             for start in range(0, len(data), size):
                 try:
-                    found = reader.feed(data[start : start + size])
-                except Broken as cause:
+                    found = reader.receive_data(data[start : start + size])
+                except HttpFramingError as cause:
                     digest.add("broken", str(cause))
                     return
                 digest.add(events_of(found), reader.closing)
-                asked += [event for event in found if is_server and isinstance(event, Message)]
+                asked += [event for event in found if is_server and isinstance(event, HttpMessage)]
             if is_server and asked and chance.random() < 0.8:
-                number = asked.pop(0).number
+                number = asked.pop(0).stream_id
                 act = chance.random()
-                if isinstance(server, Http2) and act < 0.2:
-                    server.reset(number, 7)
+                if isinstance(server, Http2Connection) and act < 0.2:
+                    server.reset_stream(number, 7)
                 else:
                     body = chance.randbytes(chance.choice([0, 10, 9000]))
-                    trailers = [(b"grpc-status", b"0")] if isinstance(server, Http2) else []
-                    server.send(Message(number, RESPONSE, body, trailers))
-                if isinstance(server, Http1):
-                    asked += [e for e in server.more() if isinstance(e, Message)]
+                    trailers = [(b"grpc-status", b"0")] if isinstance(server, Http2Connection) else []
+                    server.send(HttpMessage(number, RESPONSE, body, trailers))
+                if isinstance(server, Http1Connection):
+                    asked += [e for e in server.next_events() if isinstance(e, HttpMessage)]
                 elif act > 0.9:
                     client.ping()
-    server.leave() if isinstance(server, Http2) else server.reset(0, 8)
-    digest.add(server.out(), server.closing, server.room)
+    server.send_goaway() if isinstance(server, Http2Connection) else server.reset_stream(0, 8)
+    digest.add(server.data_to_send(), server.closing, server.available_streams)
 
 
-@pytest.mark.parametrize("make", [Http2, Http1])
+@pytest.mark.parametrize("make", [Http2Connection, Http1Connection])
 def test_frames_equal_the_recording(make):
     digest = Digest()
     for seed in range(4):
@@ -376,17 +391,18 @@
 def test_forwarded_requests_and_local_responses_equal_the_recording():
     digest = Digest()
     for rpc, left in itertools.product((True, False), (1, 10**6, 7 * S)):
-        made = response_headers.onward(Message(3, REQUEST, b"body", [(b"x", b"y")]), rpc, left)
-        digest.add(made.number, made.headers, made.body, made.trailers)
+        made = response_headers.forwarded_request(HttpMessage(3, REQUEST, b"body", [(b"x", b"y")]), rpc, left)
+        digest.add(made.stream_id, made.headers, made.body, made.trailers)
     for rpc in (True, False):
-        for why in ("unknown", "full", "no line", "level", "late", "unreachable", "refused", "withdrawn",
-                    "broken", "errored"):  # fmt: skip
-            made = response_headers.turned(why, rpc)
-            digest.add(made.number, made.headers, made.body, made.trailers)
+        for why in list(RequestResult)[1:-1]:
+            made = response_headers.local_response(why, rpc)
+            digest.add(made.stream_id, made.headers, made.body, made.trailers)
     for path in (b"/", b"/a/b%20c?d", b"", b"/x/"):
         for timeout in (b"1H", b"2M", b"3S", b"4m", b"5u", b"6n", b"7x", b"", b"123456789S"):
-            asked = response_headers.read(Message(0, [(b":path", path), (b"grpc-timeout", timeout)]))
-            digest.add(asked.operation, asked.rpc, asked.within)
+            asked = response_headers.parse_request(
+                HttpMessage(0, [(b":path", path), (b"grpc-timeout", timeout)])
+            )
+            digest.add(asked.operation, asked.grpc, asked.timeout_ns)
     assert repr(digest) == HEADERS
 
 
@@ -397,20 +413,20 @@
     "5b3a3a315d3a38303830cdffffcb3ff000000000000002c2cb3fd0000000000000c0"
 )
 STORED_TABLES = {
-    "read": Table("0.1/read", {"10.0.0.1:80": 3, "10.0.0.2:80": 1}, 0.5, 1, True, None, 4.0),
-    "pay": Table("7.3/pay", {"[::1]:8080": 65_535}, 1.0, 2, False, 0.25, None),
+    "read": EndpointTable("0.1/read", {"10.0.0.1:80": 3, "10.0.0.2:80": 1}, 0.5, 1, True, None, 4.0),
+    "pay": EndpointTable("7.3/pay", {"[::1]:8080": 65_535}, 1.0, 2, False, 0.25, None),
 }
 
 
 def test_a_cache_file_of_the_first_release_is_read(tmp_path):
     path = tmp_path / "tables"
     path.write_bytes(STORED)
-    assert Keep(str(path), 60 * S).load(NOW + S) == STORED_TABLES
+    assert TableCache(str(path), 60 * S).load(NOW + S) == STORED_TABLES
 
 
 def test_a_cache_file_is_written_as_the_first_release_wrote_it(tmp_path):
     path = tmp_path / "tables"
-    assert Keep(str(path), 60 * S).save(STORED_TABLES, NOW)
+    assert TableCache(str(path), 60 * S).save(STORED_TABLES, NOW)
     assert path.read_bytes() == STORED
 
 
@@ -421,5 +437,5 @@
     (True, False): "1782 ce7cd54bfe7ed3a4",
     (False, False): "1782 429181f3fa440f32",
 }
-FRAMES = {"Http2": "1989 09f03602f10248ac", "Http1": "488 7374cea7ae5646a4"}
+FRAMES = {"Http2Connection": "1989 09f03602f10248ac", "Http1Connection": "488 7374cea7ae5646a4"}
 HEADERS = "62 65acbee6817dbe4e"
--- a/tests/proxy/test_server.py
+++ b/tests/proxy/test_server.py
@@ -2,6 +2,7 @@
 
 import asyncio
 import json
+from dataclasses import replace
 
 import httpx
 import pytest
@@ -11,21 +12,23 @@
 from grpclib.exceptions import GRPCError, StreamTerminatedError
 
 from swiftchute.config import load
-from swiftchute.config.proxy import _PROXY
 from swiftchute.config.proxy import load as load_proxy
 from swiftchute.daemon.proxy import Daemon
 from swiftchute.daemon.service import Service
 from swiftchute.fakes.backend import SERVICE, Facts, Worker
 from swiftchute.observability.logging import setup
 from swiftchute.policy import Reconciler
-from swiftchute.proxy.http_framing import Http2, Message
-from swiftchute.proxy.request import Core, Limits, Operation
-from swiftchute.proxy.server import Proxy
-from swiftchute.proxy.xds_client import Client, Table
+from swiftchute.proxy.endpoint_table import EndpointTable
+from swiftchute.proxy.http2_connection import Http2Connection
+from swiftchute.proxy.http_framing import HttpMessage
+from swiftchute.proxy.request import RequestRouter
+from swiftchute.proxy.server import ProxyServer
+from swiftchute.proxy.settings import Idempotency, PoolLimits, ProxyLimits, RouteSettings, ServerSettings
+from swiftchute.proxy.xds_client import XdsClient
 from swiftchute.xds.server import Raw
 
 S = 1_000_000_000
-PLUMBING = {key: field.default for key, field in _PROXY.items()} | {"listen": ("127.0.0.1", 0)}
+SETTINGS = ServerSettings()
 FACTS = Facts({"read": 0.02, "pay": 0.02}, room=10_000)
 
 
@@ -35,21 +38,21 @@
     came = 0
 
     def __init__(self, how):
-        self.how, self.wire = how, Http2(False, 2**20)
+        self.how, self.wire = how, Http2Connection(False, 2**20)
 
     def connection_made(self, transport):
         self.transport = transport
         self.wire.start()
-        transport.write(self.wire.out())
+        transport.write(self.wire.data_to_send())
 
     def data_received(self, data):
         if self.how == "silent":
             return
-        for event in self.wire.feed(data):
-            if isinstance(event, Message):
+        for event in self.wire.receive_data(data):
+            if isinstance(event, HttpMessage):
                 self.how.came += 1
                 self.how.do(self, event)
-        self.transport.write(self.wire.out())
+        self.transport.write(self.wire.data_to_send())
 
 
 class Way:
@@ -60,7 +63,7 @@
 
 
 def header_then_silence(protocol, request):
-    protocol.wire.wire.send_headers(request.number, [(b":status", b"200")])
+    protocol.wire.h2.send_headers(request.stream_id, [(b":status", b"200")])
 
 
 def break_after_it_ran(protocol, request):
@@ -68,18 +71,18 @@
 
 
 def refuse(protocol, request):
-    protocol.wire.reset(request.number, 7)
+    protocol.wire.reset_stream(request.stream_id, 7)
 
 
 def cancel(protocol, request):
-    protocol.wire.reset(request.number, 8)
+    protocol.wire.reset_stream(request.stream_id, 8)
 
 
 def go_away(protocol, request):
     """GOAWAY that names an earlier stream: this one never ran."""
-    last = max(request.number - 2, 0)
+    last = max(request.stream_id - 2, 0)
     frame = (8).to_bytes(3, "big") + b"\x07\0" + bytes(4) + last.to_bytes(4, "big") + bytes(4)
-    protocol.transport.write(protocol.wire.out() + frame)
+    protocol.transport.write(protocol.wire.data_to_send() + frame)
 
 
 async def odd(do):
@@ -91,16 +94,17 @@
 class World:
     """A proxy with tables that a test writes, and a gRPC channel to it."""
 
-    def __init__(self, lines, tries=1, sure=True, level=1.0, limits=None, timeout=1.0, **plumbing):
-        client = Client("gw", "z", 1.0)
+    def __init__(self, lines, tries=1, sure=True, level=1.0, limits=None, timeout=1.0, settings=SETTINGS):
+        client = XdsClient("gw", "z", 1.0)
         client.tables = {
-            op: Table(f"0.1/{op}", dict(lines), level, tries, sure, None, timeout) for op in ("read", "pay")
+            op: EndpointTable(f"0.1/{op}", dict(lines), level, tries, sure, None, timeout)
+            for op in ("read", "pay")
         }
-        repeats = {"read": "idempotent", "pay": "side-effecting"}
-        operations = {op: Operation(op, S, word) for op, word in repeats.items()}
-        self.core = Core(client, operations, limits or Limits(avoid_after=0), 7)
-        self.core.changed()
-        self.proxy = Proxy(self.core, PLUMBING | plumbing)
+        repeats = {"read": Idempotency.IDEMPOTENT, "pay": Idempotency.SIDE_EFFECTING}
+        operations = {op: RouteSettings(op, S, word) for op, word in repeats.items()}
+        self.core = RequestRouter(client, operations, limits or ProxyLimits(ejection_failures=0), 7)
+        self.core.update_tables()
+        self.proxy = ProxyServer(self.core, settings)
 
     async def __aenter__(self):
         self.at = await self.proxy.start()
@@ -152,7 +156,7 @@
             assert set(found) == {"ok"}
             assert 0.6 < ran(one) / 200 < 0.9
             assert ran(one) + ran(two) == 200
-            assert world.core.under_way == 0
+            assert world.core.in_flight == 0
 
     run(act)
 
@@ -176,7 +180,7 @@
             assert await world.call(op, body=b"once|0|g") == status
             assert way.came == saw
             assert ran(good) == (status == "ok")
-            assert world.core.under_way == 0
+            assert world.core.in_flight == 0
         server.close()
 
     run(act)
@@ -209,8 +213,10 @@
         server = await asyncio.get_running_loop().create_server(lambda: Odd("silent"), "127.0.0.1", 0)
         at = "{}:{}".format(*server.sockets[0].getsockname()[:2])
         (good,) = await workers(1)
-        limits = Limits(avoid_after=3, avoid_for=60 * S)
-        async with World({at: 1, good.address: 1}, limits=limits, silent=S // 5) as world:
+        limits = ProxyLimits(ejection_failures=3, ejection_ns=60 * S)
+        async with World(
+            {at: 1, good.address: 1}, limits=limits, settings=replace(SETTINGS, silence_timeout_ns=S // 5)
+        ) as world:
             found = await asyncio.gather(*(world.call() for _ in range(40)))
             assert found.count("ok") > 5
             assert found.count("ok") < 38  # those that were written there end within their second
@@ -227,8 +233,10 @@
         async with World({one.address: 1}) as world:
             first = asyncio.ensure_future(world.call())
             await asyncio.sleep(0.1)
-            world.core.client.tables = {"read": Table("0.2/read", {two.address: 1}, timeout=1.0)}
-            world.core.changed()
+            world.core.client.tables = {
+                "read": EndpointTable("0.2/read", {two.address: 1}, request_timeout_s=1.0)
+            }
+            world.core.update_tables()
             assert [await world.call() for _ in range(5)] == ["ok"] * 5
             assert await first == "ok"
             assert (ran(one), ran(two)) == (1, 5)
@@ -239,16 +247,16 @@
 def test_a_caller_that_goes_away_frees_its_server():
     async def act():
         way, server, at = await odd(header_then_silence)
-        async with World({at: 1}, streams=2) as world:
+        async with World({at: 1}, settings=replace(SETTINGS, pool=PoolLimits(max_streams=2))) as world:
             task = asyncio.ensure_future(world.call(timeout=0.2))
             await task
             for _ in range(100):
-                if world.core.under_way == 0:
+                if world.core.in_flight == 0:
                     break
                 await asyncio.sleep(0.01)
-            assert (world.core.under_way, dict(world.core.at)) == (0, {})
+            assert (world.core.in_flight, dict(world.core.in_flight_by_endpoint)) == (0, {})
             (upstream,) = world.proxy.upstreams.values()
-            assert [line.under_way for line in upstream.pool.lines] == [0]
+            assert [line.in_flight for line in upstream.pool.connections] == [0]
         server.close()
 
     run(act)
@@ -259,9 +267,12 @@
         made = await workers(2)
         for w in made:
             w.facts = Facts({"read": 0.0, "pay": 0.0}, room=10_000)
-        limits = Limits(under_way=500, avoid_after=0)
+        limits = ProxyLimits(max_in_flight=500, ejection_failures=0)
         async with World(
-            {w.address: 1 for w in made}, limits=limits, timeout=20.0, streams=1000, waiting=1000
+            {w.address: 1 for w in made},
+            limits=limits,
+            timeout=20.0,
+            settings=replace(SETTINGS, pool=PoolLimits(max_streams=1000, max_waiting=1000)),
         ) as world:
             channels = [Channel(*world.at, codec=Raw()) for _ in range(20)]
 
@@ -273,8 +284,8 @@
             found = await asyncio.gather(*(one(k) for k in range(2000)))
             assert set(found) <= {"ok", Status.UNAVAILABLE}
             assert found.count("ok") >= 500
-            assert world.core.turned["full"] == found.count(Status.UNAVAILABLE) > 0
-            assert (world.core.under_way, dict(world.core.at)) == (0, {})
+            assert world.core.rejection_counts["full"] == found.count(Status.UNAVAILABLE) > 0
+            assert (world.core.in_flight, dict(world.core.in_flight_by_endpoint)) == (0, {})
             for channel in channels:
                 channel.close()
 
@@ -322,8 +333,8 @@
         async with World({at: 1}, tries=1) as world:
             table = next(iter(world.core.client.tables.values()))
             world.core.client.tables = dict.fromkeys(operations, table)
-            world.core.operations |= {op: Operation(op, S, "side-effecting") for op in operations}
-            world.core.changed()
+            world.core.routes |= {op: RouteSettings(op, S, Idempotency.SIDE_EFFECTING) for op in operations}
+            world.core.update_tables()
             base = "http://{}:{}".format(*world.at)
             async with httpx.AsyncClient(trust_env=False, timeout=5) as http:
                 found = [(await http.post(f"{base}/ok", content=b"x" * n)).text for n in (0, 5, 5000)]
@@ -334,7 +345,7 @@
                 assert codes == [500, 504, 502, 404]
                 assert (await http.post(f"{base}/ok", content=b"x" * 2**21)).status_code == 413
             assert web.seen.count(b"/close") == web.seen.count(b"/fail") == 1  # none was tried again
-            assert world.core.under_way == 0
+            assert world.core.in_flight == 0
         server.close()
 
     run(act)
@@ -431,11 +442,11 @@
 
         async def settled(daemon, lines):
             for _ in range(400):
-                held = daemon.core.tables.get("read")
-                if held is not None and set(held[0].lines) == lines:
+                held = daemon.router.tables.get("read")
+                if held is not None and set(held.table.weights) == lines:
                     return
                 await asyncio.sleep(0.02)
-            raise AssertionError(daemon.core.tables)
+            raise AssertionError(daemon.router.tables)
 
         async def calls(at, count):
             world = World.__new__(World)
@@ -468,6 +479,6 @@
         made = daemon(1)  # no planner answers now
         async with Started(made) as proxy:
             assert await calls(proxy.at, 5) == ["ok"] * 5
-            assert set(made.core.tables["read"][0].lines) == {two.address}
+            assert set(made.router.tables["read"].table.weights) == {two.address}
 
     run(act)
--- a/tests/xds/test_server.py
+++ b/tests/xds/test_server.py
@@ -21,7 +21,7 @@
 from swiftchute.fakes.gateway import Gateway
 from swiftchute.observability.logging import setup
 from swiftchute.policy import Reconciler
-from swiftchute.proxy.xds_client import Client
+from swiftchute.proxy.xds_client import XdsClient
 from swiftchute.xds import names
 from swiftchute.xds.server import ADS, Raw
 
@@ -138,15 +138,15 @@
 
     async def main():
         address = await place.start()
-        good = Gateway(Client("good", "north", 5.0), [address], 1)
+        good = Gateway(XdsClient("good", "north", 5.0), [address], 1)
         good.start()
         await until(lambda: good.client.tables)
-        nobody, moon = Client("", "north", 1.0), Client("m", "moon", 1.0)
-        assert await refused(address, nobody.hello(True)[:1], "Delta") == (
+        nobody, moon = XdsClient("", "north", 1.0), XdsClient("m", "moon", 1.0)
+        assert await refused(address, nobody.open_stream(True)[:1], "Delta") == (
             Status.INVALID_ARGUMENT,
             "the first request carries no node id",
         )
-        status, text = await refused(address, moon.hello(True)[:1], "Delta")
+        status, text = await refused(address, moon.open_stream(True)[:1], "Delta")
         assert status is Status.INVALID_ARGUMENT
         assert "zone 'moon' is none of north, south, west" in text
         status, text = await refused(address, [b"\xff\xff\xff\xff"])
@@ -159,12 +159,12 @@
         writer.write(b"GET / HTTP/1.1\r\n\r\n" * 50)
         await asyncio.wait_for(reader.read(), 5)  # closed by the planner
         writer.close()
-        double = Gateway(Client("good", "north", 5.0), [address], 2, redial=(60, 61))
+        double = Gateway(XdsClient("good", "north", 5.0), [address], 2, reconnect_delay_s=(60, 61))
         double.start()
         await until(lambda: good.record.streams[-1].on is False)  # the newer stream has the node
         await until(lambda: double.client.tables)
         await double.stop()
-        await until(lambda: good.streams > 1 and good.joined)
+        await until(lambda: good.stream_count > 1 and good.connected_to)
         await good.stop()
         await place.stop()
 
@@ -184,12 +184,12 @@
             {"targets": [f"10.0.{k // 250}.{k % 250}:80"], "labels": {"zone": "north"}} for k in range(2000)
         ]
         place.list.write_text(json.dumps(rows))
-        good = Gateway(Client("good", "north", 5.0, delta=False), [address], 1)
+        good = Gateway(XdsClient("good", "north", 5.0, delta=False), [address], 1)
         good.start()
         with pytest.raises(GRPCError, match="nothing read for 1 s"):
             await _unread(address, place.service.front)
-        assert good.joined
-        await until(lambda: good.client.tables and len(good.client.table("lot-estimate").lines) == 2000)
+        assert good.connected_to
+        await until(lambda: good.client.tables and len(good.client.table("lot-estimate").weights) == 2000)
         await good.stop()
         await place.stop()
 
@@ -200,13 +200,13 @@
     """A client that takes its clusters, asks for endpoints and reads no further."""
     small = Configuration(http2_stream_window_size=65_535, http2_connection_window_size=65_535)
     channel = Channel(*address, codec=Raw(), config=small)
-    stuck, method = Client("stuck", "north", 5.0, delta=False), ADS + "StreamAggregatedResources"
+    stuck, method = XdsClient("stuck", "north", 5.0, delta=False), ADS + "StreamAggregatedResources"
     try:
         async with channel.request(method, Cardinality.STREAM_STREAM, bytes, bytes) as stream:
             await stream.send_request()
-            for request in stuck.hello(True):
+            for request in stuck.open_stream(True):
                 await stream.send_message(request)
-            while not (stuck.held[names.CDS] and stuck.held[names.EDS]):
+            while not (stuck.resources[names.CDS] and stuck.resources[names.EDS]):
                 for answer in stuck.receive(await stream.recv_message()):
                     await stream.send_message(answer)
             await until(lambda: "stuck" in front.sids)
@@ -320,11 +320,14 @@
 
     async def main():
         address = await place.start()
-        gateways = [Gateway(Client(f"g{k}", "north", 5.0), [address], k, redial=(60, 61)) for k in range(2)]
+        gateways = [
+            Gateway(XdsClient(f"g{k}", "north", 5.0), [address], k, reconnect_delay_s=(60, 61))
+            for k in range(2)
+        ]
         for gateway in gateways:
             gateway.start()
         await until(lambda: all(g.client.tables for g in gateways))
-        status, text = await refused(address, Client("third", "north", 1.0).hello(True)[:1], "Delta")
+        status, text = await refused(address, XdsClient("third", "north", 1.0).open_stream(True)[:1], "Delta")
         assert (status, text) == (Status.RESOURCE_EXHAUSTED, "2 streams are open, the most allowed")
         idle = [await asyncio.open_connection(*address) for _ in range(4)]
         for reader, _ in idle[2:]:  # with the two gateways' connections, these are past twice the streams
@@ -334,7 +337,7 @@
                 said = b""
             assert said == b""  # closed without a word
         assert place.service.shell.server.turned_away == 2
-        assert all(g.joined for g in gateways)
+        assert all(g.connected_to for g in gateways)
         for _, writer in idle:
             writer.close()
         for gateway in gateways:
--- a/tests/xds/test_stream.py
+++ b/tests/xds/test_stream.py
@@ -7,7 +7,7 @@
 
 from swiftchute.api.settings import Settings
 from swiftchute.controller.controller import Content, Holding
-from swiftchute.proxy.xds_client import Client
+from swiftchute.proxy.xds_client import XdsClient
 from swiftchute.xds import names
 from swiftchute.xds.messages import Request, Violation, decode, encode
 from swiftchute.xds.resources import Translator, whole_weights
@@ -326,14 +326,14 @@
     The client is the oracle: it knows nothing of versions wanted, only what came as bytes.
     """
     delta, lines = form != "sotw", form == "lines"
-    client = Client("n", "east", 1.0, delta=delta, lines=lines)
-    client.refuses = lambda kind, name, message: "no" if refusing else None
+    client = XdsClient("n", "east", 1.0, delta=delta, endpoint_collections=lines)
+    client.validate = lambda kind, name, message: "no" if refusing else None
     translator, refusing, now, held, seal = Translator(SETTINGS), False, 0, None, 0
     barred, to_server, to_client = frozenset(), [], []
 
     def connect():
         made = Stream(delta, f"s{now}", 1, lines)
-        to_server[:] = client.hello(True)
+        to_server[:] = client.open_stream(True)
         to_client.clear()
         if held is not None:
             made.want(translator.wanted(held, (), lines), "again", None, now)
@@ -354,10 +354,10 @@
         for op, table in held.bound:
             got = client.tables[op]
             want = held.contents[table]
-            assert got.lines == {
+            assert got.weights == {
                 s: w for (s, _, _), w in zip(want.lines, whole_weights(want.lines), strict=True)
             }
-            assert got.level == pytest.approx(want.levels[0][0], abs=1e-6)
+            assert got.admission_rate == pytest.approx(want.levels[0][0], abs=1e-6)
             assert got.cluster == f"{table}/{op}"
 
     stream = connect()
