--- a/swiftchute/drill/fleet.py
+++ b/swiftchute/drill/fleet.py
@@ -23,7 +23,7 @@
 from swiftchute.fakes.gateway import Gateway
 from swiftchute.fakes.relay import Relay
 from swiftchute.fakes.resolver import Caller, Resolver
-from swiftchute.proxy.xds_client import Client
+from swiftchute.proxy.xds_client import XdsClient
 
 NS_PER_S = 1_000_000_000
 OVERSTAY_S = 4.0  # a resolver of that kind keeps answers past their time to live for so long
@@ -161,11 +161,13 @@
         zone = ZONES[number % len(ZONES)]
         addresses = [await self._start_relay(number, instance) for instance in self._instance_addresses]
         rate = self.scenario.request_rate * (0.5 + self.random.random())
-        client = Client(f"gw-{number:02}", zone, rate, delta=number % 4 != 3, lines=number % 2 == 0)
+        client = XdsClient(
+            f"gw-{number:02}", zone, rate, delta=number % 4 != 3, endpoint_collections=number % 2 == 0
+        )
         own = [backend.address for backend in self.backends if backend.zone == zone]
         listed = self.random.sample(own, min(DEFAULT_TABLE_ENTRIES, len(own)))
-        client.standing = dict.fromkeys(listed, 1)
-        gateway = Gateway(client, addresses, self.random.getrandbits(32), keepalive=0.8, worth=values)
+        client.static_endpoints = dict.fromkeys(listed, 1)
+        gateway = Gateway(client, addresses, self.random.getrandbits(32), keepalive_s=0.8, worth=values)
         self.gateways.append(gateway)
         gateway.start()
 
--- a/swiftchute/drill/runner.py
+++ b/swiftchute/drill/runner.py
@@ -83,7 +83,7 @@
     async def _wait_until_connected(self) -> None:
         """Wait for instances that are processes of their own."""
         for _ in range(STARTUP_POLLS):
-            if all(gateway.joined for gateway in self._fleet.xds_gateways):
+            if all(gateway.connected_to for gateway in self._fleet.xds_gateways):
                 return
             await asyncio.sleep(STARTUP_POLL_INTERVAL_S)
 
@@ -106,7 +106,7 @@
 
     def _start_load(self, gateway: Gateway) -> None:
         for operation in OPERATIONS:
-            rate = gateway.client.rate * request_share(self._scenario, operation)
+            rate = gateway.client.request_rate_per_s * request_share(self._scenario, operation)
             load = gateway.load(operation, rate, self._scenario.duration)
             self._tasks.append(asyncio.ensure_future(load))
 
@@ -140,7 +140,16 @@
             [attempt for record in records for attempt in record.tries],
             [stream for record in records for stream in record.streams],
             [receipt for backend in fleet.backends for receipt in backend.receipts],
-            {c.node: (c.zone, c.rate, c.delta, c.lines, dict(c.standing)) for c in clients},
+            {
+                c.node: (
+                    c.zone,
+                    c.request_rate_per_s,
+                    c.delta,
+                    c.endpoint_collections,
+                    dict(c.static_endpoints),
+                )
+                for c in clients
+            },
             {backend.address: backend.facts.cores * backend.speed for backend in fleet.backends},
             self._actions.unavailable_spans(end),
             end,
@@ -156,7 +165,7 @@
     def _replay(self, result: Result) -> None:
         """Deliver every recorded message twice more: no table may change, no backend may get a request."""
         fleet = self._fleet
-        before = {g.client.node: (repr(g.client.tables), repr(g.client.held)) for g in fleet.gateways}
+        before = {g.client.node: (repr(g.client.tables), repr(g.client.resources)) for g in fleet.gateways}
         receipts, attempts = self._traffic()
         clients = {gateway.client.node: gateway.client for gateway in fleet.gateways}
         for order in result.evidence.orders * 2:
@@ -165,7 +174,7 @@
         result.changed = [
             node
             for node, state in before.items()
-            if (repr(clients[node].tables), repr(clients[node].held)) != state
+            if (repr(clients[node].tables), repr(clients[node].resources)) != state
         ]
         if self._traffic() != (receipts, attempts):
             result.changed.append("workers' counters")
