--- /dev/null
+++ b/tests/controller/test_digest.py
@@ -0,0 +1,364 @@
+"""A fixed scenario through the controller with the real policy: its outputs must not change with its code.
+
+Recorded for each run: messages to proxies, tables of each proxy, deadlines, log events and explanations. A change
+of behaviour on purpose changes the digests; the commit that does so gives the reason.
+"""
+
+import hashlib
+import random
+
+import pytest
+
+from swiftchute.api.endpoints import EndpointRecord
+from swiftchute.api.settings import Settings
+from swiftchute.controller.controller import Core, Keep
+from swiftchute.controller.load_aggregation import Report
+from swiftchute.discovery.endpoint_list import News
+from swiftchute.policy import Reconciler
+from swiftchute.safety.validator import Rules
+from swiftchute.versions.history import Unknown
+from swiftchute.versions.pinning import Impossible
+from tests.conftest import FACTS, operation
+
+NS_PER_S = 1_000_000_000
+START_NS = 1000 * NS_PER_S
+STEP_NS = NS_PER_S // 10
+ACK_DELAY_STEPS = 2
+RUN_STEPS = 500
+OPERATIONS = (operation("read"), operation("write", zone_local=True))
+PROXIES = {f"p{k}": ("east", "west")[k % 2] for k in range(8)}
+SLOW_PROXY = "p5"  # acknowledges ten times as late
+ENDPOINTS = {f"10.0.0.{k}:80": ("east", "west")[k % 2] for k in range(14)}
+DRAINED, OUTLIER, LATE_START = "10.0.0.2:80", "10.0.0.4:80", "10.0.0.99:80"
+
+
+class ScriptedPolicy(Reconciler):
+    """The real policy, which crashes or issues more commands when the scenario says so."""
+
+    crashes = False
+    extra_commands = None
+
+    def reconcile(self, now, calls, writer):
+        if ScriptedPolicy.crashes:
+            raise ZeroDivisionError("on purpose")
+        super().reconcile(now, calls, writer)
+        if ScriptedPolicy.extra_commands is not None:
+            extra, ScriptedPolicy.extra_commands = ScriptedPolicy.extra_commands, None
+            extra(writer)
+
+
+def record(endpoint, zone, state="ready", started_ns=0):
+    return EndpointRecord(endpoint, zone, "kind", 0, state, 1.0, started_ns)
+
+
+class Scenario:
+    """Plays the events of each step, runs every round that is due, and digests what comes out."""
+
+    def __init__(self, guard, enforce, canary, **facts):
+        ScriptedPolicy.crashes, ScriptedPolicy.extra_commands = False, None
+        settings = Settings(**(FACTS | {"operations": OPERATIONS, "proxy_count": len(PROXIES)} | facts))
+        keep = Keep(canary_part=0.25 if canary else 0.0, canary_step=0.05)
+        self.core = Core(settings, 7, ScriptedPolicy, START_NS, guard, enforce, keep)
+        self.random = random.Random(3)
+        self.now = START_NS
+        self.acks = []  # (step, proxy, nonce)
+        self.event_names = {}
+        self.digests = {name: hashlib.sha256() for name in ("pushes", "tables", "events", "explain")}
+
+    def note(self, name, *values):
+        self.digests[name].update(repr(values).encode())
+
+    def play(self):
+        for step in range(RUN_STEPS):
+            self.now = START_NS + step * STEP_NS
+            self.events_of(step)
+            self.run_round(step)
+            while self.now < self.core.due < START_NS + (step + 1) * STEP_NS:
+                self.now = self.core.due
+                self.run_round(step)
+        gate = self.core.gate
+        self.note("explain", sorted(self.core.counts.items()), sorted(gate.counts.items()) if gate else None)
+        self.note(
+            "explain",
+            [
+                (c.table, c.serial, c.version, c.parent, c.cause, c.put, c.gone)
+                for c in self.core.history.log(None, 1000)
+            ],
+        )
+        return {name: digest.hexdigest()[:16] for name, digest in self.digests.items()}
+
+    def run_round(self, step):
+        output = self.core.turn(self.now)
+        self.note("pushes", self.now, output.pushes, output.refused, self.core.due)
+        for proxy, nonce in output.pushes:
+            self.note("tables", proxy, self.tables(proxy))
+            delay = ACK_DELAY_STEPS * (10 if proxy == SLOW_PROXY else 1)
+            self.acks.append((step + delay, proxy, nonce))
+        for proxy in output.refused:
+            self.core.left(proxy)
+            self.core.joined(proxy, PROXIES[proxy], 10.0, False)
+        shown = []
+        for name, fields in output.events:
+            self.event_names[name] = self.event_names.get(name, 0) + 1
+            stable = {key: value for key, value in fields.items() if key not in ("at", "error")}
+            shown.append(repr(sorted(stable.items())))
+        self.note("events", self.now, sorted(shown))  # findings that end together come in any order
+
+    def tables(self, proxy):
+        held = self.core.held(proxy)
+        contents = [
+            (name, tuple(made.lines), made.levels, made.version)
+            for name, made in sorted(held.contents.items())
+        ]
+        return held.bound, contents, sorted(held.behind)
+
+    def list_changes(self, *records, scope="changes"):
+        self.core.listed(News(scope, tuple(records), ()))
+
+    def connect(self, proxy, fresh):
+        self.core.joined(proxy, PROXIES[proxy], 10.0, fresh)
+
+    def disconnect(self, proxy):
+        self.core.left(proxy)
+        self.acks = [ack for ack in self.acks if ack[1] != proxy]
+
+    def asked(self, command, *arguments):
+        """An operator's command, whose errors are an output too."""
+        try:
+            change = getattr(self.core, command)(*arguments)
+        except (Unknown, Impossible) as error:
+            self.note("explain", command, str(error))
+        else:
+            self.note("explain", command, change and change.version)
+
+    def events_of(self, step):
+        self.acknowledge(step)
+        if step % 10 == 5:
+            for proxy in PROXIES:
+                if proxy in self.core.proxies:
+                    self.core.heard(proxy, self.load_report(proxy, step), self.now)
+        if step % 50 == 0:
+            self.note("explain", self.core.explain(self.now), sorted(self.core.cold(self.now)))
+            self.note("explain", sorted(self.core.barred), self.core.ordered_lines("0.1"))
+        action = getattr(self, f"at_{step}", None)
+        if action is not None:
+            action()
+
+    def acknowledge(self, step):
+        due = [ack for ack in self.acks if ack[0] <= step]
+        self.acks = [ack for ack in self.acks if ack[0] > step]
+        for _, proxy, nonce in due:
+            if proxy not in self.core.proxies:
+                continue
+            if nonce is not None:
+                self.core.applied(proxy, nonce, self.now)
+            if not any(other == proxy for _, other, _ in self.acks):
+                self.core.settled(proxy, self.now)
+
+    def load_report(self, proxy, step):
+        demand = tuple(
+            (name, self.random.randint(20, 60), self.random.randint(0, 1)) for name in ("read", "write")
+        )
+        endpoints = []
+        for endpoint, zone in ENDPOINTS.items():
+            if zone != PROXIES[proxy]:
+                continue
+            attempts = self.random.randint(5, 15)
+            failures = attempts - 1 if endpoint == OUTLIER and 100 <= step < 200 else 0
+            good = attempts - failures
+            mean = self.random.randint(50, 400) * 1_000_000
+            endpoints.append((endpoint, attempts, failures, good * mean, good))
+        return Report(NS_PER_S, demand, (*endpoints, ("1.2.3.4:5", 1, 1, 0, 0)))
+
+    def at_0(self):
+        self.list_changes(*(record(e, z) for e, z in ENDPOINTS.items()), scope="held")
+        for proxy in PROXIES:
+            self.connect(proxy, fresh=True)
+
+    def at_30(self):
+        self.list_changes(record(DRAINED, "east", "draining"))
+
+    def at_60(self):
+        self.list_changes(record(LATE_START, "east", started_ns=self.now))
+
+    def at_70(self):
+        self.list_changes(record(DRAINED, "east", "gone"), record("10.0.0.3:80", "west", "gone"))
+
+    def at_90(self):
+        self.disconnect("p2")
+
+    def at_95(self):
+        self.connect("p2", fresh=False)
+
+    def at_150(self):
+        self.asked("pin", "0.1", "~1", 5 * NS_PER_S, True, "rollback", self.now)
+        self.asked("pin", "0.2", "~0", 20 * NS_PER_S, False, "pin", self.now)
+        self.asked("pin", "0.77", "~0", 20 * NS_PER_S, False, "pin", self.now)
+        self.asked("pin", "0.1", "~900", 20 * NS_PER_S, False, "pin", self.now)
+        self.asked("pin", "0.1", "~0", 20, False, "pin", self.now)
+
+    def at_180(self):
+        self.asked("release", "0.2", self.now)
+        self.asked("release", "0.2", self.now)
+
+    def at_220(self):
+        ScriptedPolicy.extra_commands = lambda writer: [
+            writer.set_weight(1, endpoint, weight)
+            for endpoint, weight in (("10.0.0.0:80", 9.0), ("10.0.0.6:80", 0.0), ("10.0.0.8:80", 5.0))
+        ]
+
+    def at_230(self):
+        for proxy in PROXIES:
+            if proxy in self.core.proxies:
+                self.core.refused(proxy, ["0.1", "0.2"], self.now)
+
+    def at_260(self):
+        ScriptedPolicy.crashes = True
+
+    def at_265(self):
+        self.list_changes(record("10.0.0.5:80", "west", "draining"))
+
+    def at_275(self):
+        ScriptedPolicy.crashes = False
+
+    def at_340(self):
+        ScriptedPolicy.extra_commands = lambda writer: [
+            writer.clear_table(1), writer.set_ejected("10.0.0.7:80", True),
+            writer.set_admission(None, 0, 0.8, 2), writer.log("level east 0: on, 0.8, time 0.71 of the objective"),
+        ]  # fmt: skip
+
+    def at_380(self):
+        ScriptedPolicy.extra_commands = lambda writer: writer.set_weight(1, "10.0.0.0:80", float("nan"))
+
+    def at_400(self):
+        self.list_changes(scope="lost")
+
+    def at_430(self):
+        self.list_changes(
+            *(record(e, z) for e, z in ENDPOINTS.items() if e != "10.0.0.9:80"),
+            record(LATE_START, "east", started_ns=START_NS + 42 * NS_PER_S),
+            scope="whole",
+        )
+
+    def at_450(self):
+        self.now += 20 * NS_PER_S  # the event loop stalls
+
+
+RUNS = {
+    "enforced, with canaries": ((Rules(), True, True), {}),
+    "enforced, without canaries": ((Rules(), True, False), {}),
+    "warned, removal is not binding": ((Rules(), False, True), {"removal_is_binding": False}),
+    "without safety rules": ((None, True, False), {}),
+    "a short egress queue": ((Rules(), True, True), {"egress_queue_limit_entries": 60.0, "message_quota": 3}),
+}
+EXPECTED = {
+    "enforced, with canaries": (
+        {
+            "pushes": "ed01aac75e3e0fc8",
+            "tables": "877403d0ad50772b",
+            "events": "1745fc8e869b3210",
+            "explain": "6c2a20b55ef42be3",
+        },
+        {
+            "canary": 8,
+            "canary over": 3,
+            "channel full": 8,
+            "guard": 142,
+            "mode": 4,
+            "module fault": 6,
+            "module started": 6,
+            "module waits": 1,
+            "order mended": 1,
+            "stood still": 1,
+            "table pinned": 4,
+            "table released": 2,
+        },
+    ),
+    "enforced, without canaries": (
+        {
+            "pushes": "931ceb947312f32c",
+            "tables": "de0f627c42bc54dc",
+            "events": "7e378b9b379d06f2",
+            "explain": "2b07d7ce8627ce07",
+        },
+        {
+            "guard": 14,
+            "mode": 4,
+            "module fault": 6,
+            "module started": 6,
+            "module waits": 1,
+            "order mended": 1,
+            "stood still": 1,
+            "table pinned": 4,
+            "table released": 2,
+        },
+    ),
+    "warned, removal is not binding": (
+        {
+            "pushes": "201ecc075c3019ad",
+            "tables": "5d71b70145e4aca9",
+            "events": "4977961ffe8af89c",
+            "explain": "9f30eb9b1c40349a",
+        },
+        {
+            "canary": 12,
+            "canary over": 7,
+            "channel full": 10,
+            "guard": 162,
+            "mode": 2,
+            "module fault": 7,
+            "module started": 7,
+            "module waits": 2,
+            "stood still": 1,
+            "table pinned": 4,
+            "table released": 2,
+        },
+    ),
+    "without safety rules": (
+        {
+            "pushes": "5e0455c72fd3529c",
+            "tables": "4e1ab42f3e3a48d4",
+            "events": "23301292fb79063f",
+            "explain": "074864eb1bcbba25",
+        },
+        {
+            "mode": 2,
+            "module fault": 7,
+            "module started": 7,
+            "module waits": 2,
+            "stood still": 1,
+            "table pinned": 4,
+            "table released": 2,
+        },
+    ),
+    "a short egress queue": (
+        {
+            "pushes": "ab0f140b8afd666a",
+            "tables": "724370beba7d8fdb",
+            "events": "7e2094153a075e11",
+            "explain": "03b1a36f5381fa33",
+        },
+        {
+            "canary": 7,
+            "canary over": 5,
+            "channel full": 20,
+            "guard": 40,
+            "mode": 4,
+            "module fault": 6,
+            "module started": 6,
+            "module waits": 1,
+            "order mended": 1,
+            "stood still": 1,
+            "table pinned": 5,
+            "table released": 2,
+        },
+    ),
+}
+
+
+@pytest.mark.parametrize("run", RUNS)
+def test_outputs_of_a_fixed_scenario_are_unchanged(run):
+    arguments, facts = RUNS[run]
+    scenario = Scenario(*arguments, **facts)
+    digests = scenario.play()
+    assert (digests, scenario.event_names) == EXPECTED.get(run)
