--- a/tests/controller/test_digest.py
+++ b/tests/controller/test_digest.py
@@ -1,7 +1,7 @@
 """A fixed scenario through the controller with the real policy: its outputs must not change with its code.
 
-Recorded for each run: messages to proxies, tables of each proxy, deadlines, log events and explanations. A change
-of behaviour on purpose changes the digests; the commit that does so gives the reason.
+Recorded for each run: messages to proxies, tables of each proxy, deadlines, log events and explanations. A
+change of behaviour on purpose changes the digests; the commit that does so gives the reason.
 """
 
 import hashlib
@@ -223,9 +223,11 @@
 
     def at_340(self):
         ScriptedPolicy.extra_commands = lambda writer: [
-            writer.clear_table(1), writer.set_ejected("10.0.0.7:80", True),
-            writer.set_admission(None, 0, 0.8, 2), writer.log("level east 0: on, 0.8, time 0.71 of the objective"),
-        ]  # fmt: skip
+            writer.clear_table(1),
+            writer.set_ejected("10.0.0.7:80", True),
+            writer.set_admission(None, 0, 0.8, 2),
+            writer.log("level east 0: on, 0.8, time 0.71 of the objective"),
+        ]
 
     def at_380(self):
         ScriptedPolicy.extra_commands = lambda writer: writer.set_weight(1, "10.0.0.0:80", float("nan"))
