--- a/benchmarks/taps.py
+++ b/benchmarks/taps.py
@@ -86,19 +86,19 @@
 
     def _turn(self, now):
         core = self.core
-        sums = sum(t.revision for t in core.orders.tables.values())
-        were = {number: dict(t.lines) for number, t in core.orders.tables.items()}
+        sums = sum(t.revision for t in core.assignments.tables.values())
+        were = {number: dict(t.weights) for number, t in core.assignments.tables.items()}
         turn = core.turn(now)
         for proxy, _ in turn.pushes:  # as if each were acknowledged at once
             core.settled(proxy, now)
         core.timers = []  # the recording wakes it
-        moved = sum(t.revision for t in core.orders.tables.values()) != sums
+        moved = sum(t.revision for t in core.assignments.tables.values()) != sums
         self.pushes += moved
         raised = {
             n
-            for number, t in core.orders.tables.items()
-            for n in t.lines.keys() | were.get(number, {}).keys()
-            if t.lines.get(n, 0) > were.get(number, {}).get(n, 0)
+            for number, t in core.assignments.tables.items()
+            for n in t.weights.keys() | were.get(number, {}).keys()
+            if t.weights.get(n, 0) > were.get(number, {}).get(n, 0)
         }
         for rule in {r.rule for r in core.gate.refusals} - {LATE} if now == core.reviewed else ():
             ordered = moved and any(
--- a/swiftchute/controller/assignments.py
+++ b/swiftchute/controller/assignments.py
@@ -1,213 +1,243 @@
-"""The writer that a planner's module writes into: tables, bindings and withdrawals, and who a round concerns.
+"""Endpoint tables, assignments of proxies to them, and ejections, as the policy commands them.
 
-`Orders` implements `swiftchute.interface.Writer`. The program calls `begin()`, lets the module decide, and
-takes the `Round` from `end()`. The state here is what every front serves from; no front keeps tables of its
-own.
+`Assignments` implements `swiftchute.api.commands.CommandSink`. The policy issues the commands of a round;
+`finish_round` then returns a `RoundResult`: how many entries go to which proxy, and what else was commanded.
+All frontends serve from the state kept here.
 """
 
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, NamedTuple
 
 from swiftchute.api.settings import Settings
+from swiftchute.controller.errors import CommandError
 
-TIMERS_MOST = 10_000
-LOGS_MOST = 1000  # lines of one round; what is past them is counted in one line more
+MAX_TIMERS_PER_ROUND = 10_000
+MAX_LOG_LINES_PER_ROUND = 1000  # one more line says that later ones are lost
+TABLE_NUMBER_LIMIT = 65_535  # table numbers are below it
+FULL_ADMISSION = 1.0
 
+Admission = tuple[float, int]  # admission rate and retry policy
 
-class BadOrder(Exception):
-    """The module ordered what cannot be done; its text says what."""
 
+class TimerRequest(NamedTuple):
+    """A timer that the policy asked for."""
 
-@dataclass
-class Table:
-    """A table as ordered: weights by server, and by operation the level and the way of further tries."""
+    delay_ns: int
+    timer_id: int
 
-    lines: dict[str, float] = field(default_factory=dict)
-    levels: dict[int, tuple[float, int]] = field(default_factory=dict)
-    revision: int = 0
 
+class InvalidWeight(NamedTuple):
+    """A weight that was commanded, cannot be set and was ignored."""
 
-@dataclass
-class Held:
-    """What a joined proxy is on: a table by operation (its place), none before it is bound."""
+    table: int
+    endpoint: str
+    weight: str
 
-    zone: str
-    bound: dict[int, int] = field(default_factory=dict)
-
-
-@dataclass
-class Round:
-    """What one round orders: lines by proxy, the mark it carries, tables that changed, and the rest
-    as it came."""
-
-    lines: dict[Any, int] = field(default_factory=dict)
-    seal: int | None = None
-    everyone: bool = False
-    tables: dict[int, int] = field(default_factory=dict)  # changed tables, with their changed lines
-    withdrawals: bool = False
-    bound: bool = False  # a proxy was put on a table
-    bad: list[tuple[int, str, str]] = field(default_factory=list)  # lines with a weight that cannot be
-    timers: list[tuple[int, int]] = field(default_factory=list)
-    logs: list[str] = field(default_factory=list)
-    watch: bool | None = None
-    fetch: bool = False
-
-
-class Orders:
-    """State of all tables and bindings of one planner's life; the verbs change it at once."""
-
-    def __init__(self, settings: Settings, lenient: bool = False) -> None:
-        """Start without tables, proxies and withdrawals; `lenient` leaves weights that cannot be to
-        the guard."""
-        self.set, self.lenient = settings, lenient
-        self.tables: dict[int, Table] = {}
-        self.proxies: dict[Any, Held] = {}
-        self.shut: set[str] = set()
-        self.common: dict[int, tuple[float, int]] = {}  # levels set for all tables, by operation
-        self.on: dict[int, dict[Any, None]] = {}  # table -> the proxies bound to it
-        self.round = Round()
-
-    # -- the program's side
-
-    def joined(self, proxy: Any, zone: str) -> None:
-        """A proxy joins, bound to nothing; earlier bindings of it are gone."""
-        self.left(proxy)
-        self.proxies[proxy] = Held(zone)
-
-    def left(self, proxy: Any) -> None:
-        """A proxy's stream broke: its binding ends with it."""
-        held = self.proxies.pop(proxy, None)
-        for table in held.bound.values() if held else ():
-            self.on[table].pop(proxy, None)
-
-    def end(self) -> Round:
-        """The round since the last call; withdrawn servers and whole tables are counted as the wire
-        page says."""
-        done, self.round = self.round, Round()
-        for table, lines in done.tables.items():
-            for proxy in self.on.get(table, ()):
-                done.lines[proxy] = done.lines.get(proxy, 0) + lines
-        if done.seal is not None:
-            for proxy in self.proxies if done.everyone else done.lines:
-                done.lines[proxy] = done.lines.get(proxy, 0) + 1  # the mark is a line of each message
-        return done
-
-    def level(self, table: int, operation: int) -> tuple[float, int]:
-        """The level in force and the way of further tries, for an operation's place."""
-        own = self.tables[table].levels.get(operation, (1.0, self.set.default_retry_policy))
-        common = self.common.get(operation)
-        if common is None:
-            return own
-        tries = own[1] if operation in self.tables[table].levels else common[1]
-        return min(own[0], common[0]), tries
 
-    # -- the module's side (interface.Writer)
+@dataclass(slots=True)
+class EndpointTable:
+    """A table as commanded: weights by endpoint, admission by the index of the operation."""
 
-    def _table(self, number: int) -> Table:
-        if not 0 <= number < 65_535:
-            raise BadOrder(f"table {number}: numbers are 0 to 65534")
-        return self.tables.setdefault(number, Table())
+    weights: dict[str, float] = field(default_factory=dict)
+    admission: dict[int, Admission] = field(default_factory=dict)
+    revision: int = 0  # changes with each command that concerns the table
 
-    def _touch(self, number: int, lines: int = 1) -> None:
-        self.tables[number].revision += 1
-        self.round.tables[number] = self.round.tables.get(number, 0) + lines
 
-    def set_weight(self, table: int, server: str, weight: float) -> None:
-        """Set one line of a table; weight 0 takes it away."""
+@dataclass(slots=True)
+class ProxyAssignment:
+    """The tables of a connected proxy; a proxy without any is unassigned."""
+
+    zone: str
+    table_by_operation: dict[int, int] = field(default_factory=dict)
+
+
+@dataclass(slots=True)
+class RoundResult:
+    """What the policy commanded in one round."""
+
+    entries_by_proxy: dict[Any, int] = field(default_factory=dict)
+    nonce: int | None = None
+    ack_by_everyone: bool = False
+    changed_entries_by_table: dict[int, int] = field(default_factory=dict)
+    ejections_changed: bool = False
+    proxy_assigned: bool = False
+    invalid_weights: list[InvalidWeight] = field(default_factory=list)
+    timers: list[TimerRequest] = field(default_factory=list)
+    log_lines: list[str] = field(default_factory=list)
+    subscribe: bool | None = None
+    fetch_list: bool = False
+
+
+class Assignments:
+    """All tables and assignments of one policy incarnation; a command changes them at once."""
+
+    def __init__(self, settings: Settings, ignore_invalid_weights: bool = False) -> None:
+        """Start without tables and proxies.
+
+        With `ignore_invalid_weights` a weight that cannot be set is recorded in the result of the round,
+        otherwise it raises `CommandError`.
+        """
+        self.settings, self.ignore_invalid_weights = settings, ignore_invalid_weights
+        self.tables: dict[int, EndpointTable] = {}
+        self.proxies: dict[Any, ProxyAssignment] = {}
+        self.ejected: set[str] = set()
+        self.common_admission: dict[int, Admission] = {}  # for all tables, by the index of the operation
+        self.proxies_by_table: dict[int, dict[Any, None]] = {}
+        self.current_round = RoundResult()
+
+    def on_proxy_connected(self, proxy: Any, zone: str) -> None:
+        """A proxy connects and is unassigned; earlier assignments of it end."""
+        self.on_proxy_disconnected(proxy)
+        self.proxies[proxy] = ProxyAssignment(zone)
+
+    def on_proxy_disconnected(self, proxy: Any) -> None:
+        """The session of a proxy ended, and its assignment with it."""
+        assignment = self.proxies.pop(proxy, None)
+        for table in assignment.table_by_operation.values() if assignment else ():
+            self.proxies_by_table[table].pop(proxy, None)
+
+    def finish_round(self) -> RoundResult:
+        """Return what was commanded since the last call, with all entries counted by proxy."""
+        result, self.current_round = self.current_round, RoundResult()
+        for table, entries in result.changed_entries_by_table.items():
+            for proxy in self.proxies_by_table.get(table, ()):
+                result.entries_by_proxy[proxy] = result.entries_by_proxy.get(proxy, 0) + entries
+        if result.nonce is not None:
+            for proxy in self.proxies if result.ack_by_everyone else result.entries_by_proxy:
+                # the nonce counts as an entry of each message
+                result.entries_by_proxy[proxy] = result.entries_by_proxy.get(proxy, 0) + 1
+        return result
+
+    def admission(self, table: int, operation: int) -> Admission:
+        """Return the admission rate and the retry policy in force for an operation of a table."""
+        by_operation = self.tables[table].admission
+        own = by_operation.get(operation, (FULL_ADMISSION, self.settings.default_retry_policy))
+        common = self.common_admission.get(operation)
+        if common is None:
+            return own
+        retry_policy = own[1] if operation in by_operation else common[1]
+        return min(own[0], common[0]), retry_policy
+
+    def set_weight(self, table: int, endpoint: str, weight: float) -> None:
+        """Set the weight of an endpoint in a table; 0 removes the entry."""
         if not 0 <= weight < float("inf"):
-            if not self.lenient:
-                raise BadOrder(f"table {table}, {server}: weight {weight}")
-            self.round.bad.append((table, server, str(weight)))  # the line keeps what it had
+            if not self.ignore_invalid_weights:
+                raise CommandError(f"table {table}, {endpoint}: weight {weight}")
+            self.current_round.invalid_weights.append(InvalidWeight(table, endpoint, str(weight)))
             return
-        lines = self._table(table).lines
+        weights = self._table(table).weights
         if weight:
-            lines[server] = weight
+            weights[endpoint] = weight
         else:
-            lines.pop(server, None)
-        self._touch(table)
+            weights.pop(endpoint, None)
+        self._mark_changed(table)
 
     def clear_table(self, table: int) -> None:
-        """Empty a table of lines and levels."""
-        held = self._table(table)
-        held.lines, held.levels = {}, {}
-        self._touch(table)
+        """Remove all entries and admission rates of a table."""
+        cleared = self._table(table)
+        cleared.weights, cleared.admission = {}, {}
+        self._mark_changed(table)
 
-    def assign_table(self, proxy: Any, table: int, mask: int) -> None:
-        """Put a proxy on a table for the operations of the mask; the whole table is written to it."""
+    def assign_table(self, proxy: Any, table: int, operation_mask: int) -> None:
+        """Make a proxy use a table for the operations of the mask; it is sent the whole table."""
         if proxy not in self.proxies:
-            return  # it has left meanwhile
-        held, bound = self._table(table), self.proxies[proxy].bound
-        self.round.bound = True
-        for place in self._places(mask):
-            old = bound.get(place)
-            bound[place] = table
-            if old is not None and old not in bound.values():
-                self.on[old].pop(proxy, None)
-        self.on.setdefault(table, {})[proxy] = None
-        # lines of this round that stood before the bind go with the whole table
-        whole = 1 + len(held.lines) + len(held.levels) + len(self.shut & held.lines.keys()) + len(self.common)
-        self.round.lines[proxy] = self.round.lines.get(proxy, 0) + whole - self.round.tables.get(table, 0)
-
-    def _places(self, mask: int) -> list[int]:
-        return [k for k in range(len(self.set.operations)) if not mask or mask >> k & 1]
-
-    def set_admission(self, table: int | None, mask: int, level: float, tries: int) -> None:
-        """Set the part let in and the way of further tries, in one table or (None) for all."""
-        if not level >= 0 or tries not in (0, 1, 2, 3):
-            raise BadOrder(f"table {table}: level {level}, further tries {tries}")
-        levels = dict.fromkeys(self._places(mask), (level, tries))
+            return  # it has disconnected meanwhile
+        content, table_by_operation = self._table(table), self.proxies[proxy].table_by_operation
+        self.current_round.proxy_assigned = True
+        for operation in self._operations(operation_mask):
+            old = table_by_operation.get(operation)
+            table_by_operation[operation] = table
+            if old is not None and old not in table_by_operation.values():
+                self.proxies_by_table[old].pop(proxy, None)
+        self.proxies_by_table.setdefault(table, {})[proxy] = None
+        entries = (
+            1
+            + len(content.weights)
+            + len(content.admission)
+            + len(self.ejected & content.weights.keys())
+            + len(self.common_admission)
+        )
+        # entries that this round changed before are part of the whole table, and are not counted twice
+        entries -= self.current_round.changed_entries_by_table.get(table, 0)
+        self._add_entries(proxy, entries)
+
+    def set_admission(
+        self, table: int | None, operation_mask: int, admission_rate: float, retry_policy: int
+    ) -> None:
+        """Set the share of requests to admit and the retry policy, in one table or (None) in all."""
+        if not admission_rate >= 0 or retry_policy not in (0, 1, 2, 3):
+            raise CommandError(f"table {table}: admission rate {admission_rate}, retry policy {retry_policy}")
+        admission = dict.fromkeys(self._operations(operation_mask), (admission_rate, retry_policy))
         if table is not None:
-            self._table(table).levels |= levels
-            self._touch(table)
+            self._table(table).admission |= admission
+            self._mark_changed(table)
             return
-        self.common |= levels
+        self.common_admission |= admission
         for number in self.tables:
-            self.tables[number].revision += 1
-            self.round.tables.setdefault(number, 0)
+            self._mark_changed(number, entries=0)
         for proxy in self.proxies:
-            self.round.lines[proxy] = self.round.lines.get(proxy, 0) + 1
+            self._add_entries(proxy, 1)
 
-    def set_ejected(self, server: str, out: bool) -> None:
-        """Shut a server out for all joined proxies, or let it in again."""
-        (self.shut.add if out else self.shut.discard)(server)
-        self.round.withdrawals = True
+    def set_ejected(self, endpoint: str, ejected: bool) -> None:
+        """Eject an endpoint from the tables of all connected proxies, or restore it."""
+        (self.ejected.add if ejected else self.ejected.discard)(endpoint)
+        self.current_round.ejections_changed = True
         for number, table in self.tables.items():
-            if server in table.lines:
-                table.revision += 1
-                self.round.tables.setdefault(number, 0)
-        for proxy, held in self.proxies.items():
-            if not held.bound or any(server in self.tables[t].lines for t in held.bound.values()):
-                self.round.lines[proxy] = self.round.lines.get(proxy, 0) + 1
+            if endpoint in table.weights:
+                self._mark_changed(number, entries=0)
+        for proxy, assignment in self.proxies.items():
+            tables = assignment.table_by_operation.values()
+            if not tables or any(endpoint in self.tables[table].weights for table in tables):
+                self._add_entries(proxy, 1)
 
-    def request_ack(self, seal: int, everyone: bool) -> None:
-        """Ask the proxies concerned to answer once they have applied this round."""
-        self.round.seal, self.round.everyone = seal, everyone
+    def request_ack(self, nonce: int, everyone: bool) -> None:
+        """Ask for an acknowledgement of this round, from the proxies written to or from everyone."""
+        self.current_round.nonce, self.current_round.ack_by_everyone = nonce, everyone
 
-    def subscribe(self, on: bool) -> None:
-        """Open or close the subscription to the list."""
-        self.round.watch = on
+    def subscribe(self, enabled: bool) -> None:
+        """Open or close the subscription to the endpoint list."""
+        self.current_round.subscribe = enabled
 
     def fetch_list(self) -> None:
-        """Ask for the whole list once."""
-        self.round.fetch = True
+        """Request the whole endpoint list once."""
+        self.current_round.fetch_list = True
 
-    def start_timer(self, wait: int, token: int) -> None:
-        """Wake this planner after `wait`."""
-        if len(self.round.timers) >= TIMERS_MOST:
-            raise BadOrder(f"more than {TIMERS_MOST} timers in a round")
-        self.round.timers.append((wait, token))
+    def start_timer(self, delay_ns: int, timer_id: int) -> None:
+        """Deliver `TimerFired` after a delay."""
+        if len(self.current_round.timers) >= MAX_TIMERS_PER_ROUND:
+            raise CommandError(f"more than {MAX_TIMERS_PER_ROUND} timers in a round")
+        self.current_round.timers.append(TimerRequest(delay_ns, timer_id))
 
     def log(self, text: str) -> None:
-        """A line for the staff."""
-        if len(self.round.logs) < LOGS_MOST:
-            self.round.logs.append(text)
-        elif len(self.round.logs) == LOGS_MOST:
-            self.round.logs.append("log full: on, later lines of this round are lost")
-
-    def probe(self, server: str) -> None:
-        """Probes are not allowed by the settings."""
-        raise BadOrder(f"probe of {server}: the settings allow none")
-
-    def send_to_peer(self, peer: int | None, data: bytes) -> None:
-        """Messages between planners are not allowed by the settings."""
-        raise BadOrder(f"message to {peer}: the settings allow none")
+        """Write a line for the operators."""
+        log_lines = self.current_round.log_lines
+        if len(log_lines) < MAX_LOG_LINES_PER_ROUND:
+            log_lines.append(text)
+        elif len(log_lines) == MAX_LOG_LINES_PER_ROUND:
+            log_lines.append("log full: on, later lines of this round are lost")
+
+    def probe(self, endpoint: str) -> None:
+        """Raise `CommandError`: the settings allow no health checks."""
+        raise CommandError(f"probe of {endpoint}: the settings allow none")
+
+    def send_to_peer(self, peer: int | None, payload: bytes) -> None:
+        """Raise `CommandError`: the settings allow no messages between instances."""
+        raise CommandError(f"message to {peer}: the settings allow none")
+
+    def _table(self, number: int) -> EndpointTable:
+        if not 0 <= number < TABLE_NUMBER_LIMIT:
+            raise CommandError(f"table {number}: numbers are 0 to {TABLE_NUMBER_LIMIT - 1}")
+        return self.tables.setdefault(number, EndpointTable())
+
+    def _mark_changed(self, number: int, entries: int = 1) -> None:
+        self.tables[number].revision += 1
+        changed = self.current_round.changed_entries_by_table
+        changed[number] = changed.get(number, 0) + entries
+
+    def _add_entries(self, proxy: Any, entries: int) -> None:
+        entries_by_proxy = self.current_round.entries_by_proxy
+        entries_by_proxy[proxy] = entries_by_proxy.get(proxy, 0) + entries
+
+    def _operations(self, mask: int) -> list[int]:
+        """Return the indices of the operations of a mask; 0 stands for all."""
+        return [index for index in range(len(self.settings.operations)) if not mask or mask >> index & 1]
--- a/swiftchute/controller/controller.py
+++ b/swiftchute/controller/controller.py
@@ -20,7 +20,7 @@
 from swiftchute.api.commands import Policy
 from swiftchute.api.events import PushAcknowledged
 from swiftchute.api.settings import Settings
-from swiftchute.controller.assignments import Round
+from swiftchute.controller.assignments import RoundResult
 from swiftchute.controller.egress_queue import Channel
 from swiftchute.controller.load_aggregation import Report, Sums
 from swiftchute.controller.policy_runner import IDLE, Joined, Loop, S
@@ -239,7 +239,7 @@
         due = self.gate.due
         return now - self.reviewed >= IDLE or self.gate.news != self.news or (due is not None and now >= due)
 
-    def _round(self, now: int) -> Round | None:
+    def _round(self, now: int) -> RoundResult | None:
         for call in self.calls if self.gate else ():
             self.seen.told(call, now)
         done = super()._round(now)
@@ -247,25 +247,25 @@
             self._apply(done, now)
         return done
 
-    def _apply(self, done: Round, now: int) -> None:
-        if done.tables or done.withdrawals:
+    def _apply(self, done: RoundResult, now: int) -> None:
+        if done.changed_entries_by_table or done.ejections_changed:
             self.holdings.clear()
-        for number in done.tables if self.news != self.judged else ():
+        for number in done.changed_entries_by_table if self.news != self.judged else ():
             self.why.setdefault(number, "list")
         self.judged = self.news
-        if done.bad:
-            self.event("order mended", rule="bad weight", lines=[list(b) for b in done.bad[:8]])
-        if self.gate and (done.tables or done.withdrawals or done.bound):
-            self._review(done.tables, now)
+        if done.invalid_weights:
+            self.event("order mended", rule="bad weight", lines=[list(b) for b in done.invalid_weights[:8]])
+        if self.gate and (done.changed_entries_by_table or done.ejections_changed or done.proxy_assigned):
+            self._review(done.changed_entries_by_table, now)
             self._hold(done, now)
-        if done.seal is not None:
-            self.ordered[done.seal] = now
+        if done.nonce is not None:
+            self.ordered[done.nonce] = now
             while len(self.ordered) > SEALS_KEPT:
                 del self.ordered[next(iter(self.ordered))]
-            for proxy in done.lines:
-                self.proxies[proxy].seal = done.seal
+            for proxy in done.entries_by_proxy:
+                self.proxies[proxy].seal = done.nonce
                 self.marks.pop(proxy, None)  # the newer mark answers for it
-        self._put(done.lines, now)
+        self._put(done.entries_by_proxy, now)
 
     def _put(self, lines: dict[Any, int], now: int) -> None:
         """Queue messages; whose finds no room is let go, and the log told."""
@@ -279,11 +279,11 @@
 
     def content(self, number: int) -> Content:
         """What a table holds for its proxies; the same object until the table changes."""
-        table = self.orders.tables[number]
+        table = self.assignments.tables[number]
         kept = self.contents.get(number)
         if kept is None or kept[0] != table.revision:
-            levels = [self.orders.level(number, place) for place in range(len(self.set.operations))]
-            open_ = {s: w for s, w in table.lines.items() if s not in self.orders.shut}
+            levels = [self.assignments.admission(number, place) for place in range(len(self.set.operations))]
+            open_ = {s: w for s, w in table.weights.items() if s not in self.assignments.ejected}
             if self.gate and number in self.gate.allowed:
                 open_, most = self.gate.allowed[number]
                 levels = [(min(level, most), tries) for level, tries in levels]
@@ -312,13 +312,13 @@
 
     def _starts(self) -> dict[str, int]:
         """When each open server started."""
-        shut = self.orders.shut
+        shut = self.assignments.ejected
         return {n: f.started for n, f in self.facts.items() if f.state == "ready" and n not in shut}
 
     def _demands(self, number: int) -> dict[Any, float]:
         """The proxies on a table, with their invocations a second."""
         named = [op.name for op in self.set.operations]
-        on = self.orders.on.get(number, ())
+        on = self.assignments.proxies_by_table.get(number, ())
         return {p: self.seen.demand((p,), named, self.turned) or self.proxies[p].rate for p in on}
 
     def _try(self, number: int, old: Content | None, new: Content) -> None:
@@ -349,7 +349,7 @@
 
     def _tried(self, proxy: Any, report: Report, now: int) -> None:
         """A report of a proxy, for the trials of the tables that it is on."""
-        bound = self.orders.proxies[proxy].bound
+        bound = self.assignments.proxies[proxy].table_by_operation
         for number in set(bound.values()):
             ops = {self.set.operations[place].name for place, table in bound.items() if table == number}
             rows = [row for row in report.arrived if row[0] in ops]
@@ -362,7 +362,7 @@
         starts = self._starts()
         for name in list(self.trials.open):
             number = self._named(name)
-            if number is None or not self.orders.on.get(number):
+            if number is None or not self.assignments.proxies_by_table.get(number):
                 self.trials.close(name)
                 continue
             chosen = self.trials.choose(name, self._demands(number))
@@ -422,7 +422,7 @@
         self.reviewed = now
         warm = self.gate.warm(self.facts, now)
         cold = frozenset(n for n, f in self.facts.items() if f.started and f.state == "ready" and not warm(n))
-        proposed = {number: self._proposal(number, cold, now) for number in self.orders.tables}
+        proposed = {number: self._proposal(number, cold, now) for number in self.assignments.tables}
         used = self.seen.used(self.facts, warm, now)
         known = Known(
             by_kind(used),
@@ -434,15 +434,15 @@
         lines: dict[Any, int] = {}
         for number in self.gate.review(proposed, touched, self.facts, known, now, self.news, urgent):
             self.why.setdefault(number, "guard")
-            self.orders.tables[number].revision += 1
+            self.assignments.tables[number].revision += 1
             self.holdings.clear()
-            for proxy in self.orders.on.get(number, ()):
+            for proxy in self.assignments.proxies_by_table.get(number, ()):
                 lines[proxy] = lines.get(proxy, 0) + len(self.gate.allowed[number][0])
         self._put(lines, now)
         for event, fields in self.gate.events():
             self.event(event, **fields)
 
-    def _hold(self, done: Round, now: int) -> None:
+    def _hold(self, done: RoundResult, now: int) -> None:
         """Take the lines of held tables out of a round: what does not go out is not counted.
 
         A mark says that a proxy holds all that was sent to it, so it is answered once that is so. Left open
@@ -450,36 +450,43 @@
         their drains (3.7 s, of 3).
         """
         assert self.gate is not None
-        for number in self.gate.held & done.tables.keys():
-            for proxy in self.orders.on.get(number, ()):
-                left = done.lines.get(proxy, 0) - done.tables[number]
-                if left > (done.seal is not None):
-                    done.lines[proxy] = left
-                elif done.lines.pop(proxy, None) is not None and done.seal is not None:
-                    self.marks[proxy] = done.seal
+        for number in self.gate.held & done.changed_entries_by_table.keys():
+            for proxy in self.assignments.proxies_by_table.get(number, ()):
+                left = done.entries_by_proxy.get(proxy, 0) - done.changed_entries_by_table[number]
+                if left > (done.nonce is not None):
+                    done.entries_by_proxy[proxy] = left
+                elif done.entries_by_proxy.pop(proxy, None) is not None and done.nonce is not None:
+                    self.marks[proxy] = done.nonce
         for proxy in [p for p in self.marks if self.sent.clear(p) and self.proxies[p].seal is None]:
             self.applied(proxy, self.marks.pop(proxy), now)
 
     def _proposed(self, number: int) -> dict[str, float]:
         """The lines that a table is to hold: what is ordered, or what it is held at."""
-        pinned, lines = self._pinned(number), self.orders.tables[number].lines
-        return {s: w for s, w in lines.items() if s not in self.orders.shut} if pinned is None else pinned
+        pinned, lines = self._pinned(number), self.assignments.tables[number].weights
+        return (
+            {s: w for s, w in lines.items() if s not in self.assignments.ejected}
+            if pinned is None
+            else pinned
+        )
 
     def _places(self, number: int) -> list[int]:
         """The places of the operations that proxies are on a table for."""
-        bound = (self.orders.proxies[p].bound for p in self.orders.on.get(number, ()))
+        bound = (
+            self.assignments.proxies[p].table_by_operation
+            for p in self.assignments.proxies_by_table.get(number, ())
+        )
         return sorted({place for held in bound for place, t in held.items() if t == number})
 
     def _proposal(self, number: int, cold: frozenset[str], now: int) -> Proposal:
         assert self.gate is not None
-        proxies, places = self.orders.on.get(number, {}), self._places(number)
+        proxies, places = self.assignments.proxies_by_table.get(number, {}), self._places(number)
         operations = [self.set.operations[place] for place in places]
         named = [op.name for op in operations]
-        levels = [self.orders.level(number, place)[0] for place in places]
+        levels = [self.assignments.admission(number, place)[0] for place in places]
         return Proposal(
             self._proposed(number),
             max(levels, default=1.0),
-            frozenset(self.orders.proxies[p].zone for p in proxies),
+            frozenset(self.assignments.proxies[p].zone for p in proxies),
             any(op.zone_local for op in operations),
             self.seen.demand(proxies, named, now) if proxies else None,
             self.sent.pending(proxies, named, cold, lambda p: self.seen.demand((p,), named, now))
@@ -493,9 +500,13 @@
     def _number(self, name: str) -> int:
         """The number of a table in use. Raises `Impossible`."""
         number = self._named(name)
-        if number is not None and self.orders.on.get(number):
+        if number is not None and self.assignments.proxies_by_table.get(number):
             return number
-        used = ", ".join(self.table_name(n) for n in sorted(self.orders.tables) if self.orders.on.get(n))
+        used = ", ".join(
+            self.table_name(n)
+            for n in sorted(self.assignments.tables)
+            if self.assignments.proxies_by_table.get(n)
+        )
         raise Impossible(f"no proxy is on a table {name!r}; in use are {used or 'none'}")
 
     def pin(self, name: str, asked: str, span: int, levels: bool, cause: str, now: int) -> Change:
@@ -516,11 +527,11 @@
     def ordered_lines(self, name: str) -> dict[str, float]:
         """What the module orders of a table, whatever goes out; empty for one that is not known."""
         number = self._named(name)
-        return {} if number is None else dict(self.orders.tables[number].lines)
+        return {} if number is None else dict(self.assignments.tables[number].weights)
 
     def _named(self, name: str) -> int | None:
         """The number of a table by the name that proxies know it by; None if there is no such table."""
-        return next((number for number in self.orders.tables if self.table_name(number) == name), None)
+        return next((number for number in self.assignments.tables if self.table_name(number) == name), None)
 
     def release(self, name: str, now: int) -> None:
         """The module's orders count again for a table. Raises `Impossible` if it is not pinned."""
@@ -540,37 +551,43 @@
     def _again(self, number: int, cause: str, now: int) -> None:
         """A table holds something else by no order of the module: judge it and push it, past what waits."""
         self.why[number] = cause
-        self.orders.tables[number].revision += 1
+        self.assignments.tables[number].revision += 1
         self.holdings.clear()
         if self.gate:
             self._review((number,), now, (number,))
-        self._put(dict.fromkeys(self.orders.on.get(number, ()), len(self._proposed(number))), now)
+        self._put(
+            dict.fromkeys(self.assignments.proxies_by_table.get(number, ()), len(self._proposed(number))), now
+        )
 
     def refused(self, proxy: Any, names: Collection[str], now: int) -> None:
         """A proxy rejects what was pushed of these tables; what many reject is taken back."""
         for name in names:
             newest = self.history.current(name)
-            if newest is None or newest.parent is None or proxy not in self.orders.proxies:
+            if newest is None or newest.parent is None or proxy not in self.assignments.proxies:
                 continue
-            on = [n for n in self.orders.proxies[proxy].bound.values() if self.table_name(n) == name]
+            on = [
+                n
+                for n in self.assignments.proxies[proxy].table_by_operation.values()
+                if self.table_name(n) == name
+            ]
             if not on or name in self.pins.by:
                 continue
             self.trials.refused(proxy, name)
-            if self.rejected.by(proxy, name, newest.version, len(self.orders.on[on[0]])):
+            if self.rejected.by(proxy, name, newest.version, len(self.assignments.proxies_by_table[on[0]])):
                 self._take_back(name, newest.parent.hex(), True, now)
 
     def explain(self, now: int) -> list[dict[str, Any]]:
         """By table with proxies on it: what was ordered, what the guard lets out, and why it differs."""
         found = []
-        for number, table in sorted(self.orders.tables.items()):
-            proxies = self.orders.on.get(number, {})
+        for number, table in sorted(self.assignments.tables.items()):
+            proxies = self.assignments.proxies_by_table.get(number, {})
             places = self._places(number)
-            ordered = {s: w for s, w in table.lines.items() if s not in self.orders.shut}
-            level = max((self.orders.level(number, place)[0] for place in places), default=1.0)
+            ordered = {s: w for s, w in table.weights.items() if s not in self.assignments.ejected}
+            level = max((self.assignments.admission(number, place)[0] for place in places), default=1.0)
             row = {
                 "table": self.table_name(number),
                 "operations": [self.set.operations[place].name for place in places],
-                "zones": sorted({self.orders.proxies[p].zone for p in proxies}),
+                "zones": sorted({self.assignments.proxies[p].zone for p in proxies}),
                 "proxies": len(proxies),
             }
             if proxies and self.gate is not None:
@@ -582,7 +599,7 @@
     def held(self, proxy: Any) -> Holding:
         """What a proxy should hold by what was ordered until now; the same object for all on the same
         tables."""
-        bound = self.orders.proxies[proxy].bound
+        bound = self.assignments.proxies[proxy].table_by_operation
         if not bound:
             return self._carried(proxy)
         self.proxies[proxy].carried = None
@@ -604,7 +621,7 @@
 
     def _carried(self, proxy: Any) -> Holding:
         """What a proxy holds of a module that failed, less what is withdrawn since."""
-        carried, shut = self.proxies[proxy].carried, self.orders.shut
+        carried, shut = self.proxies[proxy].carried, self.assignments.ejected
         if carried is None:
             return Holding()
         open_ = {
@@ -617,6 +634,6 @@
 
     def _carry(self) -> None:
         for proxy, joined in self.proxies.items():
-            if self.orders.proxies[proxy].bound:
+            if self.assignments.proxies[proxy].table_by_operation:
                 joined.carried = self.held(proxy)  # the copy survives: `held` clears it only when asked again
             joined.seal = None
--- a/swiftchute/controller/policy_runner.py
+++ b/swiftchute/controller/policy_runner.py
@@ -22,7 +22,7 @@
 from swiftchute.api.endpoints import EndpointRecord, EndpointState
 from swiftchute.api.events import EndpointListUpdate, Event, ProxyConnected, ProxyDisconnected, TimerFired
 from swiftchute.api.settings import Settings
-from swiftchute.controller.assignments import LOGS_MOST, Orders, Round
+from swiftchute.controller.assignments import MAX_LOG_LINES_PER_ROUND, Assignments, RoundResult
 
 S = 1_000_000_000
 STALL = 2 * S  # a turn that comes so much later than it was due: this planner stood still
@@ -32,7 +32,7 @@
 )  # faults of the module within the span past which it waits before the next start
 FAULT_WAIT = 10 * S
 CALLS_MOST = 200_000  # calls that may wait for a round; joins, leaves and lists pass the bound, sums do not
-EVENTS_MOST = 2 * LOGS_MOST  # events that may wait to be taken; past it they are counted
+EVENTS_MOST = 2 * MAX_LOG_LINES_PER_ROUND  # events that may wait to be taken; past it they are counted
 IDLE = 1 * S  # a turn at least so often
 
 
@@ -58,7 +58,12 @@
         lenient: bool = False,
     ) -> None:
         """`make` builds the module, anew after each of its faults; `lenient` is as in `Orders`."""
-        self.set, self.make, self.random, self.lenient = settings, make, random.Random(seed), lenient
+        self.set, self.make, self.random, self.ignore_invalid_weights = (
+            settings,
+            make,
+            random.Random(seed),
+            lenient,
+        )
         self.planner: Policy | None = make(settings, seed)
         self.proxies: dict[Any, Any] = {}
         self.list: dict[str, EndpointRecord] = {}
@@ -69,7 +74,7 @@
         self.turned = now
         self.counts = dict.fromkeys(("rounds", "faults", "calls_lost", "events_lost"), 0)
         self.events: list[tuple[str, dict[str, Any]]] = []
-        self.orders = Orders(settings, lenient)
+        self.assignments = Assignments(settings, lenient)
 
     def event(self, event: str, **fields: Any) -> None:
         """An event for the log, told with the next turn."""
@@ -88,14 +93,14 @@
     def joined(self, proxy: Any, zone: str, rate: float, fresh: bool) -> None:
         """A proxy takes this planner's messages from now on; it is bound to nothing yet."""
         self.proxies[proxy] = self.record(zone, rate)
-        self.orders.joined(proxy, zone)
+        self.assignments.on_proxy_connected(proxy, zone)
         self.calls.append(ProxyConnected(proxy, zone, rate, fresh))
 
     def left(self, proxy: Any) -> bool:
         """Its stream broke: what waits for it is lost. False if it had not joined."""
         if self.proxies.pop(proxy, None) is None:
             return False
-        self.orders.left(proxy)
+        self.assignments.on_proxy_disconnected(proxy)
         self.calls.append(ProxyDisconnected(proxy))
         return True
 
@@ -126,7 +131,7 @@
         times = [self.turned + IDLE, *(when for when, _ in self.timers)]
         return min(times if self.asleep is None else [*times, self.asleep])
 
-    def turn(self, now: int) -> Round | None:
+    def turn(self, now: int) -> RoundResult | None:
         """Call the module if anything came in or is due; what it ordered, or None."""
         self._wake(now)
         return self._round(now) if self.calls and self.planner is not None else None
@@ -144,17 +149,17 @@
         if self.asleep is not None and now >= self.asleep:
             self._start_again()
 
-    def _round(self, now: int) -> Round | None:
+    def _round(self, now: int) -> RoundResult | None:
         calls, self.calls = self.calls, []
         self.counts["rounds"] += 1
         try:
             assert self.planner is not None
-            self.planner.reconcile(now, calls, self.orders)
+            self.planner.reconcile(now, calls, self.assignments)
         except Exception as why:  # the module's fault is this planner's, never silence
             self._fault(why, len(calls), now)
             return None
-        done = self.orders.end()
-        for text in done.logs:
+        done = self.assignments.finish_round()
+        for text in done.log_lines:
             self.event("mode", text=text)
         self.timers += [(now + wait, token) for wait, token in done.timers]
         return done
@@ -181,14 +186,14 @@
         self.faults.append(now)
         self._fresh()
         for proxy, joined in self.proxies.items():
-            self.orders.joined(proxy, joined.zone)
+            self.assignments.on_proxy_connected(proxy, joined.zone)
 
     def _carry(self) -> None:
         """What is kept of a module that failed, before its orders are dropped."""
 
     def _fresh(self) -> None:
         """Orders for a new module."""
-        self.orders = Orders(self.set, self.lenient)
+        self.assignments = Assignments(self.set, self.ignore_invalid_weights)
 
     def _start_again(self) -> None:
         self.asleep = None
--- a/swiftchute/platform/push_encoder.py
+++ b/swiftchute/platform/push_encoder.py
@@ -21,7 +21,7 @@
 
 from swiftchute.api.endpoints import EndpointRecord
 from swiftchute.api.settings import Settings
-from swiftchute.controller.assignments import Orders
+from swiftchute.controller.assignments import Assignments
 from swiftchute.platform import wire_messages
 
 PART_LINES = 2000  # lines of one part of a message; far below the protocol's size of a message
@@ -57,7 +57,7 @@
 class Writer:
     """What was written to each joined proxy."""
 
-    def __init__(self, settings: Settings, orders: Orders) -> None:
+    def __init__(self, settings: Settings, orders: Assignments) -> None:
         """Nothing is written yet."""
         self.set, self.orders = settings, orders
         self.names = [op.name for op in settings.operations]
@@ -70,7 +70,7 @@
         self.gone: dict[str, None] = {}  # ids that left the list, the newest last: they may come back
         self.cache: dict[Any, tuple[bytes, int]] = {}
 
-    def fresh(self, orders: Orders) -> None:
+    def fresh(self, orders: Assignments) -> None:
         """The module was started anew: its tables are others, whatever their numbers."""
         self.life += 1
         self.orders = orders
@@ -124,11 +124,11 @@
         kept = self.contents.get(number)
         if kept is None or kept[0] != table.revision:
             levels = {
-                place: self.orders.level(number, place)
+                place: self.orders.admission(number, place)
                 for place in range(len(self.names))
-                if place in table.levels or place in self.orders.common
+                if place in table.admission or place in self.orders.common_admission
             }
-            made = Content((self.life, number), dict(table.lines), levels)
+            made = Content((self.life, number), dict(table.weights), levels)
             kept = self.contents[number] = (table.revision, made)
         return kept[1]
 
@@ -143,7 +143,7 @@
         no bytes if nothing differs and no mark is to be answered. `withdrawn` are the servers shut out or
         let in since the last message, for a proxy that is bound to nothing."""
         held = self.proxies[proxy]
-        bound = self.orders.proxies[proxy].bound
+        bound = self.orders.proxies[proxy].table_by_operation
         contents = {place: self.content(table) for place, table in bound.items()}
         out, back = self._doors(held, contents, withdrawn)
         old = held.written
@@ -166,7 +166,7 @@
         self, held: _Proxy, contents: dict[int, Content], withdrawn: Iterable[str]
     ) -> tuple[list[str], list[str]]:
         """Servers to shut out, and to let back."""
-        shut = self.orders.shut
+        shut = self.orders.ejected
         if not contents:
             out = {s for s in withdrawn if s in shut} - held.shut
             return sorted(out), sorted(held.shut - shut - self.unready)
--- a/swiftchute/platform/session_manager.py
+++ b/swiftchute/platform/session_manager.py
@@ -16,7 +16,7 @@
 
 from swiftchute.api.endpoints import EndpointRecord
 from swiftchute.api.events import DemandReport, EndpointLoadReport, PushAcknowledged
-from swiftchute.controller.assignments import Round
+from swiftchute.controller.assignments import RoundResult
 from swiftchute.controller.policy_runner import Loop
 from swiftchute.platform import wire_messages
 from swiftchute.platform.proxy_session import Stream
@@ -45,7 +45,7 @@
         self.operations = {op.name for op in self.set.operations}
         self.zones = set(self.set.zones)
         self.longest = max(2 * max(op.timeout_ns for op in self.set.operations), MEAN_LEAST)
-        self.writer = Writer(self.set, loop.orders)
+        self.writer = Writer(self.set, loop.assignments)
         self.streams: dict[int, Stream] = {}  # by proxy
         self.collectors: dict[Stream, None] = {}
         self.unjoined: dict[Stream, None] = {}  # the oldest first
@@ -271,8 +271,8 @@
     def turn(self, now: int) -> Iterator[tuple[Stream, bytes]]:
         """Call the module if anything came in, and yield what is to be written now, message by message."""
         done = self.loop.turn(now)
-        if self.loop.orders is not self.writer.orders:  # the module started anew after a fault
-            self.writer.fresh(self.loop.orders)
+        if self.loop.assignments is not self.writer.orders:  # the module started anew after a fault
+            self.writer.fresh(self.loop.assignments)
             self.shut = set()
             for stream in self.streams.values():
                 stream.fresh()
@@ -282,28 +282,32 @@
         for proxy in list(self.pending):
             stream = self.streams[proxy]
             if self._room(stream, now):
-                made = self._write(proxy, stream, self.pending.pop(proxy), self.loop.orders.shut, now)
+                made = self._write(proxy, stream, self.pending.pop(proxy), self.loop.assignments.ejected, now)
                 if made:
                     yield stream, made
         self.writer.begin()
 
-    def _ordered(self, done: Round, now: int) -> Iterator[tuple[Stream, bytes]]:
-        shut = self.loop.orders.shut
-        withdrawn = shut - self.shut if done.withdrawals else ()
-        if done.withdrawals:
+    def _ordered(self, done: RoundResult, now: int) -> Iterator[tuple[Stream, bytes]]:
+        shut = self.loop.assignments.ejected
+        withdrawn = shut - self.shut if done.ejections_changed else ()
+        if done.ejections_changed:
             self.shut = set(shut)
-        if done.fetch or done.watch is not None:  # the watch is open at all times here: what is held is told
+        if (
+            done.fetch_list or done.subscribe is not None
+        ):  # the watch is open at all times here: what is held is told
             entries = [self.loop.list[n] for n in sorted(self.loop.list)]
-            self.loop.news_of_list("whole" if done.fetch else "changes", entries if done.fetch else [])
-        for proxy in done.lines:
+            self.loop.news_of_list(
+                "whole" if done.fetch_list else "changes", entries if done.fetch_list else []
+            )
+        for proxy in done.entries_by_proxy:
             stream = self.streams.get(proxy)
             if stream is None:
                 continue
             if proxy in self.pending or not self._room(stream, now):
                 self.counts["merged"] += 1
-                self.pending[proxy] = done.seal if done.seal is not None else self.pending.get(proxy)
+                self.pending[proxy] = done.nonce if done.nonce is not None else self.pending.get(proxy)
                 continue
-            made = self._write(proxy, stream, done.seal, withdrawn, now)
+            made = self._write(proxy, stream, done.nonce, withdrawn, now)
             if made:
                 yield stream, made
 
--- a/swiftchute/xds/frontend.py
+++ b/swiftchute/xds/frontend.py
@@ -80,7 +80,7 @@
         self.streams[sid], self.sids[peer.node] = (peer, stream), sid
         self.core.joined(peer.node, peer.zone, peer.rate or self.proxy_rate, peer.fresh)
         self.core.event("proxy joined", proxy=peer.node, zone=peer.zone, delta=delta, lines=lines)
-        if self.core.orders.shut:
+        if self.core.assignments.ejected:
             self._want(sid, None, now)
 
     def request(self, sid: int, request: Request, now: int) -> None:
@@ -148,7 +148,9 @@
 
     def _want(self, sid: int, seal: int | None, now: int) -> None:
         peer, stream = self.streams[sid]
-        wanted = self.translator.wanted(self.core.held(peer.node), self.core.orders.shut, stream.lines)
+        wanted = self.translator.wanted(
+            self.core.held(peer.node), self.core.assignments.ejected, stream.lines
+        )
         stream.want(wanted, f"{self.set.instance}/{self.life}/{self.pushes}", seal, now)
         self.touched.add(sid)
 
--- a/tests/controller/test_controller.py
+++ b/tests/controller/test_controller.py
@@ -10,7 +10,7 @@
 from swiftchute.api.endpoints import EndpointRecord
 from swiftchute.api.events import DemandReport, EndpointLoadReport, PushAcknowledged, TimerFired
 from swiftchute.api.settings import Settings
-from swiftchute.controller.assignments import BadOrder, Orders
+from swiftchute.controller.assignments import Assignments, CommandError
 from swiftchute.controller.controller import Content, Core, Holding
 from swiftchute.controller.egress_queue import Channel
 from swiftchute.controller.load_aggregation import Report, Sums
@@ -79,9 +79,9 @@
 
 @pytest.fixture
 def orders():
-    made = Orders(SETTINGS)
-    made.joined("p", "east")
-    made.joined("q", "east")
+    made = Assignments(SETTINGS)
+    made.on_proxy_connected("p", "east")
+    made.on_proxy_connected("q", "east")
     return made
 
 
@@ -90,26 +90,26 @@
     orders.set_weight(1, "b:1", 1.0)
     orders.assign_table("p", 1, 0)
     orders.request_ack(3, False)
-    done = orders.end()
-    assert (done.lines, done.seal) == ({"p": 4}, 3)  # the bind, two lines, the mark
+    done = orders.finish_round()
+    assert (done.entries_by_proxy, done.nonce) == ({"p": 4}, 3)  # the bind, two lines, the mark
     orders.set_weight(1, "a:1", 0)
-    assert orders.end().lines == {"p": 1}
+    assert orders.finish_round().entries_by_proxy == {"p": 1}
 
 
 def test_a_withdrawal_reaches_the_unbound_and_those_whose_tables_name_it(orders):
     orders.set_weight(1, "a:1", 1.0)
     orders.assign_table("p", 1, 0)
-    orders.end()
+    orders.finish_round()
     orders.set_ejected("z:1", True)
-    assert orders.end().lines == {"q": 1}
+    assert orders.finish_round().entries_by_proxy == {"q": 1}
     orders.set_ejected("a:1", True)
-    assert orders.end().lines == {"p": 1, "q": 1}
+    assert orders.finish_round().entries_by_proxy == {"p": 1, "q": 1}
 
 
 def test_of_two_levels_the_lower_holds_with_the_tables_own_tries(orders):
     orders.set_admission(1, 0b01, 0.5, 0)
     orders.set_admission(None, 0, 0.7, 2)
-    assert [orders.level(1, k) for k in (0, 1)] == [(0.5, 0), (0.7, 2)]
+    assert [orders.admission(1, k) for k in (0, 1)] == [(0.5, 0), (0.7, 2)]
 
 
 @pytest.mark.parametrize(
@@ -125,7 +125,7 @@
     ],
 )
 def test_orders_that_cannot_be_are_the_modules_fault(orders, verb, arguments):
-    with pytest.raises(BadOrder):
+    with pytest.raises(CommandError):
         getattr(orders, verb)(*arguments)
 
 
--- a/tests/platform/test_push_encoder.py
+++ b/tests/platform/test_push_encoder.py
@@ -12,7 +12,7 @@
 
 from swiftchute.api.endpoints import EndpointRecord
 from swiftchute.api.settings import Settings
-from swiftchute.controller.assignments import Orders
+from swiftchute.controller.assignments import Assignments
 from swiftchute.platform import push_encoder as module
 from swiftchute.platform.push_encoder import TooLarge, Writer
 from tests.conftest import FACTS, operation
@@ -119,12 +119,12 @@
     """A planner's orders, the writer, and proxies that read."""
 
     def __init__(self, make=Writer, strange=()):
-        self.orders = Orders(SET)
+        self.orders = Assignments(SET)
         self.writer = make(SET, self.orders)
         self.ordered, self.readers, self.seal = Ordered(), {}, 0
         for proxy in range(3):
             self.readers[proxy] = Reader()
-            self.orders.joined(proxy, "east")
+            self.orders.on_proxy_connected(proxy, "east")
             self.writer.joined(proxy, proxy not in strange)
         self.shut = set()
 
@@ -134,10 +134,10 @@
             getattr(self.ordered, verb)(*arguments)
         self.seal += 1
         self.orders.request_ack(self.seal, False)
-        done = self.orders.end()
+        done = self.orders.finish_round()
         self.writer.begin()
-        withdrawn, self.shut = self.orders.shut - self.shut, set(self.orders.shut)
-        for proxy in done.lines:
+        withdrawn, self.shut = self.orders.ejected - self.shut, set(self.orders.ejected)
+        for proxy in done.entries_by_proxy:
             if proxy not in silent:
                 data, lines = self.writer.message(proxy, self.seal, withdrawn)
                 before = self.readers[proxy].lines
@@ -178,7 +178,7 @@
     for verbs in rounds:
         world.round(verbs, silent=(1,))
         assert world.agrees(but=(1,))
-    data, _ = world.writer.message(1, 9, world.orders.shut)
+    data, _ = world.writer.message(1, 9, world.orders.ejected)
     world.readers[1].read(data)
     assert world.agrees()
     world.round(last)
@@ -296,8 +296,8 @@
 def test_tables_of_a_module_that_started_anew_go_whole():
     world = World()
     world.round([("set_weight", 1, "a", 1.0), ("assign_table", 0, 1, 0), ("set_ejected", "z", True)])
-    fresh = Orders(SET)
-    fresh.joined(0, "east")
+    fresh = Assignments(SET)
+    fresh.on_proxy_connected(0, "east")
     world.writer.fresh(fresh)
     fresh.set_weight(1, "b", 1.0)
     fresh.assign_table(0, 1, 0)
--- a/tests/platform/test_session_manager.py
+++ b/tests/platform/test_session_manager.py
@@ -438,7 +438,7 @@
     )
     assert not world.front.streams
     assert not world.front.writer.proxies
-    assert not world.front.loop.orders.proxies
+    assert not world.front.loop.assignments.proxies
 
 
 def test_a_client_killed_straight_behind_its_accept_is_nothing(world):
