--- a/benchmarks/taps.py
+++ b/benchmarks/taps.py
@@ -17,7 +17,7 @@
 from collections import Counter, defaultdict
 
 from swiftchute.api.events import DemandReport, EndpointListUpdate, ProxyConnected, ProxyDisconnected
-from swiftchute.controller.controller import Core
+from swiftchute.controller.controller import Controller
 from swiftchute.discovery.endpoint_list import News
 from swiftchute.policy import Reconciler
 from swiftchute.safety.validator import LATE, Rules
@@ -49,7 +49,7 @@
     made: list["Played"] = []
 
     def __init__(self, settings, seed):
-        self.core = Core(settings, seed, self._module, guard=Rules(), enforce=False)
+        self.controller = Controller(settings, seed, self._module, safety_rules=Rules(), enforce=False)
         self.settings, self.writer, self.now = settings, None, 0
         self.pushes, self.stood, self.began, self.first = 0, Counter(), Counter(), defaultdict(list)
         Played.made.append(self)
@@ -64,7 +64,7 @@
         return Module()
 
     def reconcile(self, now, calls, writer):
-        core, self.writer = self.core, writer
+        controller, self.writer = self.controller, writer
         # idle reviews between rounds, as a running planner has them
         while self.now and self.now + S < now:
             self.now += S
@@ -73,39 +73,44 @@
         for event in calls:
             match event:
                 case ProxyConnected(proxy, zone, rate, fresh):
-                    core.joined(proxy, zone, rate, fresh)
+                    controller.on_proxy_connected(proxy, zone, rate, fresh)
                 case ProxyDisconnected(proxy):
-                    core.left(proxy)
+                    controller.on_proxy_disconnected(proxy)
                 case EndpointListUpdate(scope, endpoints):
-                    core.listed(News(scope, tuple(endpoints), ()))
+                    controller.on_list_update(News(scope, tuple(endpoints), ()))
                 case _:
-                    core.calls.append(event)
+                    controller.pending_events.append(event)
         if not calls:
-            core.calls.append(DemandReport(None, "", 0, 0, 1))
+            controller.pending_events.append(DemandReport(None, "", 0, 0, 1))
         self._turn(now)
 
     def _turn(self, now):
-        core = self.core
-        sums = sum(t.revision for t in core.assignments.tables.values())
-        were = {number: dict(t.weights) for number, t in core.assignments.tables.items()}
-        turn = core.turn(now)
+        controller = self.controller
+        sums = sum(t.revision for t in controller.assignments.tables.values())
+        were = {number: dict(t.weights) for number, t in controller.assignments.tables.items()}
+        turn = controller.run_round(now)
         for proxy, _ in turn.pushes:  # as if each were acknowledged at once
-            core.settled(proxy, now)
-        core.timers = []  # the recording wakes it
-        moved = sum(t.revision for t in core.assignments.tables.values()) != sums
+            controller.on_fully_acknowledged(proxy, now)
+        controller.timers = []  # the recording wakes it
+        moved = sum(t.revision for t in controller.assignments.tables.values()) != sums
         self.pushes += moved
         raised = {
             n
-            for number, t in core.assignments.tables.items()
+            for number, t in controller.assignments.tables.items()
             for n in t.weights.keys() | were.get(number, {}).keys()
             if t.weights.get(n, 0) > were.get(number, {}).get(n, 0)
         }
-        for rule in {r.rule for r in core.gate.refusals} - {LATE} if now == core.reviewed else ():
+        for rule in (
+            {r.rule for r in controller.publish_gate.refusals} - {LATE}
+            if now == controller.last_review_ns
+            else ()
+        ):
             ordered = moved and any(
-                r.rule == rule and (not r.servers or raised & set(r.servers)) for r in core.gate.refusals
+                r.rule == rule and (not r.servers or raised & set(r.servers))
+                for r in controller.publish_gate.refusals
             )
             self.stood[rule, ordered] += 1
-        for event, fields in turn.events:
+        for event, fields in turn.log_events:
             if event == "guard" and fields["on"]:
                 ordered = moved and bool(not fields["servers"] or raised & set(fields["servers"]))
                 self.began[fields["rule"], ordered] += 1
--- a/swiftchute/controller/controller.py
+++ b/swiftchute/controller/controller.py
@@ -13,17 +13,23 @@
 the module's orders has left the channel, and what becomes of a module that fails.
 """
 
-from collections.abc import Callable, Collection
+from collections.abc import Collection
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, NamedTuple
 
-from swiftchute.api.commands import Policy
 from swiftchute.api.events import PushAcknowledged
 from swiftchute.api.settings import Settings
 from swiftchute.controller.assignments import RoundResult
-from swiftchute.controller.egress_queue import Channel
-from swiftchute.controller.load_aggregation import Report, Sums
-from swiftchute.controller.policy_runner import IDLE, Joined, Loop, S
+from swiftchute.controller.egress_queue import EgressQueue
+from swiftchute.controller.load_aggregation import LoadAggregator, LoadReport
+from swiftchute.controller.log_events import LogEvent
+from swiftchute.controller.policy_runner import (
+    IDLE_ROUND_INTERVAL_NS,
+    NS_PER_S,
+    ConnectedProxy,
+    PolicyFactory,
+    PolicyRunner,
+)
 from swiftchute.discovery.endpoint_list import News
 from swiftchute.safety.observed_traffic import Seen, by_kind
 from swiftchute.safety.publish_gate import Gate
@@ -37,212 +43,248 @@
 SEALS_KEPT = 4096  # marks whose time of order is remembered
 FACTS_MOST = 200_000  # servers remembered, those gone among them: past it the gone are forgotten
 
-Line = tuple[str, str, float]  # server, its zone, weight
+TableEntry = tuple[str, str, float]  # server, its zone, weight
 
 
 @dataclass(frozen=True)
-class Content:
+class TableContent:
     """What a table holds: its lines, and by operation of the settings the level and the way of
     further tries."""
 
-    lines: tuple[Line, ...]
-    levels: tuple[tuple[float, int], ...]
+    entries: tuple[TableEntry, ...]
+    admission: tuple[tuple[float, int], ...]
     version: bytes = field(default=b"", compare=False)  # the name of its canonical form
 
 
 @dataclass(frozen=True)
-class Holding:
+class ProxyTables:
     """What a proxy should hold: by operation the name of its table, and the tables' contents by name."""
 
-    bound: tuple[tuple[str, str], ...] = ()
-    contents: dict[str, Content] = field(default_factory=dict, compare=False)
-    behind: frozenset[str] = frozenset()  # tables whose newest content others try first
+    tables_by_operation: tuple[tuple[str, str], ...] = ()
+    contents: dict[str, TableContent] = field(default_factory=dict, compare=False)
+    baseline_tables: frozenset[str] = frozenset()  # tables whose newest content others try first
+
+
+class Push(NamedTuple):
+    """A message to a proxy: it is to hold `tables_of(proxy)`, and to answer for the nonce."""
+
+    proxy: Any
+    nonce: int | None
 
 
 @dataclass
-class Turn:
+class RoundOutput:
     """What a turn asks of the fronts."""
 
-    pushes: list[tuple[Any, int | None]] = field(default_factory=list)
-    refused: list[Any] = field(default_factory=list)  # proxies for whose message the channel had no room
-    events: list[tuple[str, dict[str, Any]]] = field(default_factory=list)
+    pushes: list[Push] = field(default_factory=list)
+    overflowed_proxies: list[Any] = field(
+        default_factory=list
+    )  # proxies for whose message the channel had no room
+    log_events: list[LogEvent] = field(default_factory=list)
 
 
 @dataclass
-class _Joined(Joined):
+class _Joined(ConnectedProxy):
     seal: int | None = None  # the newest mark ordered and not pushed yet
-    carried: Holding | None = None  # what it held of a module that failed
+    carried: ProxyTables | None = None  # what it held of a module that failed
 
 
 @dataclass(frozen=True)
-class Keep:
+class RetentionSettings:
     """How much history is kept, and when a version that proxies reject is taken back."""
 
-    most: int = 1000
-    age: int = 3600 * S
-    rejected_part: float = 0.3
-    back_most: int = 3
-    back_within: int = 600 * S
-    back_for: int = 300 * S
-    canary_part: float = 0.0
-    canary_for: int = 5 * S
-    canary_most: int = 30 * S
-    canary_step: float = 0.25
+    max_versions: int = 1000
+    max_age_ns: int = 3600 * NS_PER_S
+    rejected_fraction: float = 0.3
+    max_rollbacks: int = 3
+    rollback_window_ns: int = 600 * NS_PER_S
+    rollback_duration_ns: int = 300 * NS_PER_S
+    canary_fraction: float = 0.0
+    canary_duration_ns: int = 5 * NS_PER_S
+    max_canary_duration_ns: int = 30 * NS_PER_S
+    min_canary_change: float = 0.25
 
 
-class Core(Loop):
+class Controller(PolicyRunner):
     """The state of one planner's life."""
 
-    record = _Joined
-
     def __init__(
         self,
         settings: Settings,
         seed: int,
-        make: Callable[[Settings, int], Policy],
+        policy_factory: PolicyFactory,
         now: int = 0,
-        guard: Rules | None = None,
+        safety_rules: Rules | None = None,
         enforce: bool = True,
-        tables: Keep | None = None,
+        retention: RetentionSettings | None = None,
     ) -> None:
-        """`make` builds the module, anew after each of its faults; without `guard` tables go out as
-        ordered."""
-        super().__init__(settings, seed, make, now, lenient=guard is not None and enforce)
-        self.rules, self.enforce = guard, enforce
-        tables = self.keep = tables or Keep()
-        self.history = History(str(settings.instance), tables.most, tables.age)
-        self.sent, self.pins = Sent(self.history), Pins()
-        self.rejected = Rejected(tables.rejected_part, tables.back_most, tables.back_within)
-        limits = Limits(tables.canary_part, tables.canary_for, tables.canary_most, tables.canary_step)
-        self.trials = Trials(limits)
-        self.rests: dict[int, Content] = {}  # of tables on trial, what proxies behind hold
-        self.sums = Sums(settings.report_rate_entries_per_s, settings.report_interval_ns)
-        self.facts: dict[str, Fact] = {}  # what the list says, or last said, of each server
-        self.reviewed = now
+        """Start the first policy; without `safety_rules` tables are published as commanded."""
+        super().__init__(
+            settings, seed, policy_factory, now, ignore_invalid_weights=safety_rules is not None and enforce
+        )
+        self.safety_rules, self.enforce = safety_rules, enforce
+        retention = self.retention = retention or RetentionSettings()
+        self.history = History(str(settings.instance), retention.max_versions, retention.max_age_ns)
+        self.deliveries, self.pins = Sent(self.history), Pins()
+        self.rejections = Rejected(
+            retention.rejected_fraction, retention.max_rollbacks, retention.rollback_window_ns
+        )
+        limits = Limits(
+            retention.canary_fraction,
+            retention.canary_duration_ns,
+            retention.max_canary_duration_ns,
+            retention.min_canary_change,
+        )
+        self.canaries = Trials(limits)
+        self.rests: dict[int, TableContent] = {}  # of tables on trial, what proxies behind hold
+        self.load_aggregator = LoadAggregator(settings.report_rate_entries_per_s, settings.report_interval_ns)
+        self.known_endpoints: dict[str, Fact] = {}  # what the list says, or last said, of each server
+        self.last_review_ns = now
         self.news = self.judged = 0  # lists that brought something, and those that the module was told of
-        self.barred: frozenset[str] = frozenset()  # servers listed as draining, or gone where gone binds
-        self.counts["pushes"] = 0
-        self.out = Turn()
-        self._fresh()
-
-    def _fresh(self) -> None:
-        super()._fresh()
-        s = self.set
-        self.gate = Gate(s, self.rules, self.enforce, self.random.getrandbits(32)) if self.rules else None
-        for proxy in list(self.sent.by):  # those of a module that failed are bound to nothing
-            self.sent.left(proxy)
-        self.seen = Seen()
+        self.unavailable_endpoints: frozenset[str] = (
+            frozenset()
+        )  # servers listed as draining, or gone where gone binds
+        self.push_count = 0
+        self.out = RoundOutput()
+        self._reset()
+
+    @property
+    def counts(self) -> dict[str, int]:
+        """Totals since the start, by the names they have in the log."""
+        return super().counts | {"pushes": self.push_count}
+
+    def _connected_proxy(self, zone: str, request_rate: float) -> _Joined:
+        return _Joined(zone, request_rate)
+
+    def _reset(self) -> None:
+        super()._reset()
+        s = self.settings
+        self.publish_gate = (
+            Gate(s, self.safety_rules, self.enforce, self.random.getrandbits(32))
+            if self.safety_rules
+            else None
+        )
+        for proxy in list(self.deliveries.by):  # those of a module that failed are bound to nothing
+            self.deliveries.left(proxy)
+        self.observed_traffic = Seen()
         self.marks: dict[Any, int] = {}  # by proxy, the newest mark of a round that was held back
         self.why: dict[int, str] = {}  # by table, the cause of its next version
-        self.channel = Channel(
+        self.egress_queue = EgressQueue(
             s.egress_rate_entries_per_s,
             s.egress_queue_limit_entries,
             s.message_overhead_entries,
             s.message_quota,
             s.message_quota_window_ns,
         )
-        self.contents: dict[int, tuple[int, Content]] = {}
-        self.holdings: dict[Any, Holding] = {}
-        for name in list(self.trials.open):
-            self.trials.close(name)
+        self.contents: dict[int, tuple[int, TableContent]] = {}
+        self.holdings: dict[Any, ProxyTables] = {}
+        for name in list(self.canaries.open):
+            self.canaries.close(name)
         self.rests.clear()
         self.ordered: dict[int, int] = {}
 
     # -- in
 
-    def left(self, proxy: Any) -> bool:
+    def on_proxy_disconnected(self, proxy: Any) -> bool:
         """Its stream broke: what waits for it is lost. False if it had not joined."""
-        if not super().left(proxy):
+        if not super().on_proxy_disconnected(proxy):
             return False
-        self.channel.left(proxy)
-        self.sent.left(proxy)
-        self.trials.left(proxy)
+        self.egress_queue.on_proxy_disconnected(proxy)
+        self.deliveries.left(proxy)
+        self.canaries.left(proxy)
         self.marks.pop(proxy, None)
-        self.sums.left(proxy)
+        self.load_aggregator.on_proxy_disconnected(proxy)
         return True
 
-    def applied(self, proxy: Any, seal: int, now: int) -> None:
+    def on_acknowledged(self, proxy: Any, seal: int, now: int) -> None:
         """A proxy has acknowledged all that belongs to a mark and to those before it."""
-        self.tell(PushAcknowledged(proxy, seal, now - self.ordered.get(seal, now)))
+        self.enqueue(PushAcknowledged(proxy, seal, now - self.ordered.get(seal, now)))
 
-    def settled(self, proxy: Any, now: int) -> None:
+    def on_fully_acknowledged(self, proxy: Any, now: int) -> None:
         """A proxy holds all that was pushed to it."""
-        self.sent.settled(proxy)
-        if self.trials.open and proxy in self.sent.by:
-            held = self.sent.by[proxy][-1].contents
-            self.trials.settled(proxy, {name: made.version for name, made in held.items()}, now)
+        self.deliveries.settled(proxy)
+        if self.canaries.open and proxy in self.deliveries.by:
+            held = self.deliveries.by[proxy][-1].contents
+            self.canaries.settled(proxy, {name: made.version for name, made in held.items()}, now)
         if proxy in self.marks and self.proxies[proxy].seal is None:
-            self.applied(proxy, self.marks.pop(proxy), now)
+            self.on_acknowledged(proxy, self.marks.pop(proxy), now)
 
-    def heard(self, proxy: Any, report: Report, now: int) -> None:
+    def on_load_report(self, proxy: Any, report: LoadReport, now: int) -> None:
         """A load report of a proxy; one that is not joined is not heard."""
         joined = self.proxies.get(proxy)
         if joined is not None:
-            self.sums.add(proxy, joined.zone, report, self.facts, now)
-            if self.trials.open:
+            self.load_aggregator.add(proxy, joined.zone, report, self.known_endpoints, now)
+            if self.canaries.open:
                 self._tried(proxy, report, now)
 
-    def listed(self, news: News) -> None:
+    def on_list_update(self, news: News) -> None:
         """A good list brought these entries."""
         self.news += 1
-        barred = set(self.barred)
+        barred = set(self.unavailable_endpoints)
         for entry in news.entries:
             server, zone, state = entry.endpoint, entry.zone, entry.state
-            self.facts[server] = Fact(zone, state, entry.started_ns, entry.weight, entry.kind)
-            if len(self.facts) > FACTS_MOST:  # those gone are forgotten; to the guard they are gone still
-                self.facts = {n: f for n, f in self.facts.items() if f.state != "gone"}
-            binds = state == "draining" or (state == "gone" and self.set.removal_is_binding)
+            self.known_endpoints[server] = Fact(zone, state, entry.started_ns, entry.weight, entry.kind)
+            if (
+                len(self.known_endpoints) > FACTS_MOST
+            ):  # those gone are forgotten; to the guard they are gone still
+                self.known_endpoints = {n: f for n, f in self.known_endpoints.items() if f.state != "gone"}
+            binds = state == "draining" or (state == "gone" and self.settings.removal_is_binding)
             (barred.add if binds else barred.discard)(server)
         if len(barred) > FACTS_MOST:
-            barred &= self.facts.keys()
-        self.barred = frozenset(barred)
-        self.news_of_list(news.scope, news.entries)
+            barred &= self.known_endpoints.keys()
+        self.unavailable_endpoints = frozenset(barred)
+        self.on_endpoint_list(news.scope, news.entries)
 
     # -- a turn
 
     @property
-    def due(self) -> int:
+    def next_deadline_ns(self) -> int:
         """When the next turn is due."""
         more = (
-            self.channel.due, self.sums.due, self.pins.due, self.trials.due,
-            self.gate.due if self.gate else None,
+            self.egress_queue.next_deadline_ns, self.load_aggregator.next_deadline_ns,
+            self.pins.due, self.canaries.due,
+            self.publish_gate.due if self.publish_gate else None,
         )  # fmt: skip
-        return min([super().due, *(t for t in more if t is not None)])
+        return min([super().next_deadline_ns, *(t for t in more if t is not None)])
 
-    def turn(self, now: int) -> Turn:
+    def run_round(self, now: int) -> RoundOutput:
         """Call the module if anything came in, and return what may go to proxies now."""
-        self._wake(now)
-        for call in self.sums.take(now):
-            self.tell(call)
-        if self.calls and self.planner is not None:
-            self._round(now)
+        self._check_timeouts(now)
+        for call in self.load_aggregator.pop_due(now):
+            self.enqueue(call)
+        if self.pending_events and self.policy is not None:
+            self._reconcile(now)
         self._end_pins(now)
-        if self.trials.open:
+        if self.canaries.open:
             self._look_at_trials(now)
-        if self.gate and self._to_review(now):
+        if self.publish_gate and self._to_review(now):
             self._review((), now)
-        for proxy, _ in self.channel.take(now):
+        for proxy, _ in self.egress_queue.pop_sent(now):
             joined = self.proxies.get(proxy)
             if joined is not None:
                 seal, joined.seal = joined.seal, None
-                self.counts["pushes"] += 1
-                self.sent.pushed(proxy, self.held(proxy))
-                self.out.pushes.append((proxy, seal))
-        out, self.out = self.out, Turn()
-        out.events = self.take_events()
+                self.push_count += 1
+                self.deliveries.pushed(proxy, self.tables_of(proxy))
+                self.out.pushes.append(Push(proxy, seal))
+        out, self.out = self.out, RoundOutput()
+        out.log_events = self.drain_log_events()
         return out
 
     def _to_review(self, now: int) -> bool:
         """Warmth and demand move without orders, and so does the list: a drain that the module passes over
         may not wait for the next second."""
-        assert self.gate is not None
-        due = self.gate.due
-        return now - self.reviewed >= IDLE or self.gate.news != self.news or (due is not None and now >= due)
-
-    def _round(self, now: int) -> RoundResult | None:
-        for call in self.calls if self.gate else ():
-            self.seen.told(call, now)
-        done = super()._round(now)
+        assert self.publish_gate is not None
+        due = self.publish_gate.due
+        return (
+            now - self.last_review_ns >= IDLE_ROUND_INTERVAL_NS
+            or self.publish_gate.news != self.news
+            or (due is not None and now >= due)
+        )
+
+    def _reconcile(self, now: int) -> RoundResult | None:
+        for call in self.pending_events if self.publish_gate else ():
+            self.observed_traffic.told(call, now)
+        done = super()._reconcile(now)
         if done is not None:
             self._apply(done, now)
         return done
@@ -254,8 +296,12 @@
             self.why.setdefault(number, "list")
         self.judged = self.news
         if done.invalid_weights:
-            self.event("order mended", rule="bad weight", lines=[list(b) for b in done.invalid_weights[:8]])
-        if self.gate and (done.changed_entries_by_table or done.ejections_changed or done.proxy_assigned):
+            self.log_event(
+                "order mended", rule="bad weight", lines=[list(b) for b in done.invalid_weights[:8]]
+            )
+        if self.publish_gate and (
+            done.changed_entries_by_table or done.ejections_changed or done.proxy_assigned
+        ):
             self._review(done.changed_entries_by_table, now)
             self._hold(done, now)
         if done.nonce is not None:
@@ -269,111 +315,121 @@
 
     def _put(self, lines: dict[Any, int], now: int) -> None:
         """Queue messages; whose finds no room is let go, and the log told."""
-        refused = self.channel.put(lines, now)
+        refused = self.egress_queue.enqueue(lines, now)
         if refused:
-            self.out.refused += refused
-            many, limit = self.channel.lines, self.channel.limit
-            self.event("channel full", proxies=len(refused), lines=many, limit=limit)
+            self.out.overflowed_proxies += refused
+            many, limit = self.egress_queue.queued_entries, self.egress_queue.limit_entries
+            self.log_event("channel full", proxies=len(refused), lines=many, limit=limit)
 
     # -- what a proxy should hold
 
-    def content(self, number: int) -> Content:
+    def table_content(self, number: int) -> TableContent:
         """What a table holds for its proxies; the same object until the table changes."""
         table = self.assignments.tables[number]
         kept = self.contents.get(number)
         if kept is None or kept[0] != table.revision:
-            levels = [self.assignments.admission(number, place) for place in range(len(self.set.operations))]
+            levels = [
+                self.assignments.admission(number, place) for place in range(len(self.settings.operations))
+            ]
             open_ = {s: w for s, w in table.weights.items() if s not in self.assignments.ejected}
-            if self.gate and number in self.gate.allowed:
-                open_, most = self.gate.allowed[number]
+            if self.publish_gate and number in self.publish_gate.allowed:
+                open_, most = self.publish_gate.allowed[number]
                 levels = [(min(level, most), tries) for level, tries in levels]
             elif (pinned := self._pinned(number)) is not None:
                 open_ = pinned
             held = self.pins.levels(self.table_name(number))
             if held:
-                levels = [held.get(op.name, row) for op, row in zip(self.set.operations, levels, strict=True)]
+                levels = [
+                    held.get(op.name, row) for op, row in zip(self.settings.operations, levels, strict=True)
+                ]
             lines = tuple((s, self._zone(s), w) for s, w in sorted(open_.items()))
-            rows = [(op.name, *row) for op, row in zip(self.set.operations, levels, strict=True)]
+            rows = [(op.name, *row) for op, row in zip(self.settings.operations, levels, strict=True)]
             made = encoding.table(rows, lines)
             old = kept[1] if kept is not None else None
             version = self._note(number, made)
-            kept = self.contents[number] = (table.revision, Content(lines, tuple(levels), version))
-            if self.keep.canary_part:
+            kept = self.contents[number] = (table.revision, TableContent(lines, tuple(levels), version))
+            if self.retention.canary_fraction:
                 self._try(number, old, kept[1])
         return kept[1]
 
     # -- canaries
 
-    def cold(self, now: int) -> frozenset[str]:
+    def warming_endpoints(self, now: int) -> frozenset[str]:
         """Ready servers that have started so lately that they are not warm yet; fronts ask here too."""
-        since = now - self.set.max_warmup_ns
-        facts = self.facts.items()
+        since = now - self.settings.max_warmup_ns
+        facts = self.known_endpoints.items()
         return frozenset(n for n, f in facts if f.started > since and f.started and f.state == "ready")
 
     def _starts(self) -> dict[str, int]:
         """When each open server started."""
         shut = self.assignments.ejected
-        return {n: f.started for n, f in self.facts.items() if f.state == "ready" and n not in shut}
+        return {n: f.started for n, f in self.known_endpoints.items() if f.state == "ready" and n not in shut}
 
     def _demands(self, number: int) -> dict[Any, float]:
         """The proxies on a table, with their invocations a second."""
-        named = [op.name for op in self.set.operations]
+        named = [op.name for op in self.settings.operations]
         on = self.assignments.proxies_by_table.get(number, ())
-        return {p: self.seen.demand((p,), named, self.turned) or self.proxies[p].rate for p in on}
+        return {
+            p: self.observed_traffic.demand((p,), named, self.last_round_ns) or self.proxies[p].request_rate
+            for p in on
+        }
 
-    def _try(self, number: int, old: Content | None, new: Content) -> None:
+    def _try(self, number: int, old: TableContent | None, new: TableContent) -> None:
         """A table's content changed: whether some proxies try it first, and what others hold meanwhile."""
         name = self.table_name(number)
         change = self.history.current(name)
         at_once = change is None or change.cause in ("guard", "rollback", "pin") or name in self.pins.by
         if old is None or at_once:
-            self.trials.close(name)
-        elif old.lines != new.lines:
-            before, after = ({n: w for n, _, w in made.lines} for made in (old, new))
-            tried = name in self.trials.open
+            self.canaries.close(name)
+        elif old.entries != new.entries:
+            before, after = ({n: w for n, _, w in made.entries} for made in (old, new))
+            tried = name in self.canaries.open
             starts = self._starts()
-            cold, versions = self.cold(self.turned), (old.version, new.version)
+            cold, versions = self.warming_endpoints(self.last_round_ns), (old.version, new.version)
             on = self._demands(number)
-            if self.trials.change(name, before, after, versions, on, starts, cold, self.turned) and not tried:
-                few, version = len(self.trials.open[name].first), new.version.hex()[:12]
-                self.event("canary", table=name, version=version, proxies=few, of=len(on))
-        rest = self.trials.rest(name, self._starts())
+            if (
+                self.canaries.change(name, before, after, versions, on, starts, cold, self.last_round_ns)
+                and not tried
+            ):
+                few, version = len(self.canaries.open[name].first), new.version.hex()[:12]
+                self.log_event("canary", table=name, version=version, proxies=few, of=len(on))
+        rest = self.canaries.rest(name, self._starts())
         if rest is None:
             self.rests.pop(number, None)
             return
         lines = tuple((s, self._zone(s), w) for s, w in sorted(rest.items()))
-        rows = [(op.name, *row) for op, row in zip(self.set.operations, new.levels, strict=True)]
+        rows = [(op.name, *row) for op, row in zip(self.settings.operations, new.admission, strict=True)]
         made = encoding.table(rows, lines)
-        self.history.note(f"{name}/rest", made, self.turned, "canary")
-        self.rests[number] = Content(lines, new.levels, encoding.name(made))
+        self.history.note(f"{name}/rest", made, self.last_round_ns, "canary")
+        self.rests[number] = TableContent(lines, new.admission, encoding.name(made))
 
-    def _tried(self, proxy: Any, report: Report, now: int) -> None:
+    def _tried(self, proxy: Any, report: LoadReport, now: int) -> None:
         """A report of a proxy, for the trials of the tables that it is on."""
         bound = self.assignments.proxies[proxy].table_by_operation
         for number in set(bound.values()):
-            ops = {self.set.operations[place].name for place, table in bound.items() if table == number}
-            rows = [row for row in report.arrived if row[0] in ops]
-            took, timed = (sum(row[k] for row in report.met) for k in (3, 4))
+            ops = {self.settings.operations[place].name for place, table in bound.items() if table == number}
+            rows = [row for row in report.demand if row[0] in ops]
+            took, timed = (sum(row[k] for row in report.endpoints) for k in (3, 4))
             figures = (sum(r[1] for r in rows), sum(r[2] for r in rows), took, timed)
-            self.trials.heard(proxy, self.table_name(number), figures, now - report.span)
+            self.canaries.heard(proxy, self.table_name(number), figures, now - report.window_ns)
 
     def _look_at_trials(self, now: int) -> None:
         """Trials that are over go on or back; lines of those behind lose servers that closed."""
         starts = self._starts()
-        for name in list(self.trials.open):
+        for name in list(self.canaries.open):
             number = self._named(name)
             if number is None or not self.assignments.proxies_by_table.get(number):
-                self.trials.close(name)
+                self.canaries.close(name)
                 continue
-            chosen = self.trials.choose(name, self._demands(number))
-            was = {s for s, _, _ in self.rests[number].lines} if number in self.rests else set()
-            rest = self.trials.rest(name, starts)
+            chosen = self.canaries.choose(name, self._demands(number))
+            was = {s for s, _, _ in self.rests[number].entries} if number in self.rests else set()
+            rest = self.canaries.rest(name, starts)
             if chosen or rest is None or rest.keys() != was:
                 self._again(number, "list" if rest is not None else "canary", now)
-        for name, end in self.trials.over(now):
+        for name, end in self.canaries.over(now):
             number = self._named(name)
             what = "back" if end.back else "on"
-            self.event("canary over", table=name, went=what, cause=end.why)
+            self.log_event("canary over", table=name, went=what, cause=end.why)
             if number is None:
                 continue
             if end.back and self._take_back(name, end.before.hex(), False, now):
@@ -382,14 +438,14 @@
 
     def _take_back(self, name: str, version: str, levels: bool, now: int) -> bool:
         """Hold a table at an earlier version by no order of staff, within the limit on how often."""
-        if not self.rejected.back_again(now):
-            self.event("not taken back", table=name, cause=f"{self.rejected.most} times within"
-                       f" {self.rejected.within / S:g} s is the most")  # fmt: skip
+        if not self.rejections.back_again(now):
+            self.log_event("not taken back", table=name, cause=f"{self.rejections.most} times within"
+                       f" {self.rejections.within / NS_PER_S:g} s is the most")  # fmt: skip
             return False
         try:
-            self.pin(name, version, self.keep.back_for, levels, "rollback", now)
+            self.pin(name, version, self.retention.rollback_duration_ns, levels, "rollback", now)
         except (Impossible, Unknown) as why:
-            self.event("not taken back", table=name, cause=str(why))
+            self.log_event("not taken back", table=name, cause=str(why))
             return False
         return True
 
@@ -401,7 +457,7 @@
             cause = "start"
         elif cause in ("", "list") and before.lines == made.lines:
             cause = "level"
-        self.history.note(name, made, self.turned, cause or "health")
+        self.history.note(name, made, self.last_round_ns, cause or "health")
         newest = self.history.current(name)
         assert newest is not None
         return newest.version
@@ -411,36 +467,40 @@
         return self.pins.lines(self.table_name(number), self._ready()) if self.pins.by else None
 
     def _ready(self) -> frozenset[str]:
-        return frozenset(n for n, f in self.facts.items() if f.state == "ready")
+        return frozenset(n for n, f in self.known_endpoints.items() if f.state == "ready")
 
     def _zone(self, server: str) -> str:
-        return self.facts[server].zone if server in self.facts else ""
+        return self.known_endpoints[server].zone if server in self.known_endpoints else ""
 
     def _review(self, touched: Collection[int], now: int, urgent: Collection[int] = ()) -> None:
         """Let the guard see all tables; what it changes by itself goes out by the channel like an order."""
-        assert self.gate is not None
-        self.reviewed = now
-        warm = self.gate.warm(self.facts, now)
-        cold = frozenset(n for n, f in self.facts.items() if f.started and f.state == "ready" and not warm(n))
+        assert self.publish_gate is not None
+        self.last_review_ns = now
+        warm = self.publish_gate.warm(self.known_endpoints, now)
+        cold = frozenset(
+            n for n, f in self.known_endpoints.items() if f.started and f.state == "ready" and not warm(n)
+        )
         proposed = {number: self._proposal(number, cold, now) for number in self.assignments.tables}
-        used = self.seen.used(self.facts, warm, now)
+        used = self.observed_traffic.used(self.known_endpoints, warm, now)
         known = Known(
             by_kind(used),
             used,
-            () if self.set.removal_is_binding else self.seen.answering(now),
-            self.seen.ill(self.facts, now),
-            min(len(self.proxies) / max(self.set.proxy_count, 1), 1.0),
+            () if self.settings.removal_is_binding else self.observed_traffic.answering(now),
+            self.observed_traffic.ill(self.known_endpoints, now),
+            min(len(self.proxies) / max(self.settings.proxy_count, 1), 1.0),
         )
         lines: dict[Any, int] = {}
-        for number in self.gate.review(proposed, touched, self.facts, known, now, self.news, urgent):
+        for number in self.publish_gate.review(
+            proposed, touched, self.known_endpoints, known, now, self.news, urgent
+        ):
             self.why.setdefault(number, "guard")
             self.assignments.tables[number].revision += 1
             self.holdings.clear()
             for proxy in self.assignments.proxies_by_table.get(number, ()):
-                lines[proxy] = lines.get(proxy, 0) + len(self.gate.allowed[number][0])
+                lines[proxy] = lines.get(proxy, 0) + len(self.publish_gate.allowed[number][0])
         self._put(lines, now)
-        for event, fields in self.gate.events():
-            self.event(event, **fields)
+        for event, fields in self.publish_gate.events():
+            self.log_event(event, **fields)
 
     def _hold(self, done: RoundResult, now: int) -> None:
         """Take the lines of held tables out of a round: what does not go out is not counted.
@@ -449,16 +509,16 @@
         it would keep room in the module's book: binds of proxies that rejoined waited for it, and with them
         their drains (3.7 s, of 3).
         """
-        assert self.gate is not None
-        for number in self.gate.held & done.changed_entries_by_table.keys():
+        assert self.publish_gate is not None
+        for number in self.publish_gate.held & done.changed_entries_by_table.keys():
             for proxy in self.assignments.proxies_by_table.get(number, ()):
                 left = done.entries_by_proxy.get(proxy, 0) - done.changed_entries_by_table[number]
                 if left > (done.nonce is not None):
                     done.entries_by_proxy[proxy] = left
                 elif done.entries_by_proxy.pop(proxy, None) is not None and done.nonce is not None:
                     self.marks[proxy] = done.nonce
-        for proxy in [p for p in self.marks if self.sent.clear(p) and self.proxies[p].seal is None]:
-            self.applied(proxy, self.marks.pop(proxy), now)
+        for proxy in [p for p in self.marks if self.deliveries.clear(p) and self.proxies[p].seal is None]:
+            self.on_acknowledged(proxy, self.marks.pop(proxy), now)
 
     def _proposed(self, number: int) -> dict[str, float]:
         """The lines that a table is to hold: what is ordered, or what it is held at."""
@@ -478,9 +538,9 @@
         return sorted({place for held in bound for place, t in held.items() if t == number})
 
     def _proposal(self, number: int, cold: frozenset[str], now: int) -> Proposal:
-        assert self.gate is not None
+        assert self.publish_gate is not None
         proxies, places = self.assignments.proxies_by_table.get(number, {}), self._places(number)
-        operations = [self.set.operations[place] for place in places]
+        operations = [self.settings.operations[place] for place in places]
         named = [op.name for op in operations]
         levels = [self.assignments.admission(number, place)[0] for place in places]
         return Proposal(
@@ -488,11 +548,13 @@
             max(levels, default=1.0),
             frozenset(self.assignments.proxies[p].zone for p in proxies),
             any(op.zone_local for op in operations),
-            self.seen.demand(proxies, named, now) if proxies else None,
-            self.sent.pending(proxies, named, cold, lambda p: self.seen.demand((p,), named, now))
+            self.observed_traffic.demand(proxies, named, now) if proxies else None,
+            self.deliveries.pending(
+                proxies, named, cold, lambda p: self.observed_traffic.demand((p,), named, now)
+            )
             if cold
             else (),
-            self.channel.spent(proxies, self.gate.behind, now),
+            self.egress_queue.utilization(proxies, self.publish_gate.behind, now),
         )
 
     # -- ways back
@@ -513,18 +575,20 @@
         """Hold a table at a kept version for so long. Raises `Unknown` or `Impossible`; nothing changes
         then."""
         if not SPAN_LEAST <= span <= SPAN_MOST:
-            raise Impossible(f"{span / S:g} s: a pin lasts {SPAN_LEAST // S} to {SPAN_MOST // S} s")
+            raise Impossible(
+                f"{span / NS_PER_S:g} s: a pin lasts {SPAN_LEAST // NS_PER_S} to {SPAN_MOST // NS_PER_S} s"
+            )
         number, change = self._number(name), self.history.find(name, asked)
         content = self.history.get(change.version)
         if content is None:
             raise Impossible(f"version {change.version.hex()[:12]} is no longer kept")
         self.pins.set(name, Pin(change, content, now + span, levels, cause), self._ready())
-        self.event("table pinned", table=name, version=change.version.hex()[:12], serial=change.serial,
-                   seconds=round(span / S), levels=levels, cause=cause)  # fmt: skip
+        self.log_event("table pinned", table=name, version=change.version.hex()[:12], serial=change.serial,
+                   seconds=round(span / NS_PER_S), levels=levels, cause=cause)  # fmt: skip
         self._again(number, cause, now)
         return change
 
-    def ordered_lines(self, name: str) -> dict[str, float]:
+    def commanded_weights(self, name: str) -> dict[str, float]:
         """What the module orders of a table, whatever goes out; empty for one that is not known."""
         number = self._named(name)
         return {} if number is None else dict(self.assignments.tables[number].weights)
@@ -539,7 +603,7 @@
         self._released(name, "released", now)
 
     def _released(self, name: str, why: str, now: int) -> None:
-        self.event("table released", table=name, why=why)
+        self.log_event("table released", table=name, why=why)
         number = self._named(name)
         if number is not None:
             self._again(number, "release", now)
@@ -553,13 +617,13 @@
         self.why[number] = cause
         self.assignments.tables[number].revision += 1
         self.holdings.clear()
-        if self.gate:
+        if self.publish_gate:
             self._review((number,), now, (number,))
         self._put(
             dict.fromkeys(self.assignments.proxies_by_table.get(number, ()), len(self._proposed(number))), now
         )
 
-    def refused(self, proxy: Any, names: Collection[str], now: int) -> None:
+    def on_tables_rejected(self, proxy: Any, names: Collection[str], now: int) -> None:
         """A proxy rejects what was pushed of these tables; what many reject is taken back."""
         for name in names:
             newest = self.history.current(name)
@@ -572,8 +636,8 @@
             ]
             if not on or name in self.pins.by:
                 continue
-            self.trials.refused(proxy, name)
-            if self.rejected.by(proxy, name, newest.version, len(self.assignments.proxies_by_table[on[0]])):
+            self.canaries.refused(proxy, name)
+            if self.rejections.by(proxy, name, newest.version, len(self.assignments.proxies_by_table[on[0]])):
                 self._take_back(name, newest.parent.hex(), True, now)
 
     def explain(self, now: int) -> list[dict[str, Any]]:
@@ -586,17 +650,17 @@
             level = max((self.assignments.admission(number, place)[0] for place in places), default=1.0)
             row = {
                 "table": self.table_name(number),
-                "operations": [self.set.operations[place].name for place in places],
+                "operations": [self.settings.operations[place].name for place in places],
                 "zones": sorted({self.assignments.proxies[p].zone for p in proxies}),
                 "proxies": len(proxies),
             }
-            if proxies and self.gate is not None:
+            if proxies and self.publish_gate is not None:
                 pin = self.pins.by.get(self.table_name(number))
                 held = f"held at {pin.change.version.hex()[:12]} ({pin.cause})" if pin else ""
-                found.append(row | self.gate.explain(number, ordered, level, held, now))
+                found.append(row | self.publish_gate.explain(number, ordered, level, held, now))
         return found
 
-    def held(self, proxy: Any) -> Holding:
+    def tables_of(self, proxy: Any) -> ProxyTables:
         """What a proxy should hold by what was ordered until now; the same object for all on the same
         tables."""
         bound = self.assignments.proxies[proxy].table_by_operation
@@ -604,36 +668,40 @@
             return self._carried(proxy)
         self.proxies[proxy].carried = None
         bound_to = tuple(sorted(bound.items()))
-        made = {table: self.content(table) for _, table in bound_to}
+        made = {table: self.table_content(table) for _, table in bound_to}
         behind = frozenset(
-            t for t in made if t in self.rests and not self.trials.first(self.table_name(t), proxy)
+            t for t in made if t in self.rests and not self.canaries.first(self.table_name(t), proxy)
         )
         key = (bound_to, behind)
         if key not in self.holdings:
-            named = [(self.set.operations[place].name, self.table_name(table)) for place, table in bound_to]
+            named = [
+                (self.settings.operations[place].name, self.table_name(table)) for place, table in bound_to
+            ]
             contents = {self.table_name(t): self.rests[t] if t in behind else c for t, c in made.items()}
-            self.holdings[key] = Holding(tuple(named), contents, frozenset(map(self.table_name, behind)))
+            self.holdings[key] = ProxyTables(tuple(named), contents, frozenset(map(self.table_name, behind)))
         return self.holdings[key]
 
     def table_name(self, table: int) -> str:
         """The planner is in it: planners that share nothing number their tables alike."""
-        return f"{self.set.instance}.{table}"
+        return f"{self.settings.instance}.{table}"
 
-    def _carried(self, proxy: Any) -> Holding:
+    def _carried(self, proxy: Any) -> ProxyTables:
         """What a proxy holds of a module that failed, less what is withdrawn since."""
         carried, shut = self.proxies[proxy].carried, self.assignments.ejected
         if carried is None:
-            return Holding()
+            return ProxyTables()
         open_ = {
-            name: Content(tuple(x for x in made.lines if x[0] not in shut), made.levels)
+            name: TableContent(tuple(x for x in made.entries if x[0] not in shut), made.admission)
             for name, made in carried.contents.items()
         }
-        return Holding(carried.bound, open_)
+        return ProxyTables(carried.tables_by_operation, open_)
 
     # -- the module's faults
 
-    def _carry(self) -> None:
+    def _before_reset(self) -> None:
         for proxy, joined in self.proxies.items():
             if self.assignments.proxies[proxy].table_by_operation:
-                joined.carried = self.held(proxy)  # the copy survives: `held` clears it only when asked again
+                joined.carried = self.tables_of(
+                    proxy
+                )  # the copy survives: `held` clears it only when asked again
             joined.seal = None
--- a/swiftchute/controller/egress_queue.py
+++ b/swiftchute/controller/egress_queue.py
@@ -1,14 +1,8 @@
-"""The channel from a planner to its proxies: paced, bounded, one waiting message a proxy. No I/O, no clock
-of its own.
+"""The queue of messages to proxies: bounded, sent at a fixed rate, one waiting message per proxy.
 
-    channel = Channel(pace=2000.0, limit=4000.0, head=6.0, messages=30, window=10 * S)
-    refused = channel.put({proxy: lines}, now)
-    for proxy, lines in channel.take(now): ...   # what has left by now, in order
-    channel.due                                  # when the next leaves
-
-A message costs its head and its lines, and leaves once the channel has sent all before it at `pace` lines a
-second. A proxy has one message waiting at most: later orders widen it and keep its place (the document's "one
-waiting push").
+A message costs its overhead and its entries, and is sent once everything before it has been sent at the rate
+of the queue. Entries for a proxy that already waits are merged into its message, which keeps its place. No
+I/O: the time comes in with each call.
 """
 
 from collections import deque
@@ -16,117 +10,125 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-S = 1_000_000_000
+NS_PER_S = 1_000_000_000
+DEFAULT_QUOTA_WINDOW_NS = 10 * NS_PER_S
 
 
-@dataclass
-class Counts:
-    """Figures of the channel since the start; `most` is the most lines that waited at once."""
+@dataclass(slots=True)
+class EgressCounters:
+    """Totals since the start."""
 
     messages: int = 0
-    lines: float = 0.0
-    widened: int = 0
-    most: float = 0.0
-    held: int = 0
-    refused: int = 0
-
-
-@dataclass
-class Channel:
-    """Waiting messages in order, by proxy; `busy` is when the last one taken has wholly left."""
-
-    pace: float
-    limit: float
-    head: float
-    messages: int = 0  # to a proxy within the window; 0: no limit
-    window: int = 10 * S
-    waiting: dict[Any, float] = field(default_factory=dict)
-    lines: float = 0.0
-    busy: int = 0
-    written: dict[Any, deque[int]] = field(default_factory=dict)
-    counts: Counts = field(default_factory=Counts)
-
-    def put(self, orders: dict[Any, int], now: int) -> list[Any]:
-        """Queue a round's messages; returns the proxies whose message finds no room.
-
-        What finds no room is not queued: the rule on the queue is kept here whatever was ordered, and the
-        program lets those proxies' streams go, so that what they hold is known again when they rejoin.
+    entries: float = 0.0
+    merged: int = 0
+    max_queued_entries: float = 0.0
+    quota_delays: int = 0
+    rejected: int = 0
+
+
+@dataclass(slots=True)
+class EgressQueue:
+    """Waiting messages by proxy, in order."""
+
+    rate_entries_per_s: float
+    limit_entries: float
+    overhead_entries: float  # fixed cost of a message
+    message_quota: int = 0  # messages to one proxy within the window; 0: no limit
+    quota_window_ns: int = DEFAULT_QUOTA_WINDOW_NS
+    waiting: dict[Any, float] = field(default_factory=dict)  # entries by proxy
+    queued_entries: float = 0.0
+    busy_until_ns: int = 0  # when the last message that was taken has been sent
+    sent_at_ns: dict[Any, deque[int]] = field(default_factory=dict)  # by proxy, within the window
+    counters: EgressCounters = field(default_factory=EgressCounters)
+
+    def enqueue(self, entries_by_proxy: dict[Any, int], now: int) -> list[Any]:
+        """Queue the messages of a round; return the proxies whose message exceeds the limit.
+
+        Such a message is not queued. The caller ends the sessions of those proxies, so that what they hold is
+        known again when they reconnect.
         """
-        refused = []
+        rejected = []
         if not self.waiting:
-            self.busy = max(self.busy, now)
-        for proxy, lines in orders.items():
-            cost = lines if proxy in self.waiting else lines + self.head
-            if self.lines + cost > self.limit:
-                refused.append(proxy)
-                self.counts.refused += 1
+            self.busy_until_ns = max(self.busy_until_ns, now)
+        for proxy, entries in entries_by_proxy.items():
+            cost = entries if proxy in self.waiting else entries + self.overhead_entries
+            if self.queued_entries + cost > self.limit_entries:
+                rejected.append(proxy)
+                self.counters.rejected += 1
                 continue
-            self.counts.widened += proxy in self.waiting
+            self.counters.merged += proxy in self.waiting
             self.waiting[proxy] = self.waiting.get(proxy, 0.0) + cost
-            self.lines += cost
-        self.counts.most = max(self.counts.most, self.lines)
-        return refused
+            self.queued_entries += cost
+        self.counters.max_queued_entries = max(self.counters.max_queued_entries, self.queued_entries)
+        return rejected
 
-    def take(self, now: int) -> list[tuple[Any, float]]:
-        """The messages that have left by `now`; one over its proxy's allowance waits, and others pass it."""
-        out: list[tuple[Any, float]] = []
+    def pop_sent(self, now: int) -> list[tuple[Any, float]]:
+        """Remove and return the messages sent by now, in order, as (proxy, cost in entries)."""
+        sent: list[tuple[Any, float]] = []
         for proxy in list(self.waiting):
             cost = self.waiting[proxy]
-            leaves = self.busy + int(cost / self.pace * S)
-            if leaves > now:
+            sent_at_ns = self._sent_at_ns(cost)
+            if sent_at_ns > now:
                 break
-            if not self._allowed(proxy, now):
-                self.counts.held += 1
+            if not self._within_quota(proxy, now):
+                self.counters.quota_delays += 1
                 continue
-            self.busy = leaves
+            self.busy_until_ns = sent_at_ns
             self.drop(proxy)
-            if self.messages:
-                self.written.setdefault(proxy, deque(maxlen=self.messages)).append(now)
-            self.counts.messages += 1
-            self.counts.lines += cost
-            out.append((proxy, cost))
-        return out
-
-    def _allowed(self, proxy: Any, now: int) -> bool:
-        sent = self.written.get(proxy)
-        while sent and now - sent[0] > self.window:
-            sent.popleft()
-        return not self.messages or not sent or len(sent) < self.messages
-
-    def spent(self, proxies: Iterable[Any], within: int, now: int) -> float:
-        """The part of the rule on the queue that is used up: of its lines, of what leaves `within` so long (a
-        drain waits behind it), or of these proxies' messages."""
-        used = self.lines / min(self.limit, self.pace * within / S)
-        for proxy in proxies if self.messages else ():
-            sent = self.written.get(proxy)
-            if sent and not self._allowed(proxy, now):
+            if self.message_quota:
+                self.sent_at_ns.setdefault(proxy, deque(maxlen=self.message_quota)).append(now)
+            self.counters.messages += 1
+            self.counters.entries += cost
+            sent.append((proxy, cost))
+        return sent
+
+    def utilization(self, proxies: Iterable[Any], drain_wait_ns: int, now: int) -> float:
+        """Return the used part (0 to 1) of the tightest limit.
+
+        The limits are that on queued entries, that on what is sent within `drain_wait_ns` (a drain waits
+        behind it), and the message quotas of the proxies.
+        """
+        used = self.queued_entries / min(
+            self.limit_entries, self.rate_entries_per_s * drain_wait_ns / NS_PER_S
+        )
+        for proxy in proxies if self.message_quota else ():
+            sent = self.sent_at_ns.get(proxy)
+            if sent and not self._within_quota(proxy, now):
                 return 1.0
-            used = max(used, len(sent) / self.messages if sent else 0.0)
+            used = max(used, len(sent) / self.message_quota if sent else 0.0)
         return used
 
     def drop(self, proxy: Any) -> None:
-        """Forget what waits for a proxy."""
-        self.lines -= self.waiting.pop(proxy, 0.0)
+        """Remove the message that waits for a proxy."""
+        self.queued_entries -= self.waiting.pop(proxy, 0.0)
         if not self.waiting:
-            self.lines = 0.0
+            self.queued_entries = 0.0
 
-    def left(self, proxy: Any) -> None:
-        """A proxy's stream broke: what waits for it is lost, and its allowance is counted from its
-        next joining."""
+    def on_proxy_disconnected(self, proxy: Any) -> None:
+        """Drop what waits for a proxy; its quota is counted anew from its next connection on."""
         self.drop(proxy)
-        self.written.pop(proxy, None)
+        self.sent_at_ns.pop(proxy, None)
 
     @property
-    def due(self) -> int | None:
-        """When the next message may leave, if one waits (no sooner than when an allowance opens)."""
+    def next_deadline_ns(self) -> int | None:
+        """When the next message can be sent, at the earliest; None without one."""
         times = []
         for proxy, cost in self.waiting.items():
-            leaves = self.busy + int(cost / self.pace * S)
-            sent = self.written.get(proxy)
-            if self.messages and sent and len(sent) >= self.messages:
-                leaves = max(leaves, sent[0] + self.window + 1)
-                times.append(leaves)
+            sent_at_ns = self._sent_at_ns(cost)
+            earlier = self.sent_at_ns.get(proxy)
+            if self.message_quota and earlier and len(earlier) >= self.message_quota:
+                times.append(max(sent_at_ns, earlier[0] + self.quota_window_ns + 1))
                 continue
-            times.append(leaves)
+            times.append(sent_at_ns)
             break
         return min(times, default=None)
+
+    def _sent_at_ns(self, cost: float) -> int:
+        """Return when a message of this cost has been sent, if it is the next."""
+        return self.busy_until_ns + int(cost / self.rate_entries_per_s * NS_PER_S)
+
+    def _within_quota(self, proxy: Any, now: int) -> bool:
+        sent = self.sent_at_ns.get(proxy)
+        while sent and now - sent[0] > self.quota_window_ns:
+            sent.popleft()
+        return not self.message_quota or not sent or len(sent) < self.message_quota
--- a/swiftchute/controller/load_aggregation.py
+++ b/swiftchute/controller/load_aggregation.py
@@ -1,96 +1,161 @@
-"""Sums for the module from what proxies report: what they met at each server, what arrived at each of them.
+"""Aggregates the load reports of proxies into load events for the policy, at a bounded rate.
 
-    sums.add(proxy, zone, report, now)
-    calls = sums.take(now)      # `met` and `arrived`, at most `lines` a second, the oldest first
+    aggregator = LoadAggregator(rate_entries_per_s=100.0, interval_ns=NS_PER_S)
+    aggregator.add(proxy, zone, report, known_endpoints, now)
+    events = aggregator.pop_due(now)
 
-Any front may report. What may not be told yet adds up and follows, as on the bench's wire.
+What may not be delivered yet adds up and follows, the oldest first.
 """
 
 from collections import OrderedDict
 from collections.abc import Container
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 from swiftchute.api.events import DemandReport, EndpointLoadReport, Event
 
-S = 1_000_000_000
-KEYS_MOST = 100_000  # sums that may wait; past it those of new keys are dropped and counted
+NS_PER_S = 1_000_000_000
+MAX_PENDING_KEYS = 100_000  # past it, entries with a new key are dropped and counted
+UNKNOWN_LATENCY_NS = 1  # if no latency was measured at all: 0 would look infinitely fast
 
 
-@dataclass(frozen=True)
-class Report:
-    """What one report says, counted over `span`: rows (operation, invs, errored), and rows (server, tries,
-    errored, sum of good times, number of those times)."""
+class DemandEntry(NamedTuple):
+    """Requests for one operation that arrived at a proxy."""
 
-    span: int
-    arrived: tuple[tuple[str, int, int], ...]
-    met: tuple[tuple[str, int, int, int, int], ...]
+    operation: str
+    requests: int
+    failures: int
 
 
-class Sums:
-    """Sums that wait to be told, in the order in which they began; `lines` a second may be told."""
+class EndpointEntry(NamedTuple):
+    """Attempts of a proxy at one endpoint."""
 
-    def __init__(self, lines: float, period: int) -> None:
-        """Nothing waits."""
-        self.lines, self.period = lines, period
-        self.waiting: OrderedDict[tuple[Any, ...], list[int]] = OrderedDict()  # key -> began, a, b, c, d
-        self.room, self.refilled = lines, 0
-        self.lost = 0
-        self.next = 0
+    endpoint: str
+    attempts: int
+    failures: int
+    latency_sum_ns: int  # of the successful attempts that were timed
+    latency_count: int
 
-    def add(self, proxy: Any, zone: str, report: Report, known: Container[str], now: int) -> None:
-        """Add a proxy's report: of its own arrivals, and of its zone's tries at servers that are known."""
-        for operation, invs, errored in report.arrived:
-            self._add(("arrived", proxy, operation), (invs, errored, 0, 0), now - report.span)
-        for server, *row in report.met:
-            if server in known:  # others would take the place of lines that tell something
-                self._add(("met", zone, server), tuple(row), now - report.span)
 
-    def _add(self, key: tuple[Any, ...], row: tuple[int, ...], began: int) -> None:
-        held = self.waiting.get(key)
-        if held is None:
-            if len(self.waiting) >= KEYS_MOST:
-                self.lost += 1
-                return
-            held = self.waiting[key] = [began, 0, 0, 0, 0]
-        held[0] = min(held[0], began)
-        for place, value in enumerate(row, 1):
-            held[place] += value
-
-    def left(self, proxy: Any) -> None:
-        """What arrived at a proxy that left is told to nobody."""
-        for key in [k for k in self.waiting if k[0] == "arrived" and k[1] == proxy]:
-            del self.waiting[key]
-
-    def take(self, now: int) -> list[Event]:
-        """What may be told now, once a period; the rest adds up and follows."""
-        if now < self.next:
+@dataclass(frozen=True, slots=True)
+class LoadReport:
+    """What one proxy counted within a window of time."""
+
+    window_ns: int
+    demand: tuple[DemandEntry, ...]
+    endpoints: tuple[EndpointEntry, ...]
+
+
+class _Key(NamedTuple):
+    event_type: type[Event]  # `DemandReport` or `EndpointLoadReport`
+    source: Any  # the proxy, or the zone of the proxies
+    name: str  # of the operation, or of the endpoint
+
+
+@dataclass(slots=True)
+class _Totals:
+    began_ns: int
+    requests: int = 0
+    failures: int = 0
+    latency_sum_ns: int = 0
+    latency_count: int = 0
+
+
+class LoadAggregator:
+    """Totals that wait to be delivered, in the order in which they began."""
+
+    def __init__(self, rate_entries_per_s: float, interval_ns: int) -> None:
+        """Deliver so many entries per second at most, once per interval."""
+        self.rate_entries_per_s, self.interval_ns = rate_entries_per_s, interval_ns
+        self.pending: OrderedDict[_Key, _Totals] = OrderedDict()
+        self.allowance_entries, self.refilled_at_ns = rate_entries_per_s, 0
+        self.dropped = 0
+        self.next_delivery_ns = 0
+
+    def add(
+        self, proxy: Any, zone: str, report: LoadReport, known_endpoints: Container[str], now: int
+    ) -> None:
+        """Add the report of a proxy; entries of endpoints that are not known are ignored."""
+        began_ns = now - report.window_ns
+        for operation, requests, failures in report.demand:
+            self._add(_Key(DemandReport, proxy, operation), began_ns, requests, failures)
+        for endpoint, attempts, failures, latency_sum_ns, latency_count in report.endpoints:
+            if endpoint in known_endpoints:  # others would use up the allowance of known ones
+                key = _Key(EndpointLoadReport, zone, endpoint)
+                self._add(key, began_ns, attempts, failures, latency_sum_ns, latency_count)
+
+    def on_proxy_disconnected(self, proxy: Any) -> None:
+        """Drop the demand of a proxy that is no longer connected."""
+        for key in [key for key in self.pending if key.event_type is DemandReport and key.source == proxy]:
+            del self.pending[key]
+
+    def pop_due(self, now: int) -> list[Event]:
+        """Return the events that may be delivered now, once per interval."""
+        if now < self.next_delivery_ns:
             return []
-        self.next = now + self.period
-        self.room = min(
-            self.lines * max(self.period, S) / S, self.room + self.lines * (now - self.refilled) / S
-        )
-        self.refilled = now
-        calls: list[Event] = []
-        usual = self._usual()
-        while self.waiting and self.room >= 1:
-            self.room -= 1
-            (name, *who), (began, a, b, c, d) = self.waiting.popitem(last=False)
-            span = max(now - began, 1)
-            if name == "arrived":
-                calls.append(DemandReport(*who, a, b, span))
-            else:
-                # a client that gives no times counts as the others' mean: 0 would look infinitely fast
-                took = c // d if d else usual
-                calls.append(EndpointLoadReport(*who, a, b, max(took, 1) if a > b else 0, span, None))
-        return calls
-
-    def _usual(self) -> int:
-        rows = [row for key, row in self.waiting.items() if key[0] == "met"]
-        timed = sum(row[4] for row in rows)
-        return sum(row[3] for row in rows) // timed if timed else 1
+        self.next_delivery_ns = now + self.interval_ns
+        self._refill(now)
+        events: list[Event] = []
+        mean_latency_ns = self._mean_latency_ns()
+        while self.pending and self.allowance_entries >= 1:
+            self.allowance_entries -= 1
+            key, totals = self.pending.popitem(last=False)
+            events.append(_event(key, totals, mean_latency_ns, now))
+        return events
 
     @property
-    def due(self) -> int | None:
-        """When the next sums may be told, if any wait."""
-        return self.next if self.waiting else None
+    def next_deadline_ns(self) -> int | None:
+        """When the next totals may be delivered, if any wait."""
+        return self.next_delivery_ns if self.pending else None
+
+    def _add(
+        self,
+        key: _Key,
+        began_ns: int,
+        requests: int,
+        failures: int,
+        latency_sum_ns: int = 0,
+        latency_count: int = 0,
+    ) -> None:
+        totals = self.pending.get(key)
+        if totals is None:
+            if len(self.pending) >= MAX_PENDING_KEYS:
+                self.dropped += 1
+                return
+            totals = self.pending[key] = _Totals(began_ns)
+        totals.began_ns = min(totals.began_ns, began_ns)
+        totals.requests += requests
+        totals.failures += failures
+        totals.latency_sum_ns += latency_sum_ns
+        totals.latency_count += latency_count
+
+    def _refill(self, now: int) -> None:
+        """Grow the allowance by the time that passed, to that of one interval or second at most."""
+        limit = self.rate_entries_per_s * max(self.interval_ns, NS_PER_S) / NS_PER_S
+        gained = self.rate_entries_per_s * (now - self.refilled_at_ns) / NS_PER_S
+        self.allowance_entries = min(limit, self.allowance_entries + gained)
+        self.refilled_at_ns = now
+
+    def _mean_latency_ns(self) -> int:
+        """Return the mean latency at all endpoints that wait."""
+        totals = [totals for key, totals in self.pending.items() if key.event_type is EndpointLoadReport]
+        count = sum(each.latency_count for each in totals)
+        return sum(each.latency_sum_ns for each in totals) // count if count else UNKNOWN_LATENCY_NS
+
+
+def _event(key: _Key, totals: _Totals, mean_latency_ns: int, now: int) -> Event:
+    """Return the event of totals; endpoints without a measured latency get the mean of the others."""
+    window_ns = max(now - totals.began_ns, 1)
+    if key.event_type is DemandReport:
+        return DemandReport(key.source, key.name, totals.requests, totals.failures, window_ns)
+    latency_ns = totals.latency_sum_ns // totals.latency_count if totals.latency_count else mean_latency_ns
+    succeeded = totals.requests > totals.failures
+    return EndpointLoadReport(
+        key.source,
+        key.name,
+        totals.requests,
+        totals.failures,
+        max(latency_ns, 1) if succeeded else 0,
+        window_ns,
+        None,
+    )
--- a/swiftchute/controller/policy_runner.py
+++ b/swiftchute/controller/policy_runner.py
@@ -1,14 +1,13 @@
-"""The bare round loop of one planner, without I/O: calls in, the module, its timers and its faults.
+"""Runs the policy in rounds and restarts it when it crashes. No I/O; the time comes in with each call.
 
-    loop = Loop(settings, seed, make=Planner)
-    loop.joined(proxy, zone, rate, fresh); loop.left(proxy); loop.news_of_list(scope, entries)
-    loop.tell(call)
-    done = loop.turn(now)       # call after any of these, and at loop.due; None if the module had no round
-    loop.orders                 # tables, bindings and withdrawals as ordered
-    loop.take_events()
+    runner = PolicyRunner(settings, seed, Reconciler)
+    runner.on_proxy_connected(proxy, zone, request_rate, fresh)
+    runner.enqueue(event)
+    result = runner.run_round(now)      # after any event, and at `runner.next_deadline_ns`
+    runner.assignments                  # tables, assignments and ejections as commanded
 
-It keeps the clock's rounds: the module is called once a turn with all that came in. `Core` adds to it what
-fronts without a channel of their own need; the platform's front stands on it as it is.
+All events that came in since the last round are handed to the policy in one call. A policy that raises an
+exception is replaced by a new one, which is given the last endpoint list and the connected proxies.
 """
 
 import random
@@ -16,190 +15,210 @@
 from collections import deque
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 from swiftchute.api.commands import Policy
-from swiftchute.api.endpoints import EndpointRecord, EndpointState
+from swiftchute.api.endpoints import EndpointRecord, EndpointState, ListScope
 from swiftchute.api.events import EndpointListUpdate, Event, ProxyConnected, ProxyDisconnected, TimerFired
 from swiftchute.api.settings import Settings
-from swiftchute.controller.assignments import MAX_LOG_LINES_PER_ROUND, Assignments, RoundResult
+from swiftchute.controller.assignments import Assignments, RoundResult
+from swiftchute.controller.log_events import EventLog, LogEvent
 
-S = 1_000_000_000
-STALL = 2 * S  # a turn that comes so much later than it was due: this planner stood still
-FAULTS, FAULT_SPAN = (
-    5,
-    60 * S,
-)  # faults of the module within the span past which it waits before the next start
-FAULT_WAIT = 10 * S
-CALLS_MOST = 200_000  # calls that may wait for a round; joins, leaves and lists pass the bound, sums do not
-EVENTS_MOST = 2 * MAX_LOG_LINES_PER_ROUND  # events that may wait to be taken; past it they are counted
-IDLE = 1 * S  # a turn at least so often
+NS_PER_S = 1_000_000_000
+IDLE_ROUND_INTERVAL_NS = 1 * NS_PER_S  # a round at least so often
+EVENT_LOOP_STALL_NS = 2 * NS_PER_S  # a round that comes so much later than that is logged
+MAX_CRASHES_IN_WINDOW = 5  # past it the next restart is delayed
+CRASH_WINDOW_NS = 60 * NS_PER_S
+MAX_RESTART_DELAY_NS = 10 * NS_PER_S  # half of it at least, at random
+MAX_PENDING_EVENTS = 200_000  # load reports past it are dropped; connections and endpoint lists never are
 
+PolicyFactory = Callable[[Settings, int], Policy]
 
-@dataclass
-class Joined:
-    """A proxy that takes this planner's messages."""
+
+@dataclass(slots=True)
+class ConnectedProxy:
+    """A proxy that takes the messages of this instance."""
 
     zone: str
-    rate: float
+    request_rate: float
+
+
+class PendingTimer(NamedTuple):
+    """A timer that the policy started."""
+
+    deadline_ns: int
+    timer_id: int
 
 
-class Loop:
-    """The state of one module's life, and of the next one's after a fault."""
+@dataclass(slots=True)
+class RunnerCounters:
+    """Totals since the start."""
 
-    record = Joined  # what is kept of a proxy
+    rounds: int = 0
+    crashes: int = 0
+    events_dropped: int = 0
+
+
+class PolicyRunner:
+    """The policy of one instance, its pending events and timers, and what it commanded."""
 
     def __init__(
         self,
         settings: Settings,
         seed: int,
-        make: Callable[[Settings, int], Policy],
+        policy_factory: PolicyFactory,
         now: int = 0,
-        lenient: bool = False,
+        ignore_invalid_weights: bool = False,
     ) -> None:
-        """`make` builds the module, anew after each of its faults; `lenient` is as in `Orders`."""
-        self.set, self.make, self.random, self.ignore_invalid_weights = (
-            settings,
-            make,
-            random.Random(seed),
-            lenient,
-        )
-        self.planner: Policy | None = make(settings, seed)
-        self.proxies: dict[Any, Any] = {}
-        self.list: dict[str, EndpointRecord] = {}
-        self.calls: list[Event] = []
-        self.timers: list[tuple[int, int]] = []
-        self.faults: deque[int] = deque(maxlen=FAULTS)
-        self.asleep: int | None = None  # until when the module is not started again
-        self.turned = now
-        self.counts = dict.fromkeys(("rounds", "faults", "calls_lost", "events_lost"), 0)
-        self.events: list[tuple[str, dict[str, Any]]] = []
-        self.assignments = Assignments(settings, lenient)
-
-    def event(self, event: str, **fields: Any) -> None:
-        """An event for the log, told with the next turn."""
-        if len(self.events) >= EVENTS_MOST:
-            self.counts["events_lost"] += 1
-        else:
-            self.events.append((event, fields))
+        """Start the first policy; `policy_factory` also makes those that replace a crashed one.
 
-    def take_events(self) -> list[tuple[str, dict[str, Any]]]:
-        """The events since the last call."""
-        out, self.events = self.events, []
-        return out
-
-    # -- in
+        `ignore_invalid_weights` is as in `Assignments`.
+        """
+        self.settings, self.policy_factory, self.random = settings, policy_factory, random.Random(seed)
+        self.ignore_invalid_weights = ignore_invalid_weights
+        self.policy: Policy | None = policy_factory(settings, seed)
+        self.proxies: dict[Any, Any] = {}
+        self.endpoint_records: dict[str, EndpointRecord] = {}
+        self.pending_events: list[Event] = []
+        self.timers: list[PendingTimer] = []
+        self.crash_times: deque[int] = deque(maxlen=MAX_CRASHES_IN_WINDOW)
+        self.restart_at_ns: int | None = None  # after a crash, until the policy is started again
+        self.last_round_ns = now
+        self.counters = RunnerCounters()
+        self.event_log = EventLog()
+        self.assignments = Assignments(settings, ignore_invalid_weights)
 
-    def joined(self, proxy: Any, zone: str, rate: float, fresh: bool) -> None:
-        """A proxy takes this planner's messages from now on; it is bound to nothing yet."""
-        self.proxies[proxy] = self.record(zone, rate)
+    @property
+    def counts(self) -> dict[str, int]:
+        """Totals since the start, by the names they have in the log."""
+        return {
+            "rounds": self.counters.rounds,
+            "faults": self.counters.crashes,
+            "calls_lost": self.counters.events_dropped,
+            "events_lost": self.event_log.dropped,
+        }
+
+    def log_event(self, name: str, /, **fields: Any) -> None:
+        """Add an event for the log."""
+        self.event_log.add(name, **fields)
+
+    def drain_log_events(self) -> list[LogEvent]:
+        """Return the log events since the last call."""
+        return self.event_log.drain()
+
+    def on_proxy_connected(self, proxy: Any, zone: str, request_rate: float, fresh: bool) -> None:
+        """A proxy takes the messages of this instance from now on; it is unassigned."""
+        self.proxies[proxy] = self._connected_proxy(zone, request_rate)
         self.assignments.on_proxy_connected(proxy, zone)
-        self.calls.append(ProxyConnected(proxy, zone, rate, fresh))
+        self.pending_events.append(ProxyConnected(proxy, zone, request_rate, fresh))
 
-    def left(self, proxy: Any) -> bool:
-        """Its stream broke: what waits for it is lost. False if it had not joined."""
+    def on_proxy_disconnected(self, proxy: Any) -> bool:
+        """The session of a proxy ended, queued messages are lost; return False if it was not connected."""
         if self.proxies.pop(proxy, None) is None:
             return False
         self.assignments.on_proxy_disconnected(proxy)
-        self.calls.append(ProxyDisconnected(proxy))
+        self.pending_events.append(ProxyDisconnected(proxy))
         return True
 
-    def news_of_list(self, scope: str, entries: Iterable[EndpointRecord]) -> None:
-        """News of the list, in the words of `interface`; what is kept here is for the module's next start."""
-        entries = list(entries)
-        if scope in ("whole", "held"):
-            self.list = {}
-        for entry in entries:
-            if entry.state == EndpointState.REMOVED:
-                self.list.pop(entry.endpoint, None)
+    def on_endpoint_list(self, scope: ListScope | str, records: Iterable[EndpointRecord]) -> None:
+        """Hand an endpoint list on to the policy, and keep it for the next start of one."""
+        records = list(records)
+        if scope in (ListScope.SNAPSHOT, ListScope.CACHED):
+            self.endpoint_records = {}
+        for record in records:
+            if record.state == EndpointState.REMOVED:
+                self.endpoint_records.pop(record.endpoint, None)
             else:
-                self.list[entry.endpoint] = entry
-        self.calls.append(EndpointListUpdate(scope, entries))
+                self.endpoint_records[record.endpoint] = record
+        self.pending_events.append(EndpointListUpdate(scope, records))
 
-    def tell(self, call: Event) -> None:
-        """A sum or an answer for the module; past the bound it is lost and counted."""
-        if len(self.calls) >= CALLS_MOST:
-            self.counts["calls_lost"] += 1
+    def enqueue(self, event: Event) -> None:
+        """Add a report or an acknowledgement; past `MAX_PENDING_EVENTS` it is dropped and counted."""
+        if len(self.pending_events) >= MAX_PENDING_EVENTS:
+            self.counters.events_dropped += 1
         else:
-            self.calls.append(call)
-
-    # -- a turn
+            self.pending_events.append(event)
 
     @property
-    def due(self) -> int:
-        """When the next turn is due."""
-        times = [self.turned + IDLE, *(when for when, _ in self.timers)]
-        return min(times if self.asleep is None else [*times, self.asleep])
-
-    def turn(self, now: int) -> RoundResult | None:
-        """Call the module if anything came in or is due; what it ordered, or None."""
-        self._wake(now)
-        return self._round(now) if self.calls and self.planner is not None else None
-
-    def _wake(self, now: int) -> None:
-        if now - self.turned > IDLE + STALL:
-            # Nothing decided before the gap waits anywhere but in the channel, and a push is of the state of
-            # now: what was overtaken is never sent. The drains that came meanwhile are in this round's calls.
-            self.event("stood still", seconds=round((now - self.turned) / S, 1))
-        self.turned = now
-        due = [timer for timer in self.timers if timer[0] <= now]
+    def next_deadline_ns(self) -> int:
+        """When the next round is due, if no event comes in before."""
+        deadlines = [self.last_round_ns + IDLE_ROUND_INTERVAL_NS, *(t.deadline_ns for t in self.timers)]
+        return min(deadlines if self.restart_at_ns is None else [*deadlines, self.restart_at_ns])
+
+    def run_round(self, now: int) -> RoundResult | None:
+        """Call the policy if there are events for it; return what it commanded, or None."""
+        self._check_timeouts(now)
+        return self._reconcile(now) if self.pending_events and self.policy is not None else None
+
+    def _connected_proxy(self, zone: str, request_rate: float) -> ConnectedProxy:
+        return ConnectedProxy(zone, request_rate)
+
+    def _check_timeouts(self, now: int) -> None:
+        """Report a stall, fire the timers that are due, restart the policy if it is time."""
+        if now - self.last_round_ns > IDLE_ROUND_INTERVAL_NS + EVENT_LOOP_STALL_NS:
+            # Decisions of before the stall wait in the egress queue at most, and a push is of the current
+            # state, so nothing outdated is sent. Drains that came meanwhile are in this round's events.
+            self.log_event("stood still", seconds=round((now - self.last_round_ns) / NS_PER_S, 1))
+        self.last_round_ns = now
+        due = [timer for timer in self.timers if timer.deadline_ns <= now]
         if due:
-            self.timers = [timer for timer in self.timers if timer[0] > now]
-            self.calls += [TimerFired(token) for _, token in due]
-        if self.asleep is not None and now >= self.asleep:
-            self._start_again()
-
-    def _round(self, now: int) -> RoundResult | None:
-        calls, self.calls = self.calls, []
-        self.counts["rounds"] += 1
+            self.timers = [timer for timer in self.timers if timer.deadline_ns > now]
+            self.pending_events += [TimerFired(timer.timer_id) for timer in due]
+        if self.restart_at_ns is not None and now >= self.restart_at_ns:
+            self._restart_policy()
+
+    def _reconcile(self, now: int) -> RoundResult | None:
+        assert self.policy is not None
+        events, self.pending_events = self.pending_events, []
+        self.counters.rounds += 1
         try:
-            assert self.planner is not None
-            self.planner.reconcile(now, calls, self.assignments)
-        except Exception as why:  # the module's fault is this planner's, never silence
-            self._fault(why, len(calls), now)
+            self.policy.reconcile(now, events, self.assignments)
+        except Exception as error:  # a crash of the policy must not end the process
+            self._on_policy_crash(error, len(events), now)
             return None
-        done = self.assignments.finish_round()
-        for text in done.log_lines:
-            self.event("mode", text=text)
-        self.timers += [(now + wait, token) for wait, token in done.timers]
-        return done
-
-    # -- the module's faults
-
-    def _fault(self, why: Exception, calls: int, now: int) -> None:
-        """The module failed: proxies keep their tables and it starts anew with the last list."""
-        self.counts["faults"] += 1
-        place = traceback.extract_tb(why.__traceback__)[-1]
-        self.event(
+        result = self.assignments.finish_round()
+        for text in result.log_lines:
+            self.log_event("mode", text=text)
+        self.timers += [PendingTimer(now + timer.delay_ns, timer.timer_id) for timer in result.timers]
+        return result
+
+    def _on_policy_crash(self, error: Exception, event_count: int, now: int) -> None:
+        """Drop the policy and its assignments; proxies keep their tables until the next one has started."""
+        self.counters.crashes += 1
+        place = traceback.extract_tb(error.__traceback__)[-1]
+        self.log_event(
             "module fault",
-            error=f"{type(why).__name__}: {why}",
+            error=f"{type(error).__name__}: {error}",
             at=f"{place.name}:{place.lineno}",
-            calls=calls,
-            faults=self.counts["faults"],
-        )
-        self._carry()
-        self.planner, self.timers, self.asleep = None, [], now
-        if len(self.faults) == FAULTS and now - self.faults[0] < FAULT_SPAN:
-            # a fault that comes again at once would make the program spin and the log overflow
-            self.asleep = now + int(FAULT_WAIT * self.random.uniform(0.5, 1.0))
-            self.event("module waits", seconds=round((self.asleep - now) / S, 1), faults=FAULTS)
-        self.faults.append(now)
-        self._fresh()
-        for proxy, joined in self.proxies.items():
-            self.assignments.on_proxy_connected(proxy, joined.zone)
-
-    def _carry(self) -> None:
-        """What is kept of a module that failed, before its orders are dropped."""
-
-    def _fresh(self) -> None:
-        """Orders for a new module."""
-        self.assignments = Assignments(self.set, self.ignore_invalid_weights)
-
-    def _start_again(self) -> None:
-        self.asleep = None
-        self.planner = self.make(self.set, self.random.getrandbits(63))
-        self.calls = (
-            [EndpointListUpdate("held", [self.list[n] for n in sorted(self.list)])] if self.list else []
+            calls=event_count,
+            faults=self.counters.crashes,
         )
-        self.calls += [ProxyConnected(p, j.zone, j.rate, False) for p, j in self.proxies.items()]
-        self.event("module started", proxies=len(self.proxies), servers=len(self.list))
+        self._before_reset()
+        self.policy, self.timers, self.restart_at_ns = None, [], now
+        if len(self.crash_times) == MAX_CRASHES_IN_WINDOW and now - self.crash_times[0] < CRASH_WINDOW_NS:
+            # a crash that repeats at once would keep the process busy and flood the log
+            self.restart_at_ns = now + int(MAX_RESTART_DELAY_NS * self.random.uniform(0.5, 1.0))
+            delay_s = round((self.restart_at_ns - now) / NS_PER_S, 1)
+            self.log_event("module waits", seconds=delay_s, faults=MAX_CRASHES_IN_WINDOW)
+        self.crash_times.append(now)
+        self._reset()
+        for proxy, connected in self.proxies.items():
+            self.assignments.on_proxy_connected(proxy, connected.zone)
+
+    def _before_reset(self) -> None:
+        """Hook: save what is still needed of the assignments of a crashed policy."""
+
+    def _reset(self) -> None:
+        """Make empty assignments for the next policy."""
+        self.assignments = Assignments(self.settings, self.ignore_invalid_weights)
+
+    def _restart_policy(self) -> None:
+        self.restart_at_ns = None
+        self.policy = self.policy_factory(self.settings, self.random.getrandbits(63))
+        records = [self.endpoint_records[endpoint] for endpoint in sorted(self.endpoint_records)]
+        self.pending_events = [EndpointListUpdate(ListScope.CACHED, records)] if records else []
+        self.pending_events += [
+            ProxyConnected(proxy, connected.zone, connected.request_rate, False)
+            for proxy, connected in self.proxies.items()
+        ]
+        self.log_event("module started", proxies=len(self.proxies), servers=len(self.endpoint_records))
--- a/swiftchute/daemon/commands.py
+++ b/swiftchute/daemon/commands.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from swiftchute.admin.errors import CommandRejectedError
-from swiftchute.controller.controller import Core
+from swiftchute.controller.controller import Controller
 from swiftchute.versions import encoding
 from swiftchute.versions.history import Change, Unknown
 from swiftchute.versions.pinning import Impossible
@@ -17,9 +17,9 @@
 class Commands:
     """The commands on one planner's core; `done` is called once something was changed."""
 
-    def __init__(self, core: Core, clock: Callable[[], int], done: Callable[[], None]) -> None:
+    def __init__(self, controller: Controller, clock: Callable[[], int], done: Callable[[], None]) -> None:
         """`clock` is the core's."""
-        self.core, self.clock, self.done = core, clock, done
+        self.controller, self.clock, self.done = controller, clock, done
 
     def all(self) -> dict[str, Callable[..., Any]]:
         """By name, as requests give them."""
@@ -41,10 +41,10 @@
 
     def explain(self, table: str | None = None) -> dict[str, Any]:
         """Why tables go out as they do."""
-        gate = self.core.gate
+        gate = self.controller.publish_gate
         if gate is None:
             raise CommandRejectedError("the guard is off")
-        tables = self.core.explain(self.clock())
+        tables = self.controller.explain(self.clock())
         if table is not None and table not in (names := [row["table"] for row in tables]):
             raise CommandRejectedError(f"no table {table!r} in use; there are {', '.join(names) or 'none'}")
         return {
@@ -54,8 +54,8 @@
         }
 
     def _change(self, change: Change) -> dict[str, Any]:
-        held, way = self.core.sent.states(change.table).get(change.version, (0, 0))
-        newest = self.core.history.current(change.table)
+        held, way = self.controller.deliveries.states(change.table).get(change.version, (0, 0))
+        newest = self.controller.history.current(change.table)
         return {
             "table": change.table,
             "serial": change.serial,
@@ -73,11 +73,11 @@
 
     def log(self, table: str | None = None, most: int = 20) -> list[dict[str, Any]]:
         """The last changes, newest first."""
-        return [self._change(change) for change in self.core.history.log(table, min(int(most), MOST))]
+        return [self._change(change) for change in self.controller.history.log(table, min(int(most), MOST))]
 
     def _kept(self, table: str, version: str) -> tuple[Change, encoding.Table]:
-        change = self.core.history.find(table, version)
-        content = self.core.history.get(change.version)
+        change = self.controller.history.find(table, version)
+        content = self.controller.history.get(change.version)
         if content is None:
             raise CommandRejectedError(f"version {change.version.hex()[:12]} is no longer kept")
         return change, content
@@ -85,7 +85,7 @@
     def show(self, table: str, version: str = "~0") -> dict[str, Any]:
         """One version: its lines and levels, who holds it, and what the module orders beside a pinned one."""
         change, content = self._kept(table, version)
-        pin = self.core.pins.by.get(table)
+        pin = self.controller.pins.by.get(table)
         return self._change(change) | {
             "levels": [
                 [op, millionths / encoding.MILLION, tries] for op, millionths, tries in content.levels
@@ -95,7 +95,7 @@
                 "version": pin.change.version.hex(), "cause": pin.cause, "levels": pin.levels,
                 "seconds": round((pin.until - self.clock()) / S, 1),
             },
-            "ordered": self.core.ordered_lines(table),
+            "ordered": self.controller.commanded_weights(table),
         }  # fmt: skip
 
     def diff(self, table: str, before: str, after: str) -> dict[str, Any]:
@@ -128,11 +128,11 @@
         return self._pin(table, version, seconds, levels, "pin")
 
     def _pin(self, table: str, version: str, seconds: float, levels: bool, cause: str) -> dict[str, Any]:
-        change = self.core.pin(table, version, int(seconds * S), bool(levels), cause, self.clock())
+        change = self.controller.pin(table, version, int(seconds * S), bool(levels), cause, self.clock())
         self.done()
         return self._change(change)
 
     def release(self, table: str) -> None:
         """The module's orders count again."""
-        self.core.release(table, self.clock())
+        self.controller.release(table, self.clock())
         self.done()
--- a/swiftchute/daemon/service.py
+++ b/swiftchute/daemon/service.py
@@ -3,11 +3,12 @@
 import asyncio
 import signal
 import time
+from collections.abc import Mapping
 from typing import Any
 
 from swiftchute.admin.server import AdminServer
 from swiftchute.config import Config
-from swiftchute.controller.controller import Core, Keep
+from swiftchute.controller.controller import Controller, RetentionSettings
 from swiftchute.daemon.commands import Commands
 from swiftchute.discovery.endpoint_list import BadList, Registry
 from swiftchute.discovery.sources import FileSource, HttpSource
@@ -32,6 +33,22 @@
     """An address or socket cannot be had; its text names the field and the cause."""
 
 
+def _retention(tables: Mapping[str, Any]) -> RetentionSettings:
+    """Return the values of the `tables` block of the settings by their names in the controller."""
+    return RetentionSettings(
+        max_versions=tables["most"],
+        max_age_ns=tables["age"],
+        rejected_fraction=tables["rejected_part"],
+        max_rollbacks=tables["back_most"],
+        rollback_window_ns=tables["back_within"],
+        rollback_duration_ns=tables["back_for"],
+        canary_fraction=tables["canary_part"],
+        canary_duration_ns=tables["canary_for"],
+        max_canary_duration_ns=tables["canary_most"],
+        min_canary_change=tables["canary_step"],
+    )
+
+
 class Service:
     """Runs one planner until it is told to stop."""
 
@@ -43,12 +60,12 @@
         mode = config.guard["mode"]
         of = {key: value for key, value in config.guard.items() if key != "mode"}
         rules = Rules(**of | {"warn": frozenset(of["warn"])}) if mode != "off" else None
-        self.core = Core(
-            config.settings, config.seed, make, now, rules, mode == "enforce", Keep(**config.tables)
+        self.controller = Controller(
+            config.settings, config.seed, make, now, rules, mode == "enforce", _retention(config.tables)
         )
         xds, life = config.xds, int(time.time() * 1000)
         self.front = Front(
-            self.core,
+            self.controller,
             config.settings,
             life,
             xds["ack_within"],
@@ -60,10 +77,10 @@
         self.registry = Registry(config.settings.zones, offset)
         self.dns: DnsShell | None = None
         if config.dns["listen"]:
-            answers = DnsFront(self.core, config.settings, config.dns, config.seed, offset)
+            answers = DnsFront(self.controller, config.settings, config.dns, config.seed, offset)
             self.dns = DnsShell(answers, config.settings.zone, self.clock, log)
         self.shell = Shell(self.front, config.settings, xds, self.kick, self.clock, log)
-        commands = Commands(self.core, self.clock, self.kick).all()
+        commands = Commands(self.controller, self.clock, self.kick).all()
         self.control = AdminServer(config.control, commands) if config.control else None
         self.stop, self.fault = asyncio.Event(), None
         self.past, self.tell_past = self._past_bounds(), 0
@@ -91,7 +108,7 @@
         for passed in news.passed[:16]:
             self.log.warning("entry passed over", cause=passed)
         self.log.info("list", scope=news.scope, entries=len(news.entries), passed=len(news.passed))
-        self.core.listed(news)
+        self.controller.on_list_update(news)
         self.kick()
 
     def _failed(self, cause: str) -> None:
@@ -114,7 +131,7 @@
         self.handle = None
         now = self.clock()
         try:
-            turn = self.core.turn(now)
+            turn = self.controller.run_round(now)
             if self.dns is not None:
                 self.dns.turn(turn, now)
             out = self.front.turn(turn, now)
@@ -126,16 +143,20 @@
             self.fault = why
             self.stop.set()
             raise
-        due = min(self.core.due, self.dns.due) if self.dns is not None else self.core.due
+        due = (
+            min(self.controller.next_deadline_ns, self.dns.due)
+            if self.dns is not None
+            else self.controller.next_deadline_ns
+        )
         self._plan(max(due, self.clock() + 1_000_000))
 
     def _past_bounds(self) -> dict[str, int]:
         """What was dropped or turned away past a bound, since the start."""
         server = self.shell.server
         found = {
-            "sums": self.core.sums.lost,
-            "calls": self.core.counts["calls_lost"],
-            "events": self.core.counts["events_lost"],
+            "sums": self.controller.load_aggregator.dropped,
+            "calls": self.controller.counts["calls_lost"],
+            "events": self.controller.counts["events_lost"],
             "connections": server.turned_away if server else 0,
         }
         if self.dns is not None:
@@ -194,6 +215,6 @@
                 await self.dns.stop()
             if self.control is not None:
                 await self.control.stop()
-            gate = self.core.gate
-            counts = self.core.counts | self.front.counts | (self.dns.counts if self.dns else {})
+            gate = self.controller.publish_gate
+            counts = self.controller.counts | self.front.counts | (self.dns.counts if self.dns else {})
             self.log.info("stopped", counts=counts, guard=gate.counts if gate else {})
--- a/swiftchute/dns/frontend.py
+++ b/swiftchute/dns/frontend.py
@@ -24,8 +24,8 @@
 import dns.rdatatype
 
 from swiftchute.api.settings import Settings
-from swiftchute.controller.controller import Content, Core, Turn
-from swiftchute.controller.load_aggregation import Report
+from swiftchute.controller.controller import Controller, RoundOutput, TableContent
+from swiftchute.controller.load_aggregation import DemandEntry, LoadReport
 from swiftchute.dns.answer_cache import Counter, Ready
 from swiftchute.dns.names import Names
 from swiftchute.dns.query import EMPTY, SIZE_LEAST, SIZE_MOST, Bad, Network, Query, compose, plain, read
@@ -46,7 +46,7 @@
     """One zone's view: what it was pushed, and the newest mark it has not answered."""
 
     zone: str
-    held: dict[str, Content]  # by operation
+    held: dict[str, TableContent]  # by operation
     seal: int | None = None
     waits: bool = False  # pushed, and answers of before may still be in caches
     until: int = 0
@@ -56,12 +56,17 @@
     """All views of one planner's life."""
 
     def __init__(
-        self, core: Core, settings: Settings, plumbing: Mapping[str, Any], seed: int, offset: int = 0
+        self,
+        controller: Controller,
+        settings: Settings,
+        plumbing: Mapping[str, Any],
+        seed: int,
+        offset: int = 0,
     ) -> None:
         """`plumbing` is the `dns` block of the settings; `offset` is wall clock minus the planner's clock,
         fixed: serials begin at the wall clock's seconds, past those of earlier lives."""
         self.offset = offset
-        self.core, self.set, self.seed = core, settings, seed
+        self.controller, self.set, self.seed = controller, settings, seed
         p = self.plumbing = plumbing
         operations = [op.name for op in settings.operations]
         self.names = Names(p["origin"], operations, settings.zones)
@@ -72,7 +77,7 @@
             settings.drain_grace_ns, settings.max_no_endpoint_ns, p["ttl_most"] // S, p["queries"]
         )
         self.limiter = Limiter(p["responses"], p["slip"], p["strangers"])
-        self.journal = Journal(core.history, self.names, self.shape, self.lease.bound)
+        self.journal = Journal(controller.history, self.names, self.shape, self.lease.bound)
         self.secondaries = Secondaries(
             p["secondaries"], self.names.origin, p["expire"], self.lease.bound * S, seed
         )
@@ -85,7 +90,7 @@
         self.ready: Ready | None = None
         self.contents: dict[str, dict[str, tuple[bytes, Lines]]] = {}
         self.cold: frozenset[str] = frozenset()
-        self.barred = core.barred
+        self.barred = controller.unavailable_endpoints
         self.ttl = self.lease.bound
         self.rate = 0.0  # queries a second of late
         self.checked = self.reported = self.turned = 0
@@ -102,28 +107,30 @@
         """The views join the core."""
         self.checked = self.reported = now
         for name, view in self.views.items():
-            self.core.joined(name, view.zone, self.plumbing["rate"], True)
+            self.controller.on_proxy_connected(name, view.zone, self.plumbing["rate"], True)
 
-    def turn(self, turn: Turn, now: int) -> None:
+    def turn(self, turn: RoundOutput, now: int) -> None:
         """Take the pushes of a turn, and see which earlier answers are over."""
         moved, self.turned = False, now
-        for name in turn.refused:  # no room in the channel: it joins anew, and serves what it has meanwhile
+        for name in (
+            turn.overflowed_proxies
+        ):  # no room in the channel: it joins anew, and serves what it has meanwhile
             if name in self.views:
                 view = self.views[name]
                 view.seal, view.waits = None, False
-                self.core.left(name)
-                self.core.joined(name, view.zone, self.plumbing["rate"], False)
+                self.controller.on_proxy_disconnected(name)
+                self.controller.on_proxy_connected(name, view.zone, self.plumbing["rate"], False)
         for name, seal in turn.pushes:
             if name not in self.views:
                 continue
-            view, holding = self.views[name], self.core.held(name)
-            if holding.bound:  # else it is bound to nothing yet: what it served stays
-                view.held = {op: holding.contents[table] for op, table in holding.bound}
+            view, holding = self.views[name], self.controller.tables_of(name)
+            if holding.tables_by_operation:  # else it is bound to nothing yet: what it served stays
+                view.held = {op: holding.contents[table] for op, table in holding.tables_by_operation}
                 moved = True
             view.seal = seal if seal is not None else view.seal
             view.waits = True
-        if self.core.barred is not self.barred:
-            self.barred, moved = self.core.barred, True
+        if self.controller.unavailable_endpoints is not self.barred:
+            self.barred, moved = self.controller.unavailable_endpoints, True
         if now - self.checked >= CHECK:
             moved |= self._check(now)
         if moved:
@@ -142,9 +149,14 @@
             self._report(now)
         ttl = self.lease.ttl(self.rate, now)
         if ttl != self.ttl:
-            self.core.event("answers live", seconds=ttl, most=self.lease.bound, queries=round(self.rate, 1),
-                            changes=len(self.lease.changes))  # fmt: skip
-        moved = ttl != self.ttl or self.core.cold(now) != self.cold
+            self.controller.log_event(
+                "answers live",
+                seconds=ttl,
+                most=self.lease.bound,
+                queries=round(self.rate, 1),
+                changes=len(self.lease.changes),
+            )
+        moved = ttl != self.ttl or self.controller.warming_endpoints(now) != self.cold
         self.ttl = ttl
         return moved
 
@@ -158,16 +170,16 @@
                 key = (view.zone, op.name)
                 if counter is not None and counter.given > self.told.get(key, 0):
                     invs = (counter.given - self.told.get(key, 0)) * self.plumbing["calls_per_answer"]
-                    rows.append((op.name, max(round(invs), 1), 0))
+                    rows.append(DemandEntry(op.name, max(round(invs), 1), 0))
                     self.told[key] = counter.given
             if rows:
-                self.core.heard(name, Report(span, tuple(rows), ()), now)
+                self.controller.on_load_report(name, LoadReport(span, tuple(rows), ()), now)
 
-    def _lines(self, content: Content) -> Lines:
+    def _lines(self, content: TableContent) -> Lines:
         """A table's lines less servers that drain or are gone: news of those may be ahead of the push. If
         nothing else were left they stay: an answer is never emptied."""
-        open_ = tuple(line for line in content.lines if line[0] not in self.barred)
-        return open_ or content.lines
+        open_ = tuple(line for line in content.entries if line[0] not in self.barred)
+        return open_ or content.entries
 
     def _rebuild(self, now: int) -> None:
         """Make answers of what the views hold, if that is not what they were made of."""
@@ -176,12 +188,12 @@
         for view in self.views.values():
             for op, content in view.held.items():
                 lines = self._lines(content)
-                version = content.version if lines is content.lines else b""
+                version = content.version if lines is content.entries else b""
                 held.setdefault(view.zone, {})[op] = (version, lines)
                 place = [o.name for o in self.set.operations].index(op)
                 if self.plumbing["shed"] == "servfail":
-                    levels[view.zone, op] = content.levels[place][0]
-        cold = self.core.cold(now)
+                    levels[view.zone, op] = content.admission[place][0]
+        cold = self.controller.warming_endpoints(now)
         old = self.ready.records if self.ready else None
         if not held:
             return
@@ -210,8 +222,8 @@
                 view.waits = False
                 if view.seal is not None:
                     seal, view.seal = view.seal, None
-                    self.core.applied(name, seal, now)
-                self.core.settled(name, now)
+                    self.controller.on_acknowledged(name, seal, now)
+                self.controller.on_fully_acknowledged(name, now)
 
     @property
     def due(self) -> int:
--- a/swiftchute/dns/server.py
+++ b/swiftchute/dns/server.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from swiftchute.controller.controller import Turn
+from swiftchute.controller.controller import RoundOutput
 from swiftchute.dns.frontend import Front
 
 S = 1_000_000_000
@@ -126,7 +126,7 @@
         for stream in list(self.streams):
             stream.transport.abort()
 
-    def turn(self, turn: Turn, now: int) -> None:
+    def turn(self, turn: RoundOutput, now: int) -> None:
         """A turn of the planner: the front takes it, and what is due is done."""
         self.front.turn(turn, now)
         for address, data in self.front.notifies(now):
--- a/swiftchute/platform/server.py
+++ b/swiftchute/platform/server.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from swiftchute.controller.policy_runner import Loop
+from swiftchute.controller.policy_runner import PolicyRunner
 from swiftchute.platform import settings as reader
 from swiftchute.platform.discovery_client import Dial, Link, Watches
 from swiftchute.platform.endpoint_list import BadWatch, Catalog
@@ -149,7 +149,7 @@
         self.clock = clock()
         self.random = random.Random(told.seed)
         self.catalog = Catalog(told.settings.zones)
-        self.loop = Loop(told.settings, told.seed, Reconciler, self.clock())
+        self.loop = PolicyRunner(told.settings, told.seed, Reconciler, self.clock())
         self.front = Front(self.loop, self.sockets())
         self.clients: set[_Client] = set()
         self.rounds_cpu = 0
@@ -216,7 +216,9 @@
 
     def heard(self) -> None:
         """Bytes came or a connection ended: a round is due if that is anything to the module."""
-        if self.loop.calls and self.loop.planner is not None:  # else it waits after a fault: `due` wakes it
+        if (
+            self.loop.pending_events and self.loop.policy is not None
+        ):  # else it waits after a fault: `due` wakes it
             self.kick()
 
     def kick(self) -> None:
@@ -244,7 +246,7 @@
             wait = max(self.front.due - self.clock(), ROUND_EVERY) / S
             self.sleeping = self.events.call_later(wait, self.kick)
         self.rounds_cpu += time.thread_time_ns() - began
-        for event, fields in self.loop.take_events():
+        for event, fields in self.loop.drain_log_events():
             self.log(event, **fields)
         self.end_some()
         self.heard()
@@ -272,7 +274,7 @@
         front, loop = self.front, self.loop
         self.log(
             "figures", **front.counts, **loop.counts, proxies=len(front.streams),
-            unjoined=len(front.unjoined), held=len(front.held), servers=len(loop.list),
+            unjoined=len(front.unjoined), held=len(front.held), servers=len(loop.endpoint_records),
             known=len(front.known), stale_lists=self.catalog.stale,
             cpu_ms=time.process_time_ns() // MS, rounds_cpu_ms=self.rounds_cpu // MS,
         )  # fmt: skip
--- a/swiftchute/platform/session_manager.py
+++ b/swiftchute/platform/session_manager.py
@@ -17,7 +17,7 @@
 from swiftchute.api.endpoints import EndpointRecord
 from swiftchute.api.events import DemandReport, EndpointLoadReport, PushAcknowledged
 from swiftchute.controller.assignments import RoundResult
-from swiftchute.controller.policy_runner import Loop
+from swiftchute.controller.policy_runner import PolicyRunner
 from swiftchute.platform import wire_messages
 from swiftchute.platform.proxy_session import Stream
 from swiftchute.platform.push_encoder import TooLarge, Writer
@@ -39,9 +39,9 @@
 class Front:
     """The state of a planner's address."""
 
-    def __init__(self, loop: Loop, sockets: int) -> None:
+    def __init__(self, loop: PolicyRunner, sockets: int) -> None:
         """No connection is open; `sockets` are the descriptors that this process may hold."""
-        self.loop, self.sockets, self.set = loop, sockets, loop.set
+        self.loop, self.sockets, self.set = loop, sockets, loop.settings
         self.operations = {op.name for op in self.set.operations}
         self.zones = set(self.set.zones)
         self.longest = max(2 * max(op.timeout_ns for op in self.set.operations), MEAN_LEAST)
@@ -90,16 +90,16 @@
         del self.streams[proxy]
         self.pending.pop(proxy, None)
         self.writer.left(proxy)
-        self.loop.left(proxy)
+        self.loop.on_proxy_disconnected(proxy)
         self.counts["left"] += 1
-        self.loop.event("proxy left", proxy=proxy, cause=cause)
+        self.loop.log_event("proxy left", proxy=proxy, cause=cause)
 
     def dropped(self, stream: Stream, cause: str) -> None:
         """A spoilt message of a joined connection is passed over."""
         self.counts["spoilt"] += 1
         if self.counts["spoilt"] <= SPOILT_LOGGED or not self.counts["spoilt"] % 100:
             who = {"proxy": stream.proxy} if stream.proxy is not None else {"collector": stream.zone}
-            self.loop.event("message dropped", cause=cause, dropped=self.counts["spoilt"], **who)
+            self.loop.log_event("message dropped", cause=cause, dropped=self.counts["spoilt"], **who)
 
     def tend(self, now: int) -> None:
         """Look at connections that wait: those that do not join, and proxies that say nothing."""
@@ -156,7 +156,7 @@
         self.streams[proxy] = stream
         self.counts["joined"] += 1
         self.writer.joined(proxy, message.fresh)
-        self.loop.joined(proxy, message.zone, message.weight, message.fresh)
+        self.loop.on_proxy_connected(proxy, message.zone, message.weight, message.fresh)
         return None
 
     def _agent(self, stream: Stream, message: wire_messages.Agent) -> str | None:
@@ -185,7 +185,7 @@
             return f"mark {message.mark} was not asked for"
         self.counts["acks"] += 1
         if asked:
-            self.loop.tell(PushAcknowledged(stream.proxy, message.mark, int(message.took_ms * MS)))
+            self.loop.enqueue(PushAcknowledged(stream.proxy, message.mark, int(message.took_ms * MS)))
         return None
 
     def _span(self, message: wire_messages.Outcomes | wire_messages.Demand) -> str | None:
@@ -217,7 +217,7 @@
         self.counts["reports"] += 1
         took = int(mean * MS) if good and mean is not None else 0
         window = int(message.span_ms * MS)
-        self.loop.tell(
+        self.loop.enqueue(
             EndpointLoadReport(
                 message.zone, message.server, message.tries, message.failed, took, window, load or None
             )
@@ -236,7 +236,9 @@
             return cause
         self.counts["reports"] += 1
         window = int(message.span_ms * MS)
-        self.loop.tell(DemandReport(message.proxy, message.operation, message.tries, message.failed, window))
+        self.loop.enqueue(
+            DemandReport(message.proxy, message.operation, message.tries, message.failed, window)
+        )
         return None
 
     # -- the list
@@ -245,16 +247,16 @@
         """News from discovery, in the words of `interface`."""
         entries = list(entries)
         self.writer.listed(entries, scope in ("whole", "held"))
-        self.loop.news_of_list(scope, entries)
+        self.loop.on_endpoint_list(scope, entries)
 
     def _known(self, server: str) -> bool:
         """Reports may name servers that are listed, and those lately gone."""
-        return server in self.loop.list or server in self.writer.gone
+        return server in self.loop.endpoint_records or server in self.writer.gone
 
     @property
     def known(self) -> set[str]:
         """All that reports may name."""
-        return self.loop.list.keys() | self.writer.gone.keys()
+        return self.loop.endpoint_records.keys() | self.writer.gone.keys()
 
     # -- a turn
 
@@ -266,11 +268,11 @@
     @property
     def due(self) -> int:
         """When the next turn is due."""
-        return self.loop.due
+        return self.loop.next_deadline_ns
 
     def turn(self, now: int) -> Iterator[tuple[Stream, bytes]]:
         """Call the module if anything came in, and yield what is to be written now, message by message."""
-        done = self.loop.turn(now)
+        done = self.loop.run_round(now)
         if self.loop.assignments is not self.writer.orders:  # the module started anew after a fault
             self.writer.fresh(self.loop.assignments)
             self.shut = set()
@@ -295,8 +297,8 @@
         if (
             done.fetch_list or done.subscribe is not None
         ):  # the watch is open at all times here: what is held is told
-            entries = [self.loop.list[n] for n in sorted(self.loop.list)]
-            self.loop.news_of_list(
+            entries = [self.loop.endpoint_records[n] for n in sorted(self.loop.endpoint_records)]
+            self.loop.on_endpoint_list(
                 "whole" if done.fetch_list else "changes", entries if done.fetch_list else []
             )
         for proxy in done.entries_by_proxy:
@@ -322,7 +324,7 @@
             data, lines = self.writer.message(proxy, seal, withdrawn)
         except TooLarge as why:
             self.counts["too_large"] += 1
-            self.loop.event("message too large", proxy=proxy, cause=str(why))
+            self.loop.log_event("message too large", proxy=proxy, cause=str(why))
             return b""
         if data:
             self.counts["marks_lost"] += stream.pushed(len(data), seal, now)
--- a/swiftchute/versions/delivery.py
+++ b/swiftchute/versions/delivery.py
@@ -20,14 +20,14 @@
     tries."""
 
     version: bytes
-    lines: tuple[tuple[str, str, float], ...]
-    levels: tuple[tuple[float, int], ...]
+    entries: tuple[tuple[str, str, float], ...]
+    admission: tuple[tuple[float, int], ...]
 
 
 class Holding(Protocol):
     """Operation and table name by operation, and the tables' contents by name."""
 
-    bound: tuple[tuple[str, str], ...]
+    tables_by_operation: tuple[tuple[str, str], ...]
     contents: dict[str, Any]
 
 
@@ -103,7 +103,7 @@
         for rows, rate in groups.values():
             shares: dict[str, float] = {}
             for holding in rows if rate else ():
-                for operation, table in holding.bound:
+                for operation, table in holding.tables_by_operation:
                     if operation in operations:
                         self._most(shares, holding.contents[table], cold)
             if shares:
@@ -112,9 +112,9 @@
 
     @staticmethod
     def _most(shares: dict[str, float], content: Content, cold: Collection[str]) -> None:
-        lines = [(server, weight) for server, _, weight in content.lines if server in cold]
+        lines = [(server, weight) for server, _, weight in content.entries if server in cold]
         if lines:
-            level = min(max((level for level, _ in content.levels), default=1.0), 1.0)
-            total = sum(weight for _, _, weight in content.lines)
+            level = min(max((level for level, _ in content.admission), default=1.0), 1.0)
+            total = sum(weight for _, _, weight in content.entries)
             for server, weight in lines:
                 shares[server] = max(shares.get(server, 0.0), level * weight / total)
--- a/swiftchute/xds/frontend.py
+++ b/swiftchute/xds/frontend.py
@@ -16,8 +16,8 @@
 from typing import Any
 
 from swiftchute.api.settings import Settings
-from swiftchute.controller.controller import Core, Turn
-from swiftchute.controller.load_aggregation import Report
+from swiftchute.controller.controller import Controller, RoundOutput
+from swiftchute.controller.load_aggregation import LoadReport
 from swiftchute.xds import names
 from swiftchute.xds.messages import Peer, Reply, Request, Violation
 from swiftchute.xds.resources import Translator
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        core: Core,
+        controller: Controller,
         settings: Settings,
         life: int,
         ack_within: int,
@@ -50,14 +50,14 @@
         seed: int,
     ) -> None:
         """`proxy_rate` stands for a rate that a node does not tell; `streams` may be open at once."""
-        self.core, self.set, self.life = core, settings, life
+        self.controller, self.set, self.life = controller, settings, life
         self.ack_within, self.proxy_rate, self.most = ack_within, proxy_rate, streams
         self.random = random.Random(seed)
         self.translator = Translator(settings)
         self.streams: dict[int, tuple[Peer, Stream]] = {}
         self.sids: dict[str, int] = {}
         self.touched: set[int] = set()
-        self.barred = core.barred
+        self.barred = controller.unavailable_endpoints
         self.pushes = 0
         self.checked = 0
         self.cuts: list[tuple[int, str, str]] = []
@@ -70,17 +70,17 @@
         old = self.sids.get(peer.node)
         if old is None and len(self.streams) >= self.most:
             raise Violation("RESOURCE_EXHAUSTED", f"{self.most} streams are open, the most allowed")
-        if old is None and peer.node in self.core.proxies:
+        if old is None and peer.node in self.controller.proxies:
             raise Violation("ALREADY_EXISTS", f"{peer.node} is a proxy of another front")
         if old is not None:  # it dialled again before its broken stream was noticed, or it is a double
             self._cut(old, "ABORTED", f"node {peer.node} opened another stream")
         lines = delta and names.LINES_FEATURE in peer.features
         stream = Stream(delta, f"{self.life:x}.{sid}", self.random.getrandbits(32), lines)
-        stream.barred = self.core.barred
+        stream.barred = self.controller.unavailable_endpoints
         self.streams[sid], self.sids[peer.node] = (peer, stream), sid
-        self.core.joined(peer.node, peer.zone, peer.rate or self.proxy_rate, peer.fresh)
-        self.core.event("proxy joined", proxy=peer.node, zone=peer.zone, delta=delta, lines=lines)
-        if self.core.assignments.ejected:
+        self.controller.on_proxy_connected(peer.node, peer.zone, peer.rate or self.proxy_rate, peer.fresh)
+        self.controller.log_event("proxy joined", proxy=peer.node, zone=peer.zone, delta=delta, lines=lines)
+        if self.controller.assignments.ejected:
             self._want(sid, None, now)
 
     def request(self, sid: int, request: Request, now: int) -> None:
@@ -102,12 +102,12 @@
         peer, _ = self.streams.pop(sid)
         del self.sids[peer.node]
         self.touched.discard(sid)
-        self.core.left(peer.node)
-        self.core.event("proxy left", proxy=peer.node, cause=cause)
+        self.controller.on_proxy_disconnected(peer.node)
+        self.controller.log_event("proxy left", proxy=peer.node, cause=cause)
 
-    def report(self, node: str, report: Report, now: int) -> None:
+    def report(self, node: str, report: LoadReport, now: int) -> None:
         """A load report of a node."""
-        self.core.heard(node, report, now)
+        self.controller.on_load_report(node, report, now)
 
     def _cut(self, sid: int, status: str, text: str) -> None:
         self.counts["cut"] += 1
@@ -116,15 +116,15 @@
 
     # -- out
 
-    def turn(self, turn: Turn, now: int) -> Out:
+    def turn(self, turn: RoundOutput, now: int) -> Out:
         """Carry out a turn of the core: push, and see how far each stream is."""
-        if self.core.barred is not self.barred:
-            self.barred = self.core.barred
+        if self.controller.unavailable_endpoints is not self.barred:
+            self.barred = self.controller.unavailable_endpoints
             for sid, (_, stream) in self.streams.items():
                 stream.barred = self.barred
                 if stream.since is not None:  # what it goes by may not be what it was last sent
                     self.touched.add(sid)
-        for node in turn.refused:
+        for node in turn.overflowed_proxies:
             if node in self.sids:
                 self._cut(self.sids[node], "RESOURCE_EXHAUSTED", "the planner's channel is full")
         for node, seal in turn.pushes:
@@ -134,14 +134,14 @@
         if now - self.checked >= CHECK:
             self.checked = now
             self._look_over(now)
-        out = Out(events=turn.events)
+        out = Out(events=turn.log_events)
         for sid in sorted(self.touched):
             peer, stream = self.streams[sid]
             replies, events = stream.progress(now)
             out.replies += [(sid, reply) for reply in replies]
             self._tell(peer, events, now)
             if stream.since is None and stream.wanted is not None:
-                self.core.settled(peer.node, now)
+                self.controller.on_fully_acknowledged(peer.node, now)
         self.touched.clear()
         out.cuts, self.cuts = self.cuts, []
         return out
@@ -149,7 +149,7 @@
     def _want(self, sid: int, seal: int | None, now: int) -> None:
         peer, stream = self.streams[sid]
         wanted = self.translator.wanted(
-            self.core.held(peer.node), self.core.assignments.ejected, stream.lines
+            self.controller.tables_of(peer.node), self.controller.assignments.ejected, stream.lines
         )
         stream.want(wanted, f"{self.set.instance}/{self.life}/{self.pushes}", seal, now)
         self.touched.add(sid)
@@ -161,7 +161,9 @@
                 self.touched.add(sid)
             oldest = min((kind.out.since for kind in stream.kinds.values() if kind.out), default=now)
             if now - oldest > self.ack_within:
-                self.core.event("proxy silent", proxy=peer.node, seconds=round((now - oldest) / S, 1))
+                self.controller.log_event(
+                    "proxy silent", proxy=peer.node, seconds=round((now - oldest) / S, 1)
+                )
                 text = f"nothing acknowledged for {self.ack_within / S:g} s"
                 self._cut(sid, "DEADLINE_EXCEEDED", text)
 
@@ -169,13 +171,13 @@
         for event in events:
             if isinstance(event, Applied):
                 self.counts["applied"] += 1
-                self.core.applied(peer.node, event.seal, now)
+                self.controller.on_acknowledged(peer.node, event.seal, now)
             elif isinstance(event, Stale):
                 self.counts["stale"] += 1
             elif isinstance(event, Refused):
                 self.counts["refused"] += 1
-                self.core.refused(peer.node, names.tables_of(event.names), now)
-                self.core.event(
+                self.controller.on_tables_rejected(peer.node, names.tables_of(event.names), now)
+                self.controller.log_event(
                     "table refused",
                     proxy=peer.node,
                     type=names.SHORT[event.kind],
--- a/swiftchute/xds/load_reports.py
+++ b/swiftchute/xds/load_reports.py
@@ -14,7 +14,7 @@
 from envoy.service.load_stats.v3.lrs_pb2 import LoadStatsRequest, LoadStatsResponse
 from google.protobuf.message import DecodeError
 
-from swiftchute.controller.load_aggregation import Report
+from swiftchute.controller.load_aggregation import DemandEntry, EndpointEntry, LoadReport
 from swiftchute.xds.messages import Violation
 from swiftchute.xds.names import operation_of
 
@@ -36,7 +36,7 @@
     return f"{at.address}:{at.port_value}"
 
 
-def decode(data: bytes, operations: frozenset[str]) -> tuple[Report, Node]:
+def decode(data: bytes, operations: frozenset[str]) -> tuple[LoadReport, Node]:
     """Bytes of a report. Clusters of operations that are not served are passed over."""
     try:
         message = LoadStatsRequest.FromString(data)
@@ -68,8 +68,8 @@
         if invs:
             old_invs, old_errored = arrived.get(operation, (0, 0))
             arrived[operation] = (old_invs + invs, old_errored + errored)
-    return Report(
+    return LoadReport(
         max(span, 0),
-        tuple((op, *row) for op, row in arrived.items()),
-        tuple((server, *row) for server, row in met.items()),
+        tuple(DemandEntry(op, *row) for op, row in arrived.items()),
+        tuple(EndpointEntry(server, *row) for server, row in met.items()),
     ), message.node
--- a/swiftchute/xds/resources.py
+++ b/swiftchute/xds/resources.py
@@ -50,7 +50,7 @@
 from google.protobuf.wrappers_pb2 import UInt32Value
 
 from swiftchute.api.settings import Operation, Settings
-from swiftchute.controller.controller import Content, Holding, Line
+from swiftchute.controller.controller import ProxyTables, TableContent, TableEntry
 from swiftchute.xds import names
 
 WEIGHT_UNIT = 10_000  # the module's weights have four decimals; xDS takes whole numbers of 1 or more
@@ -75,7 +75,9 @@
     body: bytes
     version: str
     refs: tuple[tuple[str, str], ...] = ()
-    lines: tuple[Line, ...] = ()  # EDS given whole: what it was made of, so that a part of it can be sent
+    lines: tuple[
+        TableEntry, ...
+    ] = ()  # EDS given whole: what it was made of, so that a part of it can be sent
     level: float = 1.0
 
 
@@ -103,7 +105,7 @@
     name: str,
     message: Message,
     refs: Iterable[tuple[str, str]] = (),
-    lines: tuple[Line, ...] = (),
+    lines: tuple[TableEntry, ...] = (),
     level: float = 1.0,
 ) -> Resource:
     body = message.SerializeToString(deterministic=True)
@@ -111,7 +113,7 @@
     return Resource(kind, name, body, version, tuple(refs), lines, level)
 
 
-def whole_weights(lines: Iterable[Line]) -> list[int]:
+def whole_weights(lines: Iterable[TableEntry]) -> list[int]:
     """Weights as whole numbers of 1 or more whose sum the protocol takes: no line is rounded away."""
     weights = [weight * WEIGHT_UNIT for _, _, weight in lines]
     over = sum(weights) / (WEIGHT_SUM - len(weights)) if weights else 0
@@ -127,7 +129,7 @@
     return made
 
 
-def assignment(name: str, lines: tuple[Line, ...], level: float) -> Resource:
+def assignment(name: str, lines: tuple[TableEntry, ...], level: float) -> Resource:
     """A table given whole: a locality a line."""
     made = ClusterLoadAssignment(cluster_name=name)
     for (server, zone, _), weight in zip(lines, whole_weights(lines), strict=True):
@@ -168,7 +170,7 @@
     return _resource(names.LEDS, name, _endpoint(server, weight))
 
 
-def collections(name: str, lines: tuple[Line, ...], level: float) -> Resource:
+def collections(name: str, lines: tuple[TableEntry, ...], level: float) -> Resource:
     """A table whose lines come one by one: a locality a zone, with a glob collection of lines."""
     made, refs = ClusterLoadAssignment(cluster_name=name), []
     table = name.partition("~")[0]
@@ -211,8 +213,8 @@
         self.set = settings
         self.listeners = {op.name: self._listener(op.name) for op in settings.operations}
         self.places = {op.name: place for place, op in enumerate(settings.operations)}
-        self.tables: dict[tuple[str, bool, bool], tuple[Content, dict[str, dict[str, Resource]]]] = {}
-        self.built: dict[tuple[object, frozenset[str], bool], tuple[Holding, Wanted]] = {}
+        self.tables: dict[tuple[str, bool, bool], tuple[TableContent, dict[str, dict[str, Resource]]]] = {}
+        self.built: dict[tuple[object, frozenset[str], bool], tuple[ProxyTables, Wanted]] = {}
         self.routes: dict[tuple[str, str, int], Resource] = {}
 
     def _listener(self, name: str) -> Resource:
@@ -248,7 +250,7 @@
         return self.routes[key]
 
     def table(
-        self, table: str, content: Content, lines: bool, behind: bool = False
+        self, table: str, content: TableContent, lines: bool, behind: bool = False
     ) -> dict[str, dict[str, Resource]]:
         """The EDS (and, line by line, LEDS) resources of a table; the same objects until it changes.
         `behind`: of the proxies that a canary keeps at what was before."""
@@ -256,50 +258,52 @@
         if kept is not None and kept[0] is content:
             return kept[1]
         by: dict[str, dict[str, Resource]] = {names.EDS: {}, names.LEDS: {}}
-        for place, (level, _) in enumerate(content.levels):
+        for place, (level, _) in enumerate(content.admission):
             name = self._service(table, content, place)
             if name not in by[names.EDS]:
                 make = collections if lines else assignment
-                by[names.EDS][name] = make(name, content.lines, level)
+                by[names.EDS][name] = make(name, content.entries, level)
         if lines:
-            for (server, zone, _), weight in zip(content.lines, whole_weights(content.lines), strict=True):
+            for (server, zone, _), weight in zip(
+                content.entries, whole_weights(content.entries), strict=True
+            ):
                 name = names.line_name(table, zone, server)
                 by[names.LEDS][name] = line(name, server, weight)
         self.tables[table, lines, behind] = (content, by)
         return by
 
-    def _service(self, table: str, content: Content, place: int) -> str:
+    def _service(self, table: str, content: TableContent, place: int) -> str:
         """The EDS name an operation uses: one of its own where its level differs from the first
         operation's."""
-        own = content.levels[place][0] != content.levels[0][0]
+        own = content.admission[place][0] != content.admission[0][0]
         return f"{table}~{self.set.operations[place].name}" if own else table
 
-    def wanted(self, holding: Holding, shut: Collection[str], lines: bool) -> Wanted:
+    def wanted(self, holding: ProxyTables, shut: Collection[str], lines: bool) -> Wanted:
         """All that a proxy should have: `shut` servers only, if it is bound to nothing; `lines`: line by
         line.
 
         The same object for the same holding, so that a push to a group is worked out once.
         """
-        if not holding.bound:
+        if not holding.tables_by_operation:
             made = Wanted()
             made[names.EDS][names.WITHDRAWN] = withdrawn(frozenset(shut))
             return made
-        key = (holding.bound, holding.behind, lines)
+        key = (holding.tables_by_operation, holding.baseline_tables, lines)
         kept = self.built.get(key)
         if kept is not None and kept[0] is holding:
             return kept[1]
         made = Wanted()
         made[names.EDS][names.WITHDRAWN] = withdrawn(frozenset())
-        for operation, table in holding.bound:
+        for operation, table in holding.tables_by_operation:
             content, place = holding.contents[table], self.places[operation]
             held = names.cluster_name(table, operation)
             made[names.CDS][held] = cluster(held, self._service(table, content, place))
-            built = self.table(table, content, lines, table in holding.behind)
+            built = self.table(table, content, lines, table in holding.baseline_tables)
             for kind in (names.EDS, names.LEDS):
                 made[kind] |= built[kind]
             made[names.LDS][operation] = self.listeners[operation]
             made[names.RDS][operation] = self._route(
-                self.set.operations[place], held, content.levels[place][1]
+                self.set.operations[place], held, content.admission[place][1]
             )
         if kept is not None:  # types in which nothing changed stay the same object, so streams pass them over
             made.update({kind: old for kind, old in kept[1].items() if old == made[kind]})
--- a/tests/admin/test_server.py
+++ b/tests/admin/test_server.py
@@ -138,7 +138,7 @@
 
 
 def test_explain_says_which_rule_holds_which_line(served, tmp_path, core_with_a_cold_server):
-    core, now, cold = core_with_a_cold_server
+    controller, now, cold = core_with_a_cold_server
 
     async def play(control):
         with open("examples/planner.hcl", encoding="utf-8") as source:
@@ -162,18 +162,18 @@
         {
             "guard.explain": lambda table: {
                 "enforced": True,
-                "tables": core.explain(now),
-                "counts": core.gate.counts,
+                "tables": controller.explain(now),
+                "counts": controller.publish_gate.counts,
             }
         },
     )
 
 
 def test_staff_look_at_versions_and_go_back(served, tmp_path, core_with_a_cold_server):
-    core, now, cold = core_with_a_cold_server
-    core.turn(now + 2 * 10**9)
+    controller, now, cold = core_with_a_cold_server
+    controller.run_round(now + 2 * 10**9)
     kicked = []
-    commands = Commands(core, lambda: now + 3 * 10**9, lambda: kicked.append(1)).all()
+    commands = Commands(controller, lambda: now + 3 * 10**9, lambda: kicked.append(1)).all()
     path = tmp_path / "p.hcl"
     with open("examples/planner.hcl", encoding="utf-8") as source:
         path.write_text(source.read().replace("/tmp/swiftchute-planner.sock", served.path))
--- a/tests/config/test_schema.py
+++ b/tests/config/test_schema.py
@@ -223,6 +223,6 @@
     client.dropped("0.1/read")
     client.met("0.1/unknown", "127.0.0.1:90", True, 0.2)
     report, node = load_reports.decode(client.report(0.5, first=True), frozenset({"read"}))
-    assert (report.span, report.arrived) == (S // 2, (("read", 5, 1),))
-    assert report.met == (("127.0.0.1:90", 4, 1, 600 * MS, 3),)
+    assert (report.window_ns, report.demand) == (S // 2, (("read", 5, 1),))
+    assert report.endpoints == (("127.0.0.1:90", 4, 1, 600 * MS, 3),)
     assert node.id == "n"
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -11,7 +11,7 @@
     PushAcknowledged,
 )
 from swiftchute.api.settings import Operation, Settings
-from swiftchute.controller.controller import Core
+from swiftchute.controller.controller import Controller
 from swiftchute.discovery.endpoint_list import News
 from swiftchute.policy import Reconciler, S
 from swiftchute.safety.validator import Rules
@@ -162,19 +162,19 @@
     """A core under a guard whose decider does what the test says; (core, decider)."""
     decider = Fixed()
     settings = Settings(**(FACTS | {"operations": (operation("read"), operation("write"))}))
-    return Core(settings, 7, lambda settings, seed: decider, 1000 * S, Rules()), decider
+    return Controller(settings, 7, lambda settings, seed: decider, 1000 * S, Rules()), decider
 
 
 @pytest.fixture
 def core_with_a_cold_server(fixed):
     """A core whose table gives a server that has just started a hundred times its part."""
-    core, decider = fixed
+    controller, decider = fixed
     entries = [
         EndpointRecord("a", "east", "", 0, "ready", 1.0, 0),
         EndpointRecord("c", "east", "", 0, "ready", 1.0, 1000 * S),
     ]
-    core.listed(News("held", tuple(entries), ()))
-    core.joined("p", "east", 1.0, True)
+    controller.on_list_update(News("held", tuple(entries), ()))
+    controller.on_proxy_connected("p", "east", 1.0, True)
     decider.writes = [("set_weight", 1, "a", 1.0), ("set_weight", 1, "c", 100.0), ("assign_table", "p", 1, 0)]
-    core.turn(1000 * S)
-    return core, 1000 * S, "c"
+    controller.run_round(1000 * S)
+    return controller, 1000 * S, "c"
--- a/tests/controller/test_digest.py
+++ b/tests/controller/test_digest.py
@@ -11,8 +11,8 @@
 
 from swiftchute.api.endpoints import EndpointRecord
 from swiftchute.api.settings import Settings
-from swiftchute.controller.controller import Core, Keep
-from swiftchute.controller.load_aggregation import Report
+from swiftchute.controller.controller import Controller, RetentionSettings
+from swiftchute.controller.load_aggregation import LoadReport
 from swiftchute.discovery.endpoint_list import News
 from swiftchute.policy import Reconciler
 from swiftchute.safety.validator import Rules
@@ -57,8 +57,8 @@
     def __init__(self, guard, enforce, canary, **facts):
         ScriptedPolicy.crashes, ScriptedPolicy.extra_commands = False, None
         settings = Settings(**(FACTS | {"operations": OPERATIONS, "proxy_count": len(PROXIES)} | facts))
-        keep = Keep(canary_part=0.25 if canary else 0.0, canary_step=0.05)
-        self.core = Core(settings, 7, ScriptedPolicy, START_NS, guard, enforce, keep)
+        keep = RetentionSettings(canary_fraction=0.25 if canary else 0.0, min_canary_change=0.05)
+        self.controller = Controller(settings, 7, ScriptedPolicy, START_NS, guard, enforce, keep)
         self.random = random.Random(3)
         self.now = START_NS
         self.acks = []  # (step, proxy, nonce)
@@ -73,59 +73,67 @@
             self.now = START_NS + step * STEP_NS
             self.events_of(step)
             self.run_round(step)
-            while self.now < self.core.due < START_NS + (step + 1) * STEP_NS:
-                self.now = self.core.due
+            while self.now < self.controller.next_deadline_ns < START_NS + (step + 1) * STEP_NS:
+                self.now = self.controller.next_deadline_ns
                 self.run_round(step)
-        gate = self.core.gate
-        self.note("explain", sorted(self.core.counts.items()), sorted(gate.counts.items()) if gate else None)
+        gate = self.controller.publish_gate
+        self.note(
+            "explain", sorted(self.controller.counts.items()), sorted(gate.counts.items()) if gate else None
+        )
         self.note(
             "explain",
             [
                 (c.table, c.serial, c.version, c.parent, c.cause, c.put, c.gone)
-                for c in self.core.history.log(None, 1000)
+                for c in self.controller.history.log(None, 1000)
             ],
         )
         return {name: digest.hexdigest()[:16] for name, digest in self.digests.items()}
 
     def run_round(self, step):
-        output = self.core.turn(self.now)
-        self.note("pushes", self.now, output.pushes, output.refused, self.core.due)
+        output = self.controller.run_round(self.now)
+        self.note(
+            "pushes",
+            self.now,
+            [tuple(push) for push in output.pushes],
+            output.overflowed_proxies,
+            self.controller.next_deadline_ns,
+        )
         for proxy, nonce in output.pushes:
             self.note("tables", proxy, self.tables(proxy))
             delay = ACK_DELAY_STEPS * (10 if proxy == SLOW_PROXY else 1)
             self.acks.append((step + delay, proxy, nonce))
-        for proxy in output.refused:
-            self.core.left(proxy)
-            self.core.joined(proxy, PROXIES[proxy], 10.0, False)
+        for proxy in output.overflowed_proxies:
+            self.controller.on_proxy_disconnected(proxy)
+            self.controller.on_proxy_connected(proxy, PROXIES[proxy], 10.0, False)
         shown = []
-        for name, fields in output.events:
+        for name, fields in output.log_events:
             self.event_names[name] = self.event_names.get(name, 0) + 1
             stable = {key: value for key, value in fields.items() if key not in ("at", "error")}
             shown.append(repr(sorted(stable.items())))
         self.note("events", self.now, sorted(shown))  # findings that end together come in any order
 
     def tables(self, proxy):
-        held = self.core.held(proxy)
+        held = self.controller.tables_of(proxy)
         contents = [
-            (name, tuple(made.lines), made.levels, made.version)
+            (name, tuple(made.entries), made.admission, made.version)
             for name, made in sorted(held.contents.items())
         ]
-        return held.bound, contents, sorted(held.behind)
+        return held.tables_by_operation, contents, sorted(held.baseline_tables)
 
     def list_changes(self, *records, scope="changes"):
-        self.core.listed(News(scope, tuple(records), ()))
+        self.controller.on_list_update(News(scope, tuple(records), ()))
 
     def connect(self, proxy, fresh):
-        self.core.joined(proxy, PROXIES[proxy], 10.0, fresh)
+        self.controller.on_proxy_connected(proxy, PROXIES[proxy], 10.0, fresh)
 
     def disconnect(self, proxy):
-        self.core.left(proxy)
+        self.controller.on_proxy_disconnected(proxy)
         self.acks = [ack for ack in self.acks if ack[1] != proxy]
 
     def asked(self, command, *arguments):
         """An operator's command, whose errors are an output too."""
         try:
-            change = getattr(self.core, command)(*arguments)
+            change = getattr(self.controller, command)(*arguments)
         except (Unknown, Impossible) as error:
             self.note("explain", command, str(error))
         else:
@@ -135,11 +143,19 @@
         self.acknowledge(step)
         if step % 10 == 5:
             for proxy in PROXIES:
-                if proxy in self.core.proxies:
-                    self.core.heard(proxy, self.load_report(proxy, step), self.now)
+                if proxy in self.controller.proxies:
+                    self.controller.on_load_report(proxy, self.load_report(proxy, step), self.now)
         if step % 50 == 0:
-            self.note("explain", self.core.explain(self.now), sorted(self.core.cold(self.now)))
-            self.note("explain", sorted(self.core.barred), self.core.ordered_lines("0.1"))
+            self.note(
+                "explain",
+                self.controller.explain(self.now),
+                sorted(self.controller.warming_endpoints(self.now)),
+            )
+            self.note(
+                "explain",
+                sorted(self.controller.unavailable_endpoints),
+                self.controller.commanded_weights("0.1"),
+            )
         action = getattr(self, f"at_{step}", None)
         if action is not None:
             action()
@@ -148,12 +164,12 @@
         due = [ack for ack in self.acks if ack[0] <= step]
         self.acks = [ack for ack in self.acks if ack[0] > step]
         for _, proxy, nonce in due:
-            if proxy not in self.core.proxies:
+            if proxy not in self.controller.proxies:
                 continue
             if nonce is not None:
-                self.core.applied(proxy, nonce, self.now)
+                self.controller.on_acknowledged(proxy, nonce, self.now)
             if not any(other == proxy for _, other, _ in self.acks):
-                self.core.settled(proxy, self.now)
+                self.controller.on_fully_acknowledged(proxy, self.now)
 
     def load_report(self, proxy, step):
         demand = tuple(
@@ -168,7 +184,7 @@
             good = attempts - failures
             mean = self.random.randint(50, 400) * 1_000_000
             endpoints.append((endpoint, attempts, failures, good * mean, good))
-        return Report(NS_PER_S, demand, (*endpoints, ("1.2.3.4:5", 1, 1, 0, 0)))
+        return LoadReport(NS_PER_S, demand, (*endpoints, ("1.2.3.4:5", 1, 1, 0, 0)))
 
     def at_0(self):
         self.list_changes(*(record(e, z) for e, z in ENDPOINTS.items()), scope="held")
@@ -209,8 +225,8 @@
 
     def at_230(self):
         for proxy in PROXIES:
-            if proxy in self.core.proxies:
-                self.core.refused(proxy, ["0.1", "0.2"], self.now)
+            if proxy in self.controller.proxies:
+                self.controller.on_tables_rejected(proxy, ["0.1", "0.2"], self.now)
 
     def at_260(self):
         ScriptedPolicy.crashes = True
--- a/tests/dns/test_frontend.py
+++ b/tests/dns/test_frontend.py
@@ -23,7 +23,7 @@
 from swiftchute.api.events import ProxyConnected, ProxyDisconnected, PushAcknowledged, TimerFired
 from swiftchute.api.settings import Settings
 from swiftchute.config.schema import _BLOCKS
-from swiftchute.controller.controller import Core
+from swiftchute.controller.controller import Controller
 from swiftchute.discovery.endpoint_list import News
 from swiftchute.dns import rate_limit
 from swiftchute.dns.answer_cache import Ready
@@ -365,23 +365,23 @@
         facts = {"operations": (operation("read"), operation("write")), "drain_grace_ns": 4 * S}
         facts |= {"egress_rate_entries_per_s": 1e6, "egress_queue_limit_entries": 1e6, "message_quota": 0}
         settings = Settings(**(FACTS | facts))
-        self.core = Core(settings, 7, lambda settings, seed: self.decider, NOW, Rules())
-        self.front = Front(self.core, settings, PLUMBING | plumbing, 7)
+        self.controller = Controller(settings, 7, lambda settings, seed: self.decider, NOW, Rules())
+        self.front = Front(self.controller, settings, PLUMBING | plumbing, 7)
         self.front.start(NOW)
         self.events = []
 
     def listed(self, *servers, state="ready", started=0):
-        self.core.listed(
+        self.controller.on_list_update(
             News("changes", tuple(EndpointRecord(n, "east", "", 0, state, 1.0, started) for n in servers), ())
         )
 
     def turn(self, *writes, wait=0.0):
         self.now += int(wait * S)
         self.decider.writes = list(writes)
-        self.core.calls.append(TimerFired(0))
+        self.controller.pending_events.append(TimerFired(0))
         for _ in range(2):
-            turn = self.core.turn(self.now)
-            self.events += turn.events
+            turn = self.controller.run_round(self.now)
+            self.events += turn.log_events
             self.front.turn(turn, self.now)
             self.now += S // 100
 
@@ -419,8 +419,8 @@
     return zone
 
 
-def applied(core):
-    return [astuple(event) for event in core.calls if isinstance(event, PushAcknowledged)]
+def applied(controller):
+    return [astuple(event) for event in controller.pending_events if isinstance(event, PushAcknowledged)]
 
 
 def test_before_a_view_is_bound_it_fails_and_denies_nothing():
@@ -437,37 +437,37 @@
     given = world.now
     world.turn(("set_weight", 1, "10.0.0.1:80", 2.0), ("request_ack", 2, False), wait=0.5)
     world.answer()  # of the new: it holds nothing up
-    assert applied(world.core) == []
-    assert not world.core.sent.clear("dns/east")
+    assert applied(world.controller) == []
+    assert not world.controller.deliveries.clear("dns/east")
     ttl = world.front.lease.bound * S
     world.turn(wait=(given + ttl + SLACK - world.now) / S - 0.1)
-    assert applied(world.core) == []
-    world.core.calls.clear()
+    assert applied(world.controller) == []
+    world.controller.pending_events.clear()
     world.now += S // 10
-    world.front.turn(world.core.turn(world.now), world.now)
-    assert [(p, seal) for p, seal, _ in applied(world.core)] == [("dns/east", 2)]
-    assert world.core.sent.clear("dns/east")
+    world.front.turn(world.controller.run_round(world.now), world.now)
+    assert [(p, seal) for p, seal, _ in applied(world.controller)] == [("dns/east", 2)]
+    assert world.controller.deliveries.clear("dns/east")
 
 
 def test_a_version_nobody_was_answered_by_is_over_at_once(world):
     world.turn(("set_weight", 1, "10.0.0.1:80", 2.0), ("request_ack", 2, False), wait=9)
-    assert world.core.sent.clear("dns/east")
+    assert world.controller.deliveries.clear("dns/east")
 
 
 def test_the_guard_counts_the_answers_that_are_still_out(world):
     """A cold server's budget: what resolvers may still go by is in it until their time is over."""
     world.answer()
     world.turn(("set_weight", 1, "10.0.0.2:80", 0.0))
-    rows = world.core.sent.pending(["dns/east"], ["read"], ["10.0.0.2:80"], lambda p: 10.0)
+    rows = world.controller.deliveries.pending(["dns/east"], ["read"], ["10.0.0.2:80"], lambda p: 10.0)
     assert rows == ((1.0, {"10.0.0.2:80": pytest.approx(1 / 3)}),)
     world.turn(wait=9)
-    assert world.core.sent.pending(["dns/east"], ["read"], ["10.0.0.2:80"], lambda p: 10.0) == ()
+    assert world.controller.deliveries.pending(["dns/east"], ["read"], ["10.0.0.2:80"], lambda p: 10.0) == ()
 
 
 def test_a_drained_server_is_in_no_answer_from_its_news_on(world):
     assert len(world.targets()) == 3
     world.listed("10.0.0.1:80", state="draining")
-    turn = world.core.turn(world.now)  # the module has ordered nothing yet
+    turn = world.controller.run_round(world.now)  # the module has ordered nothing yet
     world.front.turn(turn, world.now)
     assert world.targets() == {"ip-10-0-0-2", "ip-10-0-0-3"}
     assert world.answer("ip-10-0-0-1.lots.example.", "A").rcode() == dns.rcode.NXDOMAIN
@@ -484,7 +484,7 @@
         world.answer()
     world.turn(wait=2)
     world.turn(wait=2)
-    assert 30 / 4.1 < world.core.seen.demand(["dns/east"], ["read"], world.now) <= 15
+    assert 30 / 4.1 < world.controller.observed_traffic.demand(["dns/east"], ["read"], world.now) <= 15
 
 
 def test_serials_rise_with_versions_and_stand_past_the_wall_clock(world):
@@ -517,17 +517,17 @@
 
 def test_a_module_that_fails_leaves_the_answers_as_they_were(world):
     world.decider.writes = [("set_weight", 1, "10.0.0.1:80", 5.0, "too many")]
-    world.core.calls.append(TimerFired(0))
+    world.controller.pending_events.append(TimerFired(0))
     for _ in range(3):
-        world.front.turn(world.core.turn(world.now), world.now)
+        world.front.turn(world.controller.run_round(world.now), world.now)
     assert len(world.targets()) == 3
 
 
 def test_a_view_without_room_in_the_channel_joins_anew_and_serves_on(world):
-    turn = world.core.turn(world.now)
-    turn.refused.append("dns/east")
+    turn = world.controller.run_round(world.now)
+    turn.overflowed_proxies.append("dns/east")
     world.front.turn(turn, world.now)
-    calls = [(type(event), event.proxy) for event in world.core.calls]
+    calls = [(type(event), event.proxy) for event in world.controller.pending_events]
     assert calls == [(ProxyDisconnected, "dns/east"), (ProxyConnected, "dns/east")]
     assert len(world.targets()) == 3
 
@@ -535,7 +535,7 @@
 def test_a_node_that_calls_itself_a_view_is_refused(world):
     from swiftchute.xds.frontend import Front as Xds
 
-    xds = Xds(world.core, world.core.set, 1, S, 1.0, 10, 7)
+    xds = Xds(world.controller, world.controller.settings, 1, S, 1.0, 10, 7)
     with pytest.raises(Violation, match="another front"):
         xds.opened(1, Peer("dns/east", "east", None, True, frozenset()), True, NOW)
 
@@ -618,9 +618,9 @@
     world.turn(("set_weight", 1, "10.0.0.1:80", 2.0), wait=9)
     behind, front = world.now, world.front
     world.turn(wait=20)
-    assert not world.core.sent.clear("dns/east")
+    assert not world.controller.deliveries.clear("dns/east")
     world.turn(wait=(behind + (30 + front.lease.bound) * S - world.now) / S)
-    assert world.core.sent.clear("dns/east")
+    assert world.controller.deliveries.clear("dns/east")
 
 
 def test_a_secondary_that_fetches_is_waited_for_as_long_as_its_answers_live(world):
@@ -628,9 +628,9 @@
     world.turn(("set_weight", 1, "10.0.0.1:80", 2.0), wait=9)
     fetch(world, dns.zone.Zone(ORIGIN))
     world.turn(wait=0.5)
-    assert not world.core.sent.clear("dns/east")
+    assert not world.controller.deliveries.clear("dns/east")
     world.turn(wait=world.front.lease.bound)
-    assert world.core.sent.clear("dns/east")
+    assert world.controller.deliveries.clear("dns/east")
 
 
 def test_notifies_are_repeated_within_a_limit_until_they_are_answered():
--- a/tests/dns/test_server.py
+++ b/tests/dns/test_server.py
@@ -162,8 +162,8 @@
                 resolver.nameservers, resolver.port = [world.at[view][0]], world.at[view][1]
                 resolver.use_edns(0, 0, 1232)
                 rows = await resolver.resolve(SRV, "SRV")
-                (content,) = world.service.core.held(f"dns/{view}").contents.values()
-                found[view] = (rows, {n: w for n, _, w in content.lines})
+                (content,) = world.service.controller.tables_of(f"dns/{view}").contents.values()
+                found[view] = (rows, {n: w for n, _, w in content.entries})
         return found
 
     chance = random.Random(7)
--- a/tests/platform/test_session_manager.py
+++ b/tests/platform/test_session_manager.py
@@ -16,7 +16,7 @@
     TimerFired,
 )
 from swiftchute.api.settings import Settings
-from swiftchute.controller.policy_runner import Loop
+from swiftchute.controller.policy_runner import PolicyRunner
 from swiftchute.platform import session_manager as module
 from swiftchute.platform.proxy_session import FIRST_MOST, Stream
 from swiftchute.platform.session_manager import Front
@@ -42,7 +42,7 @@
     def __init__(self, sockets=1024, **facts):
         self.decider, self.now = Fixed(), 1000 * S
         facts = FACTS | {"operations": (operation("read"), operation("write")), "proxy_count": 400} | facts
-        loop = Loop(Settings(**facts), 7, lambda settings, seed: self.decider, self.now)
+        loop = PolicyRunner(Settings(**facts), 7, lambda settings, seed: self.decider, self.now)
         self.front = Front(loop, sockets)
         self.front.listed("held", [EndpointRecord(s, "east", "", 0, "ready", 1.0, 0) for s in "abc"])
 
@@ -57,12 +57,12 @@
 
     def calls(self, kind):
         """The fields of each event of a kind that waits for the next round."""
-        return [astuple(event) for event in self.front.loop.calls if isinstance(event, kind)]
+        return [astuple(event) for event in self.front.loop.pending_events if isinstance(event, kind)]
 
     def turn(self, *writes, wait=0.0):
         self.now += int(wait * S)
         self.decider.writes = list(writes)
-        self.front.loop.tell(TimerFired(0))
+        self.front.loop.enqueue(TimerFired(0))
         return [(stream, data) for stream, data in self.front.turn(self.now)]
 
     def bound(self, *proxies):
@@ -92,20 +92,20 @@
     whole = b"".join(text(m) for m in ({"msg": "probe"}, HELLO, DEMAND, DEMAND | {"class": "write"}, DEMAND))
     expected = World()
     expected.say(expected.open(), whole)
-    assert len(expected.front.loop.calls) == 5  # the list, the joining and three sums
+    assert len(expected.front.loop.pending_events) == 5  # the list, the joining and three sums
     for place in range(1, len(whole)):
         world = World()
         stream = world.open()
         for piece in (whole[:place], whole[place:]):
             world.say(stream, piece)
-        assert world.front.loop.calls == expected.front.loop.calls
+        assert world.front.loop.pending_events == expected.front.loop.pending_events
         assert stream.out == [b'{"msg":"alive"}\n']
         assert stream.ended is None
     world = World()
     stream = world.open()
     for place in range(len(whole)):
         world.say(stream, whole[place : place + 1])
-    assert world.front.loop.calls == expected.front.loop.calls
+    assert world.front.loop.pending_events == expected.front.loop.pending_events
 
 
 def test_messages_become_calls_in_the_words_of_the_interface(world):
@@ -168,15 +168,15 @@
 def test_a_spoilt_message_of_a_proxy_is_dropped_and_the_rest_heard(world, spoilt):
     (stream,) = world.bound(1)
     world.turn(("set_weight", 1, "a", 2.0), ("request_ack", 5, False))  # a mark is owed
-    before = list(world.front.loop.calls)
+    before = list(world.front.loop.pending_events)
     world.say(stream, spoilt)
-    assert world.front.loop.calls == before
+    assert world.front.loop.pending_events == before
     assert stream.ended is None
     assert not stream.out
     assert world.front.counts["spoilt"] == 1
     world.say(stream, DEMAND)
     world.say(stream, ACK)
-    assert len(world.front.loop.calls) == len(before) + 2
+    assert len(world.front.loop.pending_events) == len(before) + 2
 
 
 @pytest.mark.parametrize("spoilt", [
@@ -190,9 +190,9 @@
 ])  # fmt: skip
 def test_a_spoilt_message_of_a_collector_is_dropped_and_nothing_written(world, spoilt):
     agent = world.open(AGENT)
-    before = list(world.front.loop.calls)
+    before = list(world.front.loop.pending_events)
     world.say(agent, spoilt)
-    assert world.front.loop.calls == before
+    assert world.front.loop.pending_events == before
     assert agent.ended is None
     world.say(agent, OUTCOMES)
     assert len(world.calls(EndpointLoadReport)) == 1
@@ -228,7 +228,7 @@
     new = world.open(HELLO | {"fresh": False, "weight": 3.0})
     joins = [
         (type(event), event.proxy)
-        for event in world.front.loop.calls
+        for event in world.front.loop.pending_events
         if isinstance(event, (ProxyConnected, ProxyDisconnected))
     ]
     assert joins == [(ProxyConnected, 1), (ProxyDisconnected, 1), (ProxyConnected, 1)]
@@ -248,7 +248,7 @@
     world.open(HELLO)
     joins = [
         type(event)
-        for event in world.front.loop.calls
+        for event in world.front.loop.pending_events
         if isinstance(event, (ProxyConnected, ProxyDisconnected))
     ]
     assert joins == [ProxyConnected, ProxyDisconnected, ProxyConnected]
@@ -347,7 +347,7 @@
     (stream,) = world.bound(1)
     world.turn(("set_ejected", "c", True))
     world.turn(("set_weight", 1, "a", float("nan")))
-    events = [event for event, _ in world.front.loop.take_events()]
+    events = [event for event, _ in world.front.loop.drain_log_events()]
     assert "module fault" in events
     assert stream.ended is None
     world.now += S
@@ -363,7 +363,7 @@
 def fault(world):
     """The module fails and is started anew."""
     world.turn(("set_weight", 1, "a", float("nan")))
-    assert "module fault" in [event for event, _ in world.front.loop.take_events()]
+    assert "module fault" in [event for event, _ in world.front.loop.drain_log_events()]
     world.now += S
     assert list(world.front.turn(world.now)) == []
 
@@ -403,7 +403,7 @@
     for _ in range(6):  # it fails again and again, and so waits
         world.turn(("set_weight", 1, "a", float("nan")), wait=0.01)
         list(world.front.turn(world.now))
-    assert world.front.loop.planner is None
+    assert world.front.loop.policy is None
     late = world.open(HELLO | {"proxy": 3})
     world.front.closed(goes, "the connection ended")
     again = world.open(HELLO | {"proxy": 2, "fresh": False})
@@ -426,7 +426,7 @@
 def test_a_joining_in_the_same_read_as_the_end_leaves_nothing(world):
     stream = world.open(text(HELLO) + text(DEMAND) + b'{"msg":"ack","pro')
     world.front.closed(stream, "the connection ended")
-    assert [type(event) for event in world.front.loop.calls] == [
+    assert [type(event) for event in world.front.loop.pending_events] == [
         EndpointListUpdate,
         ProxyConnected,
         DemandReport,
@@ -445,7 +445,7 @@
     for _ in range(1000):
         world.front.closed(world.open(), "the connection broke")
     assert not world.front.unjoined
-    assert [type(event) for event in world.front.loop.calls] == [EndpointListUpdate]
+    assert [type(event) for event in world.front.loop.pending_events] == [EndpointListUpdate]
 
 
 @pytest.mark.parametrize("first", ["old end", "new answer"])
@@ -485,10 +485,10 @@
         stream = world.open(HELLO | {"proxy": k % 400})
         world.front.closed(stream, "the connection ended")
         world.turn()
-        world.front.loop.take_events()
+        world.front.loop.drain_log_events()
     front = world.front
     assert len(front.known) < 1100
-    assert len(front.loop.list) == 3
+    assert len(front.loop.endpoint_records) == 3
     assert not front.streams
     assert not front.unjoined
     assert not front.writer.proxies
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -7,7 +7,7 @@
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
-from swiftchute.controller.policy_runner import Loop
+from swiftchute.controller.policy_runner import PolicyRunner
 from swiftchute.platform import settings as module
 from swiftchute.platform.endpoint_list import Catalog
 from swiftchute.platform.session_manager import Front
@@ -74,7 +74,7 @@
     """Every proxy gets a table of every class, through reports that tell of any share of errors."""
     _, told = read(tmp_path_factory, configuration(made, servers))
     now = 1_700_000_000 * S
-    loop = Loop(told.settings, told.seed, Reconciler, now)
+    loop = PolicyRunner(told.settings, told.seed, Reconciler, now)
     front = Front(loop, told.sockets)
     news = Catalog(told.settings.zones).held(told.known)
     assert not news.passed
@@ -108,10 +108,10 @@
                 say(stream, msg="demand", proxy=stream.proxy, span_ms=500.0, tries=9, failed=1,
                     **{"class": names[0]})  # fmt: skip
             for agent, zone in zip(agents, made["dcs"], strict=True):
-                for server in loop.list:
+                for server in loop.endpoint_records:
                     say(agent, msg="outcomes", zone=zone, server=server, tries=50, failed=int(50 * bad),
                         mean_ms=mean, span_ms=500.0)  # fmt: skip
-    assert loop.counts["faults"] == 0, loop.take_events()
+    assert loop.counts["faults"] == 0, loop.drain_log_events()
     assert front.counts["spoilt"] == 0
     assert served == {(p, name) for p in range(told.settings.proxy_count) for name in names}
 
@@ -184,7 +184,7 @@
     def __init__(self, made):
         told = module._told("config.json", configuration(made))
         self.made, self.now, self.written = made, 1_700_000_000 * S, []
-        self.loop = Loop(told.settings, 7, Reconciler, self.now)
+        self.loop = PolicyRunner(told.settings, 7, Reconciler, self.now)
         self.front = Front(self.loop, told.sockets)
         self.front.listed("held", Catalog(told.settings.zones).held(told.known).entries)
         zones = made["dcs"]
@@ -211,7 +211,7 @@
             self.say(stream, msg="demand", proxy=stream.proxy, span_ms=500.0, tries=20, failed=2,
                      **{"class": self.made["classes"][0]["name"]})  # fmt: skip
         for agent, zone in zip(self.agents, self.made["dcs"], strict=True):
-            for k, server in enumerate(self.loop.list):
+            for k, server in enumerate(self.loop.endpoint_records):
                 self.say(agent, msg="outcomes", zone=zone, server=server, tries=40, failed=(k + number) % 9,
                          mean_ms=100.0 + 90 * k, span_ms=500.0)  # fmt: skip
 
--- a/tests/versions/test_canary.py
+++ b/tests/versions/test_canary.py
@@ -10,8 +10,8 @@
 from swiftchute.api.endpoints import EndpointRecord
 from swiftchute.api.events import TimerFired
 from swiftchute.api.settings import Settings
-from swiftchute.controller.controller import Core, Keep
-from swiftchute.controller.load_aggregation import Report
+from swiftchute.controller.controller import Controller, RetentionSettings
+from swiftchute.controller.load_aggregation import LoadReport
 from swiftchute.discovery.endpoint_list import News
 from swiftchute.safety.validator import Rules
 from swiftchute.versions.canary import LEAST, Limits, Tally, Trials, moved, shares, worse
@@ -192,115 +192,121 @@
     decider = Fixed()
     settings = Settings(**(FACTS | {"operations": (operation("read"),), "egress_rate_entries_per_s": 1e6,
                                     "egress_queue_limit_entries": 1e6, "message_quota": 0}))  # fmt: skip
-    keep = Keep(canary_part=0.25, canary_for=5 * S, canary_most=30 * S)
-    core = Core(settings, 7, lambda settings, seed: decider, NOW, Rules(), tables=keep)
-    core.listed(News("held", tuple(EndpointRecord(n, "east", "", 0, "ready", 1.0, 0) for n in "abcd"), ()))
+    keep = RetentionSettings(canary_fraction=0.25, canary_duration_ns=5 * S, max_canary_duration_ns=30 * S)
+    controller = Controller(settings, 7, lambda settings, seed: decider, NOW, Rules(), retention=keep)
+    controller.on_list_update(
+        News("held", tuple(EndpointRecord(n, "east", "", 0, "ready", 1.0, 0) for n in "abcd"), ())
+    )
     for p, rate in PROXIES.items():
-        core.joined(p, "east", rate, True)
+        controller.on_proxy_connected(p, "east", rate, True)
 
     def play(now, *writes):
         """A round, and every push is acknowledged at once; returns (pushed proxies, events)."""
         decider.writes = list(writes)
-        core.calls.append(TimerFired(0))
+        controller.pending_events.append(TimerFired(0))
         pushed, events = set(), []
         for at in (now, now + S // 10, now + S // 5):
-            turn = core.turn(at)
-            events += turn.events
+            turn = controller.run_round(at)
+            events += turn.log_events
             for p, _ in turn.pushes:
                 pushed.add(p)
-                core.settled(p, at)
+                controller.on_fully_acknowledged(p, at)
         return pushed, [(name, fields) for name, fields in events if name.startswith(("canary", "table"))]
 
     play(NOW, *[("set_weight", 1, n, 1.0) for n in "abcd"], *[("assign_table", p, 1, 0) for p in PROXIES])
-    return core, play
+    return controller, play
 
 
-def held(core, proxy):
-    return {n: w for content in core.held(proxy).contents.values() for n, _, w in content.lines}
+def held(controller, proxy):
+    return {n: w for content in controller.tables_of(proxy).contents.values() for n, _, w in content.entries}
 
 
-def report(core, at, errored):
+def report(controller, at, errored):
     """Every proxy reports a second; `errored` of the first's hundred invocations."""
     for p in PROXIES:
-        bad = errored if core.trials.first("0.1", p) else 0
-        core.heard(p, Report(S, (("read", 100, bad),), (("a", 100, bad, 100 - bad, 100 - bad),)), at)
+        bad = errored if controller.canaries.first("0.1", p) else 0
+        controller.on_load_report(
+            p, LoadReport(S, (("read", 100, bad),), (("a", 100, bad, 100 - bad, 100 - bad),)), at
+        )
 
 
 def test_a_large_change_reaches_the_least_busy_first_and_all_once_it_is_no_worse(planner):
-    core, play = planner
+    controller, play = planner
     play(NOW + S, ("set_weight", 1, "a", 9.0))
-    assert [p for p in PROXIES if held(core, p)["a"] == 9.0] == ["p0", "p1"]
-    assert [c.cause for c in core.history.log("0.1/rest")] == ["canary"]
-    assert core.sent.states("0.1")[core.history.current("0.1").version] == (2, 0)
+    assert [p for p in PROXIES if held(controller, p)["a"] == 9.0] == ["p0", "p1"]
+    assert [c.cause for c in controller.history.log("0.1/rest")] == ["canary"]
+    assert controller.deliveries.states("0.1")[controller.history.current("0.1").version] == (2, 0)
     for k in range(2, 7):
-        report(core, NOW + k * S, 1)
+        report(controller, NOW + k * S, 1)
     pushed, events = play(NOW + 7 * S)
     assert pushed >= set(PROXIES) - {"p0", "p1"}
     assert ("canary over", "on") in [(name, fields.get("went")) for name, fields in events]
-    assert all(held(core, p)["a"] == 9.0 for p in PROXIES)
+    assert all(held(controller, p)["a"] == 9.0 for p in PROXIES)
 
 
 def test_a_change_that_is_worse_goes_back_and_is_held(planner):
-    core, play = planner
+    controller, play = planner
     play(NOW + S, ("set_weight", 1, "a", 9.0))
-    report(core, NOW + 3 * S, 50)
+    report(controller, NOW + 3 * S, 50)
     pushed, events = play(NOW + 3 * S)
     assert {"p0", "p1"} <= pushed
     assert [name for name, _ in events] == ["canary over", "table pinned"]
-    assert all(held(core, p)["a"] == 1.0 for p in PROXIES)
+    assert all(held(controller, p)["a"] == 1.0 for p in PROXIES)
     play(NOW + 4 * S, ("set_weight", 1, "a", 12.0))  # the module's orders are shown beside it, and wait
-    assert all(held(core, p)["a"] == 1.0 for p in PROXIES)
+    assert all(held(controller, p)["a"] == 1.0 for p in PROXIES)
 
 
 def test_past_the_limit_of_ways_back_it_goes_on_and_the_log_is_told(planner):
-    core, play = planner
-    core.rejected.back.extend([NOW] * 3)
+    controller, play = planner
+    controller.rejections.back.extend([NOW] * 3)
     play(NOW + S, ("set_weight", 1, "a", 9.0))
-    report(core, NOW + 3 * S, 50)
-    events = core.turn(NOW + 3 * S).events
+    report(controller, NOW + 3 * S, 50)
+    events = controller.run_round(NOW + 3 * S).log_events
     assert [name for name, _ in events][-2:] == ["canary over", "not taken back"]
     play(NOW + 4 * S)
-    assert all(held(core, p)["a"] == 9.0 for p in PROXIES)
+    assert all(held(controller, p)["a"] == 9.0 for p in PROXIES)
 
 
 def test_drains_reach_all_at_once_though_a_change_is_tried(planner):
-    core, play = planner
+    controller, play = planner
     play(NOW + S, ("set_weight", 1, "a", 9.0))
-    core.listed(News("changes", (EndpointRecord("b", "east", "", 0, "draining", 1.0, 0),), ()))
+    controller.on_list_update(News("changes", (EndpointRecord("b", "east", "", 0, "draining", 1.0, 0),), ()))
     pushed, _ = play(NOW + 2 * S)
     assert pushed >= set(PROXIES) - {"p0", "p1"}
     for p in PROXIES:
-        assert "b" not in held(core, p)
-    assert held(core, "p7") == {"a": 1.0, "c": 1.0, "d": 1.0}
-    assert held(core, "p0")["a"] == 9.0
+        assert "b" not in held(controller, p)
+    assert held(controller, "p7") == {"a": 1.0, "c": 1.0, "d": 1.0}
+    assert held(controller, "p0")["a"] == 9.0
     # it comes back as another process: to those behind it is out until the trial is over
-    core.listed(News("changes", (EndpointRecord("b", "east", "", 0, "ready", 1.0, NOW + 2 * S),), ()))
+    controller.on_list_update(
+        News("changes", (EndpointRecord("b", "east", "", 0, "ready", 1.0, NOW + 2 * S),), ())
+    )
     play(NOW + 3 * S, ("set_weight", 1, "b", 0.1))
-    assert "b" not in held(core, "p7")
+    assert "b" not in held(controller, "p7")
 
 
 def test_levels_are_the_loads_of_now_for_all(planner):
-    core, play = planner
+    controller, play = planner
     play(NOW + S, ("set_weight", 1, "a", 9.0))
     pushed, _ = play(NOW + 2 * S, ("set_admission", 1, 0, 0.5, 1))
     assert pushed == set(PROXIES)
     for p in PROXIES:
-        assert [made.levels[0][0] for made in core.held(p).contents.values()] == [0.5]
-    assert held(core, "p7")["a"] == 1.0
+        assert [made.admission[0][0] for made in controller.tables_of(p).contents.values()] == [0.5]
+    assert held(controller, "p7")["a"] == 1.0
 
 
 def test_a_pin_by_staff_ends_a_trial(planner):
-    core, play = planner
+    controller, play = planner
     play(NOW + S, ("set_weight", 1, "a", 9.0))
-    core.pin("0.1", "~0", 60 * S, False, "pin", NOW + 2 * S)
+    controller.pin("0.1", "~0", 60 * S, False, "pin", NOW + 2 * S)
     play(NOW + 2 * S)
-    assert not core.trials.open
-    assert all(held(core, p)["a"] == 9.0 for p in PROXIES)
+    assert not controller.canaries.open
+    assert all(held(controller, p)["a"] == 9.0 for p in PROXIES)
 
 
 def test_a_proxy_that_joins_meanwhile_is_not_of_the_first(planner):
-    core, play = planner
+    controller, play = planner
     play(NOW + S, ("set_weight", 1, "a", 9.0))
-    core.joined("new", "east", 0.1, True)
+    controller.on_proxy_connected("new", "east", 0.1, True)
     play(NOW + 2 * S, ("assign_table", "new", 1, 0))
-    assert held(core, "new")["a"] == 1.0
+    assert held(controller, "new")["a"] == 1.0
--- a/tests/versions/test_history.py
+++ b/tests/versions/test_history.py
@@ -336,99 +336,99 @@
 @pytest.fixture
 def planner(fixed):
     """A core with a table of three servers, pushed and acknowledged: (core, decider, round)."""
-    core, decider = fixed
+    controller, decider = fixed
     entries = [EndpointRecord(n, "east", "", 0, "ready", 1.0, 0) for n in "abd"]
-    core.listed(News("held", tuple(entries), ()))
-    core.joined("p", "east", 1.0, True)
+    controller.on_list_update(News("held", tuple(entries), ()))
+    controller.on_proxy_connected("p", "east", 1.0, True)
 
     def play(now, *writes):
         decider.writes = list(writes)
-        core.calls.append(TimerFired(0))
-        pushed = [p for p, _ in core.turn(now).pushes + core.turn(now + S // 2).pushes]
+        controller.pending_events.append(TimerFired(0))
+        pushed = [p for p, _ in controller.run_round(now).pushes + controller.run_round(now + S // 2).pushes]
         if "p" in pushed:
-            core.held("p")
-            core.settled("p", NOW)
+            controller.tables_of("p")
+            controller.on_fully_acknowledged("p", NOW)
         return pushed
 
     play(NOW, *[("set_weight", 1, n, 1.0) for n in "abd"], ("assign_table", "p", 1, 0))
-    return core, play
+    return controller, play
 
 
-def weights(core):
-    return {n: w for content in core.held("p").contents.values() for n, _, w in content.lines}
+def weights(controller):
+    return {n: w for content in controller.tables_of("p").contents.values() for n, _, w in content.entries}
 
 
 def test_versions_carry_their_causes(planner):
-    core, play = planner
+    controller, play = planner
     play(NOW + S, ("set_weight", 1, "a", 2.0))
     play(NOW + 2 * S, ("set_admission", 1, 0, 0.5, 1))
-    core.listed(News(
+    controller.on_list_update(News(
         "changes", (EndpointRecord("b", "east", "", 0, "draining", 1.0, 0),), ()))  # fmt: skip
     play(NOW + 3 * S, ("set_weight", 1, "b", 0.0))
-    assert [c.cause for c in core.history.log("0.1")] == ["list", "level", "health", "start"]
+    assert [c.cause for c in controller.history.log("0.1")] == ["list", "level", "health", "start"]
 
 
 def test_a_rollback_is_a_wanted_state_that_ends_by_itself(planner):
-    core, play = planner
+    controller, play = planner
     play(NOW + S, ("set_weight", 1, "a", 50.0), ("set_admission", 1, 0, 0.5, 1))
-    bad = core.history.current("0.1")
-    core.pin("0.1", "~1", 60 * S, False, "rollback", NOW + 2 * S)
+    bad = controller.history.current("0.1")
+    controller.pin("0.1", "~1", 60 * S, False, "rollback", NOW + 2 * S)
     assert play(NOW + 2 * S) == ["p"]
-    assert weights(core) == {"a": 1.0, "b": 1.0, "d": 1.0}
-    assert [c.levels[0][0] for c in core.held("p").contents.values()] == [0.5]
-    (row,) = core.explain(NOW + 3 * S)
+    assert weights(controller) == {"a": 1.0, "b": 1.0, "d": 1.0}
+    assert [c.admission[0][0] for c in controller.tables_of("p").contents.values()] == [0.5]
+    (row,) = controller.explain(NOW + 3 * S)
     assert [(line["server"], line["why"][:8]) for line in row["lines"]] == [("a", "held at ")]
     # the module's orders meanwhile change nothing, and a drain leaves the pinned table
     play(NOW + 4 * S, ("set_weight", 1, "a", 70.0))
-    assert weights(core)["a"] == 1.0
-    core.listed(News(
+    assert weights(controller)["a"] == 1.0
+    controller.on_list_update(News(
         "changes", (EndpointRecord("b", "east", "", 0, "draining", 1.0, 0),), ()))  # fmt: skip
     play(NOW + 5 * S)
     play(NOW + 6 * S)
-    assert weights(core) == {"a": 1.0, "d": 1.0}
+    assert weights(controller) == {"a": 1.0, "d": 1.0}
     assert play(NOW + 63 * S) == ["p"]
-    assert weights(core)["a"] == 70.0
-    assert core.history.current("0.1").cause == "release"
-    assert bad.version in {c.version for c in core.history.log("0.1")}
+    assert weights(controller)["a"] == 70.0
+    assert controller.history.current("0.1").cause == "release"
+    assert bad.version in {c.version for c in controller.history.log("0.1")}
 
 
 def test_two_rollbacks_at_once_the_later_counts(planner):
-    core, play = planner
+    controller, play = planner
     play(NOW + S, ("set_weight", 1, "a", 2.0))
     play(NOW + 2 * S, ("set_weight", 1, "a", 3.0))
-    core.pin("0.1", "#0", 60 * S, False, "rollback", NOW + 3 * S)
-    core.pin("0.1", "#1", 60 * S, False, "rollback", NOW + 3 * S)
+    controller.pin("0.1", "#0", 60 * S, False, "rollback", NOW + 3 * S)
+    controller.pin("0.1", "#1", 60 * S, False, "rollback", NOW + 3 * S)
     play(NOW + 3 * S)
-    assert weights(core)["a"] == 2.0
-    core.release("0.1", NOW + 4 * S)
+    assert weights(controller)["a"] == 2.0
+    controller.release("0.1", NOW + 4 * S)
     play(NOW + 4 * S)
-    assert weights(core)["a"] == 3.0
+    assert weights(controller)["a"] == 3.0
 
 
 def test_a_version_that_many_proxies_reject_is_taken_back(planner):
-    core, play = planner
+    controller, play = planner
     for p in "qr":
-        core.joined(p, "east", 1.0, True)
+        controller.on_proxy_connected(p, "east", 1.0, True)
     play(NOW + S, ("assign_table", "q", 1, 0), ("assign_table", "r", 1, 0))
-    good = core.history.current("0.1").version
+    good = controller.history.current("0.1").version
     play(NOW + 2 * S, ("set_weight", 1, "a", 99.0))
-    assert core.history.current("0.1").version != good
-    core.refused("q", ["0.1"], NOW + 3 * S)
-    assert not core.pins.by
-    core.refused("r", ["0.1"], NOW + 3 * S)
+    assert controller.history.current("0.1").version != good
+    controller.on_tables_rejected("q", ["0.1"], NOW + 3 * S)
+    assert not controller.pins.by
+    controller.on_tables_rejected("r", ["0.1"], NOW + 3 * S)
     play(NOW + 3 * S)
-    assert core.history.current("0.1").version == good
-    assert core.history.current("0.1").cause == "rollback"
+    assert controller.history.current("0.1").version == good
+    assert controller.history.current("0.1").cause == "rollback"
 
 
 def test_staff_see_who_holds_which_version(planner):
-    core, play = planner
-    core.joined("q", "east", 1.0, True)
+    controller, play = planner
+    controller.on_proxy_connected("q", "east", 1.0, True)
     play(NOW + S, ("assign_table", "q", 1, 0))
-    first = core.history.current("0.1").version
+    first = controller.history.current("0.1").version
     play(NOW + 2 * S, ("set_weight", 1, "a", 2.0))
-    second = core.history.current("0.1").version
-    assert core.sent.states("0.1") == {second: (1, 1), first: (0, 1)}
+    second = controller.history.current("0.1").version
+    assert controller.deliveries.states("0.1") == {second: (1, 1), first: (0, 1)}
 
 
 def test_a_rejected_version_is_not_sent_again_on_the_stream(history):
--- a/tests/xds/test_stream.py
+++ b/tests/xds/test_stream.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from swiftchute.api.settings import Settings
-from swiftchute.controller.controller import Content, Holding
+from swiftchute.controller.controller import ProxyTables, TableContent
 from swiftchute.proxy.xds_client import Client
 from swiftchute.xds import names
 from swiftchute.xds.messages import Request, Violation, decode, encode
@@ -21,8 +21,8 @@
 
 def holding(lines, table="0.1", level=1.0, tries=1):
     """Both operations on one table; `lines` maps a server to its weight."""
-    content = Content(tuple((s, "east", w) for s, w in sorted(lines.items())), ((level, tries),) * 2)
-    return Holding((("read", table), ("write", table)), {table: content})
+    content = TableContent(tuple((s, "east", w) for s, w in sorted(lines.items())), ((level, tries),) * 2)
+    return ProxyTables((("read", table), ("write", table)), {table: content})
 
 
 class Wire:
@@ -351,13 +351,13 @@
                 check()
 
     def check():
-        for op, table in held.bound:
+        for op, table in held.tables_by_operation:
             got = client.tables[op]
             want = held.contents[table]
             assert got.lines == {
-                s: w for (s, _, _), w in zip(want.lines, whole_weights(want.lines), strict=True)
+                s: w for (s, _, _), w in zip(want.entries, whole_weights(want.entries), strict=True)
             }
-            assert got.level == pytest.approx(want.levels[0][0], abs=1e-6)
+            assert got.level == pytest.approx(want.admission[0][0], abs=1e-6)
             assert got.cluster == f"{table}/{op}"
 
     stream = connect()
