--- a/benchmarks/taps.py
+++ b/benchmarks/taps.py
@@ -18,9 +18,9 @@
 
 from swiftchute.api.events import DemandReport, EndpointListUpdate, ProxyConnected, ProxyDisconnected
 from swiftchute.controller.controller import Controller
-from swiftchute.discovery.endpoint_list import News
+from swiftchute.discovery.endpoint_list import EndpointListChange
 from swiftchute.policy import Reconciler
-from swiftchute.safety.validator import LATE, Rules
+from swiftchute.safety.validator import LATE, SafetyRules
 from swiftchute.simulator.host import Host
 
 S = 1_000_000_000
@@ -49,7 +49,7 @@
     made: list["Played"] = []
 
     def __init__(self, settings, seed):
-        self.controller = Controller(settings, seed, self._module, safety_rules=Rules(), enforce=False)
+        self.controller = Controller(settings, seed, self._module, safety_rules=SafetyRules(), enforce=False)
         self.settings, self.writer, self.now = settings, None, 0
         self.pushes, self.stood, self.began, self.first = 0, Counter(), Counter(), defaultdict(list)
         Played.made.append(self)
@@ -77,7 +77,7 @@
                 case ProxyDisconnected(proxy):
                     controller.on_proxy_disconnected(proxy)
                 case EndpointListUpdate(scope, endpoints):
-                    controller.on_list_update(News(scope, tuple(endpoints), ()))
+                    controller.on_list_update(EndpointListChange(scope, tuple(endpoints), ()))
                 case _:
                     controller.pending_events.append(event)
         if not calls:
--- a/swiftchute/controller/controller.py
+++ b/swiftchute/controller/controller.py
@@ -30,15 +30,22 @@
     PolicyFactory,
     PolicyRunner,
 )
-from swiftchute.discovery.endpoint_list import News
-from swiftchute.safety.observed_traffic import Seen, by_kind
-from swiftchute.safety.publish_gate import Gate
-from swiftchute.safety.validator import Fact, Known, Proposal, Rules
+from swiftchute.discovery.endpoint_list import EndpointListChange
+from swiftchute.safety.observed_traffic import ObservedTraffic, peak_by_kind
+from swiftchute.safety.publish_gate import PublishGate
+from swiftchute.safety.validator import EndpointStatus, Observations, Proposal, SafetyRules
 from swiftchute.versions import encoding
-from swiftchute.versions.canary import Limits, Trials
-from swiftchute.versions.delivery import Sent
-from swiftchute.versions.history import Change, History, Unknown
-from swiftchute.versions.pinning import SPAN_LEAST, SPAN_MOST, Impossible, Pin, Pins, Rejected
+from swiftchute.versions.canary import CanaryLimits, CanaryTrials
+from swiftchute.versions.delivery import DeliveryTracker
+from swiftchute.versions.history import UnknownVersionError, VersionChange, VersionHistory
+from swiftchute.versions.pinning import (
+    MAX_PIN_NS,
+    MIN_PIN_NS,
+    Pin,
+    PinError,
+    PinnedVersions,
+    RejectionTracker,
+)
 
 SEALS_KEPT = 4096  # marks whose time of order is remembered
 FACTS_MOST = 200_000  # servers remembered, those gone among them: past it the gone are forgotten
@@ -114,7 +121,7 @@
         seed: int,
         policy_factory: PolicyFactory,
         now: int = 0,
-        safety_rules: Rules | None = None,
+        safety_rules: SafetyRules | None = None,
         enforce: bool = True,
         retention: RetentionSettings | None = None,
     ) -> None:
@@ -124,21 +131,23 @@
         )
         self.safety_rules, self.enforce = safety_rules, enforce
         retention = self.retention = retention or RetentionSettings()
-        self.history = History(str(settings.instance), retention.max_versions, retention.max_age_ns)
-        self.deliveries, self.pins = Sent(self.history), Pins()
-        self.rejections = Rejected(
+        self.history = VersionHistory(str(settings.instance), retention.max_versions, retention.max_age_ns)
+        self.deliveries, self.pins = DeliveryTracker(self.history), PinnedVersions()
+        self.rejections = RejectionTracker(
             retention.rejected_fraction, retention.max_rollbacks, retention.rollback_window_ns
         )
-        limits = Limits(
+        limits = CanaryLimits(
             retention.canary_fraction,
             retention.canary_duration_ns,
             retention.max_canary_duration_ns,
             retention.min_canary_change,
         )
-        self.canaries = Trials(limits)
+        self.canaries = CanaryTrials(limits)
         self.rests: dict[int, TableContent] = {}  # of tables on trial, what proxies behind hold
         self.load_aggregator = LoadAggregator(settings.report_rate_entries_per_s, settings.report_interval_ns)
-        self.known_endpoints: dict[str, Fact] = {}  # what the list says, or last said, of each server
+        self.known_endpoints: dict[
+            str, EndpointStatus
+        ] = {}  # what the list says, or last said, of each server
         self.last_review_ns = now
         self.news = self.judged = 0  # lists that brought something, and those that the module was told of
         self.unavailable_endpoints: frozenset[str] = (
@@ -160,13 +169,13 @@
         super()._reset()
         s = self.settings
         self.publish_gate = (
-            Gate(s, self.safety_rules, self.enforce, self.random.getrandbits(32))
+            PublishGate(s, self.safety_rules, self.enforce, self.random.getrandbits(32))
             if self.safety_rules
             else None
         )
         for proxy in list(self.deliveries.by):  # those of a module that failed are bound to nothing
             self.deliveries.left(proxy)
-        self.observed_traffic = Seen()
+        self.observed_traffic = ObservedTraffic()
         self.marks: dict[Any, int] = {}  # by proxy, the newest mark of a round that was held back
         self.why: dict[int, str] = {}  # by table, the cause of its next version
         self.egress_queue = EgressQueue(
@@ -217,13 +226,15 @@
             if self.canaries.open:
                 self._tried(proxy, report, now)
 
-    def on_list_update(self, news: News) -> None:
+    def on_list_update(self, news: EndpointListChange) -> None:
         """A good list brought these entries."""
         self.news += 1
         barred = set(self.unavailable_endpoints)
         for entry in news.entries:
             server, zone, state = entry.endpoint, entry.zone, entry.state
-            self.known_endpoints[server] = Fact(zone, state, entry.started_ns, entry.weight, entry.kind)
+            self.known_endpoints[server] = EndpointStatus(
+                zone, state, entry.started_ns, entry.weight, entry.kind
+            )
             if (
                 len(self.known_endpoints) > FACTS_MOST
             ):  # those gone are forgotten; to the guard they are gone still
@@ -444,7 +455,7 @@
             return False
         try:
             self.pin(name, version, self.retention.rollback_duration_ns, levels, "rollback", now)
-        except (Impossible, Unknown) as why:
+        except (PinError, UnknownVersionError) as why:
             self.log_event("not taken back", table=name, cause=str(why))
             return False
         return True
@@ -482,8 +493,8 @@
         )
         proposed = {number: self._proposal(number, cold, now) for number in self.assignments.tables}
         used = self.observed_traffic.used(self.known_endpoints, warm, now)
-        known = Known(
-            by_kind(used),
+        known = Observations(
+            peak_by_kind(used),
             used,
             () if self.settings.removal_is_binding else self.observed_traffic.answering(now),
             self.observed_traffic.ill(self.known_endpoints, now),
@@ -569,19 +580,19 @@
             for n in sorted(self.assignments.tables)
             if self.assignments.proxies_by_table.get(n)
         )
-        raise Impossible(f"no proxy is on a table {name!r}; in use are {used or 'none'}")
+        raise PinError(f"no proxy is on a table {name!r}; in use are {used or 'none'}")
 
-    def pin(self, name: str, asked: str, span: int, levels: bool, cause: str, now: int) -> Change:
+    def pin(self, name: str, asked: str, span: int, levels: bool, cause: str, now: int) -> VersionChange:
         """Hold a table at a kept version for so long. Raises `Unknown` or `Impossible`; nothing changes
         then."""
-        if not SPAN_LEAST <= span <= SPAN_MOST:
-            raise Impossible(
-                f"{span / NS_PER_S:g} s: a pin lasts {SPAN_LEAST // NS_PER_S} to {SPAN_MOST // NS_PER_S} s"
+        if not MIN_PIN_NS <= span <= MAX_PIN_NS:
+            raise PinError(
+                f"{span / NS_PER_S:g} s: a pin lasts {MIN_PIN_NS // NS_PER_S} to {MAX_PIN_NS // NS_PER_S} s"
             )
         number, change = self._number(name), self.history.find(name, asked)
         content = self.history.get(change.version)
         if content is None:
-            raise Impossible(f"version {change.version.hex()[:12]} is no longer kept")
+            raise PinError(f"version {change.version.hex()[:12]} is no longer kept")
         self.pins.set(name, Pin(change, content, now + span, levels, cause), self._ready())
         self.log_event("table pinned", table=name, version=change.version.hex()[:12], serial=change.serial,
                    seconds=round(span / NS_PER_S), levels=levels, cause=cause)  # fmt: skip
--- a/tests/controller/test_controller.py
+++ b/tests/controller/test_controller.py
@@ -14,11 +14,11 @@
 from swiftchute.controller.controller import Controller, ProxyTables, TableContent
 from swiftchute.controller.egress_queue import EgressQueue
 from swiftchute.controller.load_aggregation import LoadAggregator, LoadReport
-from swiftchute.discovery.endpoint_list import News
+from swiftchute.discovery.endpoint_list import EndpointListChange
 from swiftchute.policy import Reconciler
-from swiftchute.safety.validator import Rules
-from swiftchute.versions.delivery import Sent
-from swiftchute.versions.history import History
+from swiftchute.safety.validator import SafetyRules
+from swiftchute.versions.delivery import DeliveryTracker
+from swiftchute.versions.history import VersionHistory
 from tests.conftest import FACTS, operation
 
 S = 1_000_000_000
@@ -165,7 +165,9 @@
 
 
 def news(*servers, scope="held", state="ready"):
-    return News(scope, tuple(EndpointRecord(s, "east", "", 0, state, 1.0, 0) for s in servers), ())
+    return EndpointListChange(
+        scope, tuple(EndpointRecord(s, "east", "", 0, state, 1.0, 0) for s in servers), ()
+    )
 
 
 class Failing(Reconciler):
@@ -295,7 +297,7 @@
 
 @pytest.fixture
 def guarded():
-    made = Controller(SETTINGS, 7, Bent, safety_rules=Rules())
+    made = Controller(SETTINGS, 7, Bent, safety_rules=SafetyRules())
     made.on_list_update(news("a:1", "b:1"))
     made.on_proxy_connected("p", "east", 10.0, True)
     play(made, 0, 2)
@@ -353,9 +355,11 @@
 
 
 def test_caps_of_a_warming_server_rise_by_pushes_of_the_guards_own():
-    controller = Controller(SETTINGS, 7, Fixed, safety_rules=Rules())
+    controller = Controller(SETTINGS, 7, Fixed, safety_rules=SafetyRules())
     controller.on_list_update(news("a:1", "b:1"))
-    controller.on_list_update(News("changes", (EndpointRecord("c:1", "east", "", 0, "ready", 1.0, 1),), ()))
+    controller.on_list_update(
+        EndpointListChange("changes", (EndpointRecord("c:1", "east", "", 0, "ready", 1.0, 1),), ())
+    )
     controller.on_proxy_connected("p", "east", 10.0, True)
     seen, pushes = [], 0
     for k in range(18):
@@ -368,7 +372,7 @@
 
 
 def test_a_guard_that_only_warns_lets_tables_out_as_ordered():
-    controller = Controller(SETTINGS, 7, Bent, safety_rules=Rules(), enforce=False)
+    controller = Controller(SETTINGS, 7, Bent, safety_rules=SafetyRules(), enforce=False)
     controller.on_list_update(news("a:1", "b:1"))
     controller.on_proxy_connected("p", "east", 10.0, True)
     play(controller, 0, 2)
@@ -401,7 +405,7 @@
     """A core with two ready servers and proxies `p` (table 1) and `q` (table 2), all pushed at 1000 s."""
     controller, decider = fixed
     controller.on_list_update(
-        News("held", (server("a", "ready"), server("b", "ready"), server("d", "ready")), ())
+        EndpointListChange("held", (server("a", "ready"), server("b", "ready"), server("d", "ready")), ())
     )
     for proxy in "pq":
         controller.on_proxy_connected(proxy, "east", 1.0, True)
@@ -433,7 +437,7 @@
         order(controller, decider, now, ("set_weight", 1, "a", 1.0 + k % 2), ("request_ack", k, False))
     used = len(controller.egress_queue.sent_at_ns["p"])
     assert used <= 0.8 * SETTINGS.message_quota
-    controller.on_list_update(News("changes", (server("b", "draining"),), ()))
+    controller.on_list_update(EndpointListChange("changes", (server("b", "draining"),), ()))
     pushes = order(
         controller, decider, now + S // 4, ("set_weight", 1, "b", 0.0), ("set_weight", 1, "a", 9.0)
     )
@@ -490,7 +494,7 @@
 
 
 def test_what_waits_for_an_acknowledgement_is_bounded_and_keeps_the_acknowledged():
-    sent = Sent(History("0"))
+    sent = DeliveryTracker(VersionHistory("0"))
     made = [ProxyTables((("read", "t"),), {"t": TableContent((("a", "east", 1.0),), ())}) for _ in range(30)]
     for holding in made:
         sent.pushed("p", holding)
@@ -508,7 +512,7 @@
         controller.pending_events += [DemandReport(p, "read", 10, 0, S) for p in "pq"]
         order(controller, decider, now)
     controller.on_list_update(
-        News("changes", (EndpointRecord("c", "east", "", 0, "ready", 1.0, now),), ())
+        EndpointListChange("changes", (EndpointRecord("c", "east", "", 0, "ready", 1.0, now),), ())
     )  # 4.5 a second
     order(controller, decider, now + S, ("set_weight", 1, "c", 1.2))  # 2.9 of p's 10
     controller.on_fully_acknowledged("p", 1001 * S)
@@ -528,7 +532,7 @@
     controller, decider = busy
     now = 1001 * S + S // 10
     controller.run_round(now)
-    controller.on_list_update(News("changes", (server("b", "draining"),), ()))
+    controller.on_list_update(EndpointListChange("changes", (server("b", "draining"),), ()))
     pushes = controller.run_round(now + 5_000_000).pushes  # what comes in has a turn soon
     while now < 1002 * S and len(pushes) < 2:
         now = max(controller.next_deadline_ns, now + 1)
--- a/tests/controller/test_digest.py
+++ b/tests/controller/test_digest.py
@@ -13,11 +13,11 @@
 from swiftchute.api.settings import Settings
 from swiftchute.controller.controller import Controller, RetentionSettings
 from swiftchute.controller.load_aggregation import LoadReport
-from swiftchute.discovery.endpoint_list import News
+from swiftchute.discovery.endpoint_list import EndpointListChange
 from swiftchute.policy import Reconciler
-from swiftchute.safety.validator import Rules
-from swiftchute.versions.history import Unknown
-from swiftchute.versions.pinning import Impossible
+from swiftchute.safety.validator import SafetyRules
+from swiftchute.versions.history import UnknownVersionError
+from swiftchute.versions.pinning import PinError
 from tests.conftest import FACTS, operation
 
 NS_PER_S = 1_000_000_000
@@ -121,7 +121,7 @@
         return held.tables_by_operation, contents, sorted(held.baseline_tables)
 
     def list_changes(self, *records, scope="changes"):
-        self.controller.on_list_update(News(scope, tuple(records), ()))
+        self.controller.on_list_update(EndpointListChange(scope, tuple(records), ()))
 
     def connect(self, proxy, fresh):
         self.controller.on_proxy_connected(proxy, PROXIES[proxy], 10.0, fresh)
@@ -134,7 +134,7 @@
         """An operator's command, whose errors are an output too."""
         try:
             change = getattr(self.controller, command)(*arguments)
-        except (Unknown, Impossible) as error:
+        except (UnknownVersionError, PinError) as error:
             self.note("explain", command, str(error))
         else:
             self.note("explain", command, change and change.version)
@@ -263,11 +263,14 @@
 
 
 RUNS = {
-    "enforced, with canaries": ((Rules(), True, True), {}),
-    "enforced, without canaries": ((Rules(), True, False), {}),
-    "warned, removal is not binding": ((Rules(), False, True), {"removal_is_binding": False}),
+    "enforced, with canaries": ((SafetyRules(), True, True), {}),
+    "enforced, without canaries": ((SafetyRules(), True, False), {}),
+    "warned, removal is not binding": ((SafetyRules(), False, True), {"removal_is_binding": False}),
     "without safety rules": ((None, True, False), {}),
-    "a short egress queue": ((Rules(), True, True), {"egress_queue_limit_entries": 60.0, "message_quota": 3}),
+    "a short egress queue": (
+        (SafetyRules(), True, True),
+        {"egress_queue_limit_entries": 60.0, "message_quota": 3},
+    ),
 }
 EXPECTED = {
     "enforced, with canaries": (
