--- a/tests/proxy/test_server.py
+++ b/tests/proxy/test_server.py
@@ -459,7 +459,7 @@
                 await settled(made, {one.address, two.address})
                 assert await calls(proxy.at, 20) == ["ok"] * 20
                 await asyncio.sleep(0.6)
-                assert planner.service.core.seen.good  # its load reports arrived
+                assert planner.service.controller.observed_traffic.good  # its load reports arrived
                 publish({one.address: "draining", two.address: "ready"})
                 await settled(made, {two.address})
                 await planner.__aexit__()
