--- a/tests/platform/test_byte_digest.py
+++ b/tests/platform/test_byte_digest.py
@@ -9,7 +9,7 @@
 import json
 from collections import Counter
 
-from swiftchute.controller.policy_runner import Loop
+from swiftchute.controller.policy_runner import PolicyRunner
 from swiftchute.platform import session_manager, settings
 from swiftchute.platform.discovery_client import DiscoveryClient, OpenConnection
 from swiftchute.platform.endpoint_list import EndpointList
@@ -70,7 +70,9 @@
         told = settings.read({"GW_CONFIG": str(path)})
         self.now, self.crashes, self.commands = START, 0, []
         self.digest, self.counted, self.written, self.closed = hashlib.sha256(), Counter(), b"", []
-        self.loop = Loop(told.settings, told.seed, lambda *made: PolicyOfTheRun(self, *made), self.now)
+        self.loop = PolicyRunner(
+            told.settings, told.seed, lambda *made: PolicyOfTheRun(self, *made), self.now
+        )
         self.front = SessionManager(self.loop, told.sockets)
         self.streams = []
         self.catalog = EndpointList(told.settings.zones)
@@ -137,7 +139,7 @@
                 order = json.loads(text)
                 if "nonce_out" in order:
                     asked.append((number, stream.proxy, order["nonce_out"]))
-        self.loop.take_events()
+        self.loop.drain_log_events()
         self.close_due()
         return asked
 
@@ -298,7 +300,7 @@
                 if proxy != SILENT_PROXY or time_ms < 8000:
                     run.say(number, demand(proxy, 10 + (proxy * 7 + time_ms // 500) % 60))
             for agent, zone in zip(agents, ("east", "west"), strict=True):
-                for endpoint in sorted(run.loop.list):
+                for endpoint in sorted(run.loop.endpoint_records):
                     if (endpoint[0] == zone[0]) or time_ms % 1000:
                         run.say(agent, outcomes(zone, endpoint, time_ms // 1000))
         due = [answer for answer in owed if answer[0] <= run.now]
