--- a/swiftchute/platform/__main__.py
+++ b/swiftchute/platform/__main__.py
@@ -1,34 +1,38 @@
-"""`python -m swiftchute.platform`: one planner in the foreground, told by `GW_CONFIG` and `GW_*`."""
+"""`python -m swiftchute.platform`: one process in the foreground, configured by `GW_CONFIG` and `GW_*`."""
 
 import os
 import sys
 
 from swiftchute.platform.signals import StartupSignals
 
+EXIT_SETTINGS = 2  # the configuration cannot be used
+
 
 def main() -> int:
-    """Serve until SIGTERM; 2 where the configuration cannot be used."""
+    """Serve until SIGTERM and return the exit code."""
     signals = StartupSignals()
-    import uvloop  # these take most of the start: a signal may come meanwhile
+    import uvloop  # these imports take most of the start: signals must be handled before
 
-    from swiftchute.platform import errors, settings
+    from swiftchute.platform import settings
+    from swiftchute.platform.errors import SettingsError
     from swiftchute.platform.logging import EventLog
     from swiftchute.platform.server import Server
 
     try:
-        told = settings.read(os.environ)
-        shell = Server(told, os.environ, EventLog(told.name))
-        uvloop.new_event_loop().run_until_complete(shell.run(signals))
-    except errors.SettingsError as why:
-        print(f"swiftchute.platform: {why}", file=sys.stderr)
-        return 2
+        configuration = settings.read(os.environ)
+        server = Server(configuration, os.environ, EventLog(configuration.name))
+        uvloop.new_event_loop().run_until_complete(server.run(signals))
+    except SettingsError as error:
+        print(f"swiftchute.platform: {error}", file=sys.stderr)
+        return EXIT_SETTINGS
     return 0
 
 
 def run() -> None:
-    """The program: serve, and end the process."""
+    """Serve, and end the process."""
     code = main()
-    # Python's own end takes the handlers away before it is over: a second SIGTERM there would kill it.
+    # The interpreter removes signal handlers before it is done: a second SIGTERM there would kill the
+    # process.
     os._exit(code)
 
 
--- a/swiftchute/platform/discovery_client.py
+++ b/swiftchute/platform/discovery_client.py
@@ -1,160 +1,180 @@
-"""Which connections to discovery there are, whose news is heard, and when to dial again. No I/O, no clock.
-
-    watches = DiscoveryClient(catalog, random)
-    watches.at(address, now)                        # at the start, and when the address changes
-    for news in watches.tend(now): ...              # from a timer
-    for act in watches.acts(now): ...               # to be carried out; after each other call
-    data = watches.connected(link)                  # bytes to write; None: nobody owns it any more, end it
-    for news in watches.received(link, data, now): ...
-    watches.ended(link, cause, now)                 # it broke, or its dial failed
-    watches.take_events()
-
-At most two links are owned: the newest, and the one before it until the newest has brought a line and tells
-of all that is known. Both are heard; what any other one brings is nobody's. So a change of the address, or a
-watch that has fallen silent, leaves no gap, and neither does a discovery that lags behind the one before.
+"""Which connections to discovery there are, whose updates count, and when to connect again. No I/O, no clock.
+
+At most two connections are in use: the current one, and the previous one until the current has brought a
+line and tells of all that is known. Updates of both count, those of any other do not. So a change of the
+address, or a watch that has fallen silent, leaves no gap, and neither does a discovery that lags behind the
+previous one.
+
+What the transport is to do comes from `take_commands`, to be called after each other method.
 """
 
 from collections.abc import Iterator
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from random import Random
 from typing import Any
 
-from swiftchute.platform.endpoint_list import DiscoveryWatch, EndpointList, ListUpdate
+from swiftchute.discovery.backoff import Backoff
+from swiftchute.platform.discovery_watch import DiscoveryWatch
+from swiftchute.platform.endpoint_list import EndpointList, ListUpdate
 from swiftchute.platform.errors import DiscoveryError
 
-S = 1_000_000_000
+NS_PER_S = 1_000_000_000
+# An empty line comes every 2 s, and a change counts as delivered 6 s after it: two missed lines, a connection
+# and its answer have to fit into that.
+SILENCE_TIMEOUT_NS = 21 * NS_PER_S // 5
+ANSWER_TIMEOUT_NS = NS_PER_S  # from the command to connect to the head of the answer
+FIRST_RECONNECT_WAIT_NS = NS_PER_S // 10
+MAX_RECONNECT_WAIT_NS = NS_PER_S
+
 Address = tuple[str, int]
-# An empty line comes every 2 s, and what is to be told counts as told 6 s later: two lines that are missed, a
-# dial and its answer have to fit into that.
-SILENT = 21 * S // 5  # a watch that says nothing for so long is dialled anew
-ANSWER_WITHIN = S  # from a dial to the head of the answer
-WAIT_FIRST, WAIT_MOST = S // 10, S  # between two dials, with jitter
+LogEvent = tuple[str, dict[str, Any]]
 
 
-@dataclass(eq=False)
+@dataclass(eq=False, slots=True)
 class DiscoveryConnection:
-    """One connection to discovery, from its dial on."""
+    """One connection to discovery, from the command to open it on."""
 
     address: Address
     watch: DiscoveryWatch
-    since: int  # when it was dialled, or last heard
-    doubted: bool = False  # nothing heard for too long, seen once
-    tag: Any = None  # the shell's
+    last_activity_ns: int  # when it was opened, or bytes last arrived
+    overdue: bool = False  # it was silent for too long when last checked
+    transport: Any = None  # belongs to the server
 
 
-@dataclass(frozen=True)
+@dataclass(frozen=True, slots=True)
 class OpenConnection:
-    """Connect, and call `connected` or `ended`."""
+    """Connect, and report `connection_opened` or `connection_closed`."""
 
-    link: DiscoveryConnection
+    connection: DiscoveryConnection
 
 
-@dataclass(frozen=True)
+@dataclass(frozen=True, slots=True)
 class CloseConnection:
-    """End the connection or its dial; nothing of it is heard any more."""
+    """Close the connection, or give up opening it."""
 
-    link: DiscoveryConnection
+    connection: DiscoveryConnection
 
 
-@dataclass
 class DiscoveryClient:
-    """The links of one planner to discovery."""
-
-    catalog: EndpointList
-    random: Random
-    address: Address | None = None
-    newest: DiscoveryConnection | None = None
-    before: DiscoveryConnection | None = None  # heard until the newest is answered
-    wait: int = WAIT_FIRST
-    dial_at: int = 0
-    ending: list[DiscoveryConnection] = field(default_factory=list)
-    events: list[tuple[str, dict[str, Any]]] = field(default_factory=list)
-
-    def at(self, address: Address, now: int) -> None:
-        """Watch discovery there; the watch before is heard until this one is answered."""
+    """The connections of this process to discovery."""
+
+    def __init__(self, endpoint_list: EndpointList, random: Random) -> None:
+        """Start without an address.
+
+        Args:
+            endpoint_list: The list that is updated.
+            random: Source of the jitter between connections.
+        """
+        self.endpoint_list = endpoint_list
+        self.address: Address | None = None
+        self.current: DiscoveryConnection | None = None
+        self.previous: DiscoveryConnection | None = None
+        self._connect_at_ns = 0
+        self._backoff = Backoff(FIRST_RECONNECT_WAIT_NS, MAX_RECONNECT_WAIT_NS, random)
+        self._to_close: list[DiscoveryConnection] = []
+        self._log_events: list[LogEvent] = []
+
+    def set_address(self, address: Address, now_ns: int) -> None:
+        """Watch discovery there; the connection so far counts until that one has brought a line."""
         if address == self.address:
             return
-        self.address, self.wait, self.dial_at = address, WAIT_FIRST, now
-        self._step_back()
-
-    def _step_back(self) -> None:
-        """The newest makes room: as the one before, if it was ever answered."""
-        link, self.newest = self.newest, None
-        if link is not None and link.watch.answered:
-            link, self.before = self.before, link
-        if link is not None:
-            self.ending.append(link)
-
-    def owned(self, link: DiscoveryConnection) -> bool:
-        """Whether its news is heard."""
-        return link is self.newest or link is self.before
-
-    def acts(self, now: int) -> Iterator[OpenConnection | CloseConnection]:
-        """What is to be done now."""
-        if self.newest is None and self.address is not None and now >= self.dial_at:
-            self.newest = DiscoveryConnection(
-                self.address, DiscoveryWatch(self.catalog, "{}:{}".format(*self.address)), now
-            )
-            yield OpenConnection(self.newest)
-        ending, self.ending = self.ending, []
-        for link in ending:
-            yield CloseConnection(link)
-
-    def tend(self, now: int) -> Iterator[ListUpdate]:
-        """Look at time: watches that fell silent, and lists that are now believed. Sockets are read between
-        two calls."""
-        link = self.newest
-        if link is not None and now - link.since > (SILENT if link.watch.answered else ANSWER_WITHIN):
-            if link.doubted:
-                answered = link.watch.answered
-                cause = "silent" if answered else "no answer"
-                self._lost(link, f"{cause} for {(now - link.since) / S:.1f} s", now, not answered)
-                self._step_back()
-            # Its bytes may lie in the socket while this process stood still: one reading more is waited for.
-            link.doubted = True
-        for link in (self.before, self.newest):
-            news = link.watch.caught_up(now) if link is not None else None
-            if news is not None:
-                yield news
-
-    def _lost(self, link: DiscoveryConnection, cause: str, now: int, later: bool) -> None:
-        """The newest is no good any more: the next dial follows, at once or after a wait."""
-        self.events.append(("discovery lost", {"address": "{}:{}".format(*link.address), "cause": cause}))
-        if link.watch.told:
-            self.wait = WAIT_FIRST
-        self.dial_at = now
-        if later:
-            self.dial_at += int(self.wait * self.random.uniform(0.5, 1.0))
-            self.wait = min(2 * self.wait, WAIT_MOST)
-
-    def connected(self, link: DiscoveryConnection) -> bytes | None:
-        """A dial came up; what is to be written, or None if nobody owns the link any more."""
-        return link.watch.request() if self.owned(link) else None
-
-    def received(self, link: DiscoveryConnection, data: bytes, now: int) -> Iterator[ListUpdate]:
-        """Bytes came on a link."""
-        if not self.owned(link):
+        self.address, self._connect_at_ns = address, now_ns
+        self._backoff.reset()
+        self._replace_current()
+
+    def take_commands(self, now_ns: int) -> Iterator[OpenConnection | CloseConnection]:
+        """Yield what the transport is to do now."""
+        if self.current is None and self.address is not None and now_ns >= self._connect_at_ns:
+            watch = DiscoveryWatch(self.endpoint_list, _format_address(self.address))
+            self.current = DiscoveryConnection(self.address, watch, now_ns)
+            yield OpenConnection(self.current)
+        to_close, self._to_close = self._to_close, []
+        for connection in to_close:
+            yield CloseConnection(connection)
+
+    def take_log_events(self) -> list[LogEvent]:
+        """Return the log events since the last call, each with its fields."""
+        events, self._log_events = self._log_events, []
+        return events
+
+    def connection_opened(self, connection: DiscoveryConnection) -> bytes | None:
+        """Return the bytes of the request; None if the connection is not in use any more."""
+        return connection.watch.request() if self._is_in_use(connection) else None
+
+    def receive_data(self, connection: DiscoveryConnection, data: bytes, now_ns: int) -> Iterator[ListUpdate]:
+        """Handle bytes of a connection and yield what they change."""
+        if not self._is_in_use(connection):
             return
-        link.since, link.doubted = now, False
+        connection.last_activity_ns, connection.overdue = now_ns, False
         try:
-            yield from link.watch.received(data, now)
-        except DiscoveryError as why:
-            self.ending.append(link)
-            self.ended(link, str(why), now)
-        watch = link.watch
-        if link is self.newest and self.before is not None and watch.begun and watch.behind is None:
-            self.ending.append(self.before)
-            self.before = None
-
-    def ended(self, link: DiscoveryConnection, cause: str, now: int) -> None:
-        """A link broke, or its dial failed."""
-        if link is self.before:
-            self.before = None
-        elif link is self.newest:
-            self.newest = None
-            self._lost(link, cause, now, True)
-
-    def take_events(self) -> list[tuple[str, dict[str, Any]]]:
-        """The events since the last call."""
-        out, self.events = self.events, []
-        return out
+            yield from connection.watch.receive_data(data, now_ns)
+        except DiscoveryError as error:
+            self._to_close.append(connection)
+            self.connection_closed(connection, str(error), now_ns)
+        watch = connection.watch
+        if connection is self.current and watch.has_line and watch.lagging is None:
+            self._close_previous()
+
+    def connection_closed(self, connection: DiscoveryConnection, cause: str, now_ns: int) -> None:
+        """Handle the end of a connection, or that it could not be opened."""
+        if connection is self.previous:
+            self.previous = None
+        elif connection is self.current:
+            self.current = None
+            self._schedule_reconnect(connection, cause, now_ns, backoff=True)
+
+    def check_timeouts(self, now_ns: int) -> Iterator[ListUpdate]:
+        """Replace a silent connection, and yield the lists that count now for the time that has passed.
+
+        Sockets must be read between two calls: the bytes of a connection may wait there while this process
+        stood still, so that it is replaced only when it is overdue twice.
+        """
+        connection = self.current
+        if connection is not None and self._is_silent(connection, now_ns):
+            if connection.overdue:
+                answered = connection.watch.answered
+                silent_s = (now_ns - connection.last_activity_ns) / NS_PER_S
+                cause = f"{'silent' if answered else 'no answer'} for {silent_s:.1f} s"
+                self._schedule_reconnect(connection, cause, now_ns, backoff=not answered)
+                self._replace_current()
+            connection.overdue = True
+        for in_use in (self.previous, self.current):
+            update = in_use.watch.check_lag(now_ns) if in_use is not None else None
+            if update is not None:
+                yield update
+
+    def _is_in_use(self, connection: DiscoveryConnection) -> bool:
+        return connection is self.current or connection is self.previous
+
+    @staticmethod
+    def _is_silent(connection: DiscoveryConnection, now_ns: int) -> bool:
+        timeout_ns = SILENCE_TIMEOUT_NS if connection.watch.answered else ANSWER_TIMEOUT_NS
+        return now_ns - connection.last_activity_ns > timeout_ns
+
+    def _replace_current(self) -> None:
+        """Make room for a new connection; the current one becomes the previous if it was ever answered."""
+        unused, self.current = self.current, None
+        if unused is not None and unused.watch.answered:
+            unused, self.previous = self.previous, unused
+        if unused is not None:
+            self._to_close.append(unused)
+
+    def _close_previous(self) -> None:
+        if self.previous is not None:
+            self._to_close.append(self.previous)
+            self.previous = None
+
+    def _schedule_reconnect(
+        self, connection: DiscoveryConnection, cause: str, now_ns: int, backoff: bool
+    ) -> None:
+        """Connect again, at once or after a wait that grows until a connection brings an update."""
+        self._log_events.append(
+            ("discovery lost", {"address": _format_address(connection.address), "cause": cause})
+        )
+        if connection.watch.has_update:
+            self._backoff.reset()
+        self._connect_at_ns = now_ns + (self._backoff.next_wait_ns() if backoff else 0)
+
+
+def _format_address(address: Address) -> str:
+    return f"{address[0]}:{address[1]}"
--- a/swiftchute/platform/logging.py
+++ b/swiftchute/platform/logging.py
@@ -1,4 +1,4 @@
-"""Log lines of the platform's planner: JSON, one a line, on standard error, so many a second at most."""
+"""The log: events as JSON, one a line, on standard error."""
 
 import sys
 import time
@@ -6,34 +6,42 @@
 
 import msgspec
 
-A_SECOND = 50  # lines; what is past them is counted in the next line
-TEXT_MOST = 4000  # bytes of a line
+MAX_LINES_PER_S = 50  # lines beyond are counted, and the count stands in the next line
+MAX_LINE_BYTES = 4000
 
 
 class EventLog:
-    """Writes events; a stream that takes no more (its reader is gone) stops nothing."""
+    """Writes events; a stream that cannot be written to (its reader is gone) stops nothing."""
 
     def __init__(self, name: str, stream: TextIO = sys.stderr) -> None:
-        """`name` stands in each line."""
-        self.name, self.stream = name, stream
-        self.second = self.written = self.lost = 0
+        """Write to a stream.
+
+        Args:
+            name: Name of this process; stands in each line.
+            stream: Where lines are written.
+        """
+        self._name = name
+        self._stream = stream
+        self._second = 0  # Unix time in which `_written` lines were written
+        self._written = 0
+        self._lost = 0  # lines that were not written since the last one
 
     def __call__(self, event: str, **fields: Any) -> None:
         """Write an event with its fields."""
-        now = time.time()
-        if int(now) != self.second:
-            self.second, self.written = int(now), 0
-        if self.written >= A_SECOND:
-            self.lost += 1
+        now_s = time.time()
+        if int(now_s) != self._second:
+            self._second, self._written = int(now_s), 0
+        if self._written >= MAX_LINES_PER_S:
+            self._lost += 1
             return
-        self.written += 1
-        lost, self.lost = self.lost, 0
-        row = {"at": round(now, 3), "planner": self.name, "event": event, **fields}
+        self._written += 1
+        lost, self._lost = self._lost, 0
+        row = {"at": round(now_s, 3), "planner": self._name, "event": event, **fields}
         if lost:
             row["lines_lost"] = lost
-        text = msgspec.json.encode(row, enc_hook=str)[:TEXT_MOST].decode(errors="replace")
+        text = msgspec.json.encode(row, enc_hook=str)[:MAX_LINE_BYTES].decode(errors="replace")
         try:
-            self.stream.write(text + "\n")
-            self.stream.flush()
+            self._stream.write(text + "\n")
+            self._stream.flush()
         except (OSError, ValueError):
-            self.lost += 1 + lost
+            self._lost += 1 + lost
--- a/swiftchute/platform/proxy_session.py
+++ b/swiftchute/platform/proxy_session.py
@@ -1,157 +1,180 @@
-"""One connection at the planner's address: bytes and times in, calls and bytes out. No I/O.
+"""The state of one client connection at the platform's address. No I/O.
 
-    stream = ProxySession(front, now)
-    stream.received(data, now)      # calls go to the front; then look at `out` and `ended`
-    stream.out                      # bytes to write; the shell takes them
-    stream.ended                    # None, or why the connection is to be closed once `out` is written
+Bytes and times come in; messages go to a `MessageHandler`, bytes to write collect in `outgoing`, and
+`end_cause` tells that the connection is to be closed once they are written.
 
-A connection is a proxy's stream once it said `hello`, a collector's once it said `agent`. Until then whatever
-cannot be used ends it with an `error`. A joined one drops and counts a spoilt message, and ends on bytes that
-nobody can read.
+A connection is a proxy's once it said `hello` and a collector's once it said `agent`. Until then anything
+that cannot be used ends it with an `error`. Afterwards a malformed message is dropped and counted, and only
+bytes that are not JSON end it.
 """
 
 from collections import deque
-from typing import TYPE_CHECKING, Any
+from enum import Enum
+from typing import Any, NamedTuple, Protocol
 
 from swiftchute.platform import wire_messages
 from swiftchute.platform.errors import MalformedMessageError, UnreadableMessageError
 
-if TYPE_CHECKING:
-    from swiftchute.platform.session_manager import SessionManager
+# Of a message before the client is known: any number of such connections may each hold one.
+MAX_FIRST_MESSAGE_BYTES = 1 << 13
+MAX_PENDING_NONCES = 256  # acknowledgements that a proxy may owe; past it the oldest counts as lost
 
-MS = 1_000_000
-FIRST_MOST = 1 << 13  # bytes of a message before joining: as many connections as descriptors may hold them
-MARKS_MOST = 256  # marks that a proxy may owe; past it the oldest counts as lost
+
+class MessageHandler(Protocol):
+    """What a session hands its messages to."""
+
+    def handle_message(self, session: "ProxySession", message: wire_messages.Message, now_ns: int) -> None:
+        """Handle a message; raises `MalformedMessageError` where it cannot be used."""
+
+    def drop_message(self, session: "ProxySession", cause: str) -> None:
+        """Count a malformed message of a client that is known."""
+
+
+class PendingNonce(NamedTuple):
+    """A nonce that the proxy has not acknowledged."""
+
+    nonce: int
+    bytes_written: int  # on this session up to and including its message
+    sent_at_ns: int
+
+
+class AckResult(Enum):
+    """What an acknowledgement answers."""
+
+    UNKNOWN_NONCE = "unknown nonce"
+    PREVIOUS_POLICY = "a policy that has crashed since; the present one may use the same number"
+    CURRENT_POLICY = "the present policy"
 
 
 class ProxySession:
-    """The state of one connection."""
+    """One client connection, a proxy's or a collector's."""
 
     __slots__ = (
-        "front", "since", "heard", "rest", "out", "ended", "proxy", "zone", "marks", "sent", "read", "late",
-        "tag", "wrote", "old",
+        "handler", "opened_at_ns", "last_received_ns", "unparsed", "outgoing", "end_cause", "proxy",
+        "collector_zone", "pending_nonces", "previous_policy_nonces", "bytes_written", "bytes_acknowledged",
+        "last_push_ns", "join_overdue", "transport",
     )  # fmt: skip
 
-    def __init__(self, front: "SessionManager", now: int) -> None:
-        """A connection that has said nothing yet."""
-        self.front, self.since, self.heard = front, now, now
-        self.rest = bytearray()
-        self.out: list[bytes] = []
-        self.ended: str | None = None
+    def __init__(self, handler: MessageHandler, now_ns: int) -> None:
+        """Start a session whose client has said nothing yet.
+
+        Args:
+            handler: Receives the messages.
+            now_ns: The present time, nanoseconds.
+        """
+        self.handler = handler
+        self.opened_at_ns = now_ns
+        self.last_received_ns = now_ns
+        self.unparsed = bytearray()
+        self.outgoing: list[bytes] = []
+        self.end_cause: str | None = None
         self.proxy: int | None = None
-        self.zone: str | None = None  # a collector's
-        self.marks: deque[tuple[int, int, int]] = deque()  # mark, bytes written with it and before, when
-        self.old = 0  # of these, those that a module asked for which has failed since
-        self.sent = self.read = 0  # bytes written, and those a mark has proved read
-        self.wrote = now  # when a message was last written
-        self.late = False  # past its time to join, seen once
-        self.tag: Any = None  # the shell's
+        self.collector_zone: str | None = None
+        self.pending_nonces: deque[PendingNonce] = deque()
+        self.previous_policy_nonces = 0  # of these, the first that were sent by a policy that crashed since
+        self.bytes_written = 0  # of push messages
+        self.bytes_acknowledged = 0
+        self.last_push_ns = now_ns
+        self.join_overdue = False
+        self.transport: Any = None  # belongs to the server
 
     @property
-    def joined(self) -> bool:
-        """It is a proxy's or a collector's."""
-        return self.proxy is not None or self.zone is not None
+    def identified(self) -> bool:
+        """Whether it is known to be a proxy's or a collector's."""
+        return self.proxy is not None or self.collector_zone is not None
 
     @property
-    def unread(self) -> int:
+    def unread_bytes(self) -> int:
         """Bytes that the proxy has not proved to have read."""
-        return self.sent - self.read
+        return self.bytes_written - self.bytes_acknowledged
 
-    def received(self, data: bytes, now: int) -> None:
-        """Take in bytes, in pieces of any size."""
-        if self.ended is not None:
+    @property
+    def oldest_nonce_sent_at_ns(self) -> int | None:
+        """When the oldest nonce that waits for its acknowledgement was sent."""
+        return self.pending_nonces[0].sent_at_ns if self.pending_nonces else None
+
+    def receive_data(self, data: bytes, now_ns: int) -> None:
+        """Handle bytes, in pieces of any size."""
+        if self.end_cause is not None:
             return
-        self.heard = now
-        end = data.rfind(b"\n")
-        if end < 0:
-            self.rest += data
+        self.last_received_ns = now_ns
+        last_newline = data.rfind(b"\n")
+        if last_newline < 0:
+            self.unparsed += data
         else:
-            whole = bytes(self.rest) + data[:end] if self.rest else data[:end]
-            self.rest = bytearray(data[end + 1 :])
-            for line in whole.split(b"\n"):
-                if self._too_long(len(line)):
-                    return
-                self._line(line, now)
-                if self.ended is not None:
-                    self.rest.clear()
+            complete = data[:last_newline]
+            if self.unparsed:
+                complete = bytes(self.unparsed) + complete
+            self.unparsed = bytearray(data[last_newline + 1 :])
+            for line in complete.split(b"\n"):
+                self._check_size(len(line))
+                if self.end_cause is None:
+                    self._receive_line(line, now_ns)
+                if self.end_cause is not None:
+                    self.unparsed.clear()
                     return
-        self._too_long(len(self.rest))
+        self._check_size(len(self.unparsed))
 
-    def _too_long(self, size: int) -> bool:
-        most = wire_messages.LINE_MOST if self.joined else FIRST_MOST
-        if size > most:
-            self.end(f"a message of more than {most} bytes")
-            self.rest.clear()
-        return size > most
+    def _check_size(self, message_bytes: int) -> None:
+        limit = wire_messages.MAX_MESSAGE_BYTES if self.identified else MAX_FIRST_MESSAGE_BYTES
+        if message_bytes > limit:
+            self.end(f"a message of more than {limit} bytes")
+            self.unparsed.clear()
 
-    def _line(self, line: bytes, now: int) -> None:
+    def _receive_line(self, line: bytes, now_ns: int) -> None:
         try:
-            message = wire_messages.read(line)
-        except MalformedMessageError as why:
-            if self.joined:
-                self.front.dropped(self, str(why))
+            message = wire_messages.decode(line)
+            if type(message) is wire_messages.LivenessProbe:
+                self.outgoing.append(wire_messages.LIVENESS_REPLY)
             else:
-                self.end(str(why))
-            return
-        except UnreadableMessageError as why:
-            if not line.strip():
-                self.end("an empty line")
+                self.handler.handle_message(self, message, now_ns)
+        except MalformedMessageError as error:
+            if self.identified:
+                self.handler.drop_message(self, str(error))
             else:
-                self.end(f"unreadable: {why}")
-            return
-        kind = type(message)
-        if kind is wire_messages.Probe:
-            self.out.append(wire_messages.ALIVE)
-            return
-        cause = self.front.take(self, message, now)
-        if cause is None:
-            return
-        if self.joined:
-            self.front.dropped(self, cause)
-        else:
-            self.end(cause)
-
-    def end(self, cause: str, tell: bool = True) -> None:
-        """Nothing more is heard; the shell closes the connection. A collector is written nothing."""
-        if self.ended is None:
-            self.ended = cause
-            if tell and self.zone is None:
-                self.out.append(wire_messages.error(cause))
-
-    # -- marks
-
-    def pushed(self, size: int, seal: int | None, now: int) -> bool:
-        """A message was written; True if the oldest mark counts as lost for it."""
-        self.sent += size
-        self.wrote = now
-        if seal is not None:
-            self.marks.append((seal, self.sent, now))
-        lost = len(self.marks) > MARKS_MOST
-        if lost:
-            self.marks.popleft()
-            self.old = max(self.old - 1, 0)
-        return lost
-
-    def fresh(self) -> None:
-        """The module was started anew, and counts its marks from the beginning again."""
-        self.old = len(self.marks)
-
-    def applied(self, mark: int) -> bool | None:
-        """The proxy answers for a mark and all before it; None if it owes no such mark, and False if that
-        was a mark of a module that has failed since: the one of now may ask for the same number."""
-        if not any(mark == owed for owed, _, _ in self.marks):
-            return None
-        answered = 0
-        for owed, upto, _ in list(self.marks):
-            self.marks.popleft()
-            answered += 1
-            self.read = max(self.read, upto)
-            if owed == mark:
+                self.end(str(error))
+        except UnreadableMessageError as error:
+            self.end(f"unreadable: {error}" if line.strip() else "an empty line")
+
+    def end(self, cause: str, notify: bool = True) -> None:
+        """Ignore what follows; the server closes the connection.
+
+        Args:
+            cause: Why, for the client and the log.
+            notify: Whether the client is sent the cause; a collector never is.
+        """
+        if self.end_cause is None:
+            self.end_cause = cause
+            if notify and self.collector_zone is None:
+                self.outgoing.append(wire_messages.encode_error(cause))
+
+    def record_push(self, message_bytes: int, nonce: int | None, now_ns: int) -> bool:
+        """Note that a push message is written; True if the oldest nonce counts as lost for it."""
+        self.bytes_written += message_bytes
+        self.last_push_ns = now_ns
+        if nonce is not None:
+            self.pending_nonces.append(PendingNonce(nonce, self.bytes_written, now_ns))
+        nonce_lost = len(self.pending_nonces) > MAX_PENDING_NONCES
+        if nonce_lost:
+            self.pending_nonces.popleft()
+            self.previous_policy_nonces = max(self.previous_policy_nonces - 1, 0)
+        return nonce_lost
+
+    def on_policy_restart(self) -> None:
+        """Note that a new policy counts its nonces from the beginning again."""
+        self.previous_policy_nonces = len(self.pending_nonces)
+
+    def acknowledge(self, nonce: int) -> AckResult:
+        """Settle a nonce and all before it."""
+        if not any(nonce == pending.nonce for pending in self.pending_nonces):
+            return AckResult.UNKNOWN_NONCE
+        settled = 0
+        while True:
+            pending = self.pending_nonces.popleft()
+            settled += 1
+            self.bytes_acknowledged = max(self.bytes_acknowledged, pending.bytes_written)
+            if pending.nonce == nonce:
                 break
-        now = answered > self.old
-        self.old = max(self.old - answered, 0)
-        return now
-
-    def waiting(self) -> int | None:
-        """Since when the oldest mark waits."""
-        return self.marks[0][2] if self.marks else None
+        current = settled > self.previous_policy_nonces
+        self.previous_policy_nonces = max(self.previous_policy_nonces - settled, 0)
+        return AckResult.CURRENT_POLICY if current else AckResult.PREVIOUS_POLICY
--- /dev/null
+++ b/swiftchute/platform/push_delivery.py
@@ -0,0 +1,101 @@
+"""When a push message may be written to which proxy. No I/O.
+
+A proxy that does not read what it is sent must not make this process keep messages for it: past
+`MAX_UNREAD_BYTES` its rounds are merged into one later message, which the encoder makes from what the proxy
+should hold by then.
+"""
+
+from collections.abc import Iterable, Iterator
+
+from swiftchute.controller.assignments import Round
+from swiftchute.controller.policy_runner import Loop
+from swiftchute.platform.errors import MessageTooLargeError
+from swiftchute.platform.proxy_session import ProxySession
+from swiftchute.platform.push_encoder import PushEncoder
+from swiftchute.platform.statistics import SessionStatistics
+
+MAX_UNREAD_BYTES = 40 * 1024  # that a proxy has not acknowledged, before what follows is merged
+UNREAD_RETRY_NS = 5_000_000_000  # a proxy past that is sent one message so often
+
+Delivery = tuple[ProxySession, bytes]
+
+
+class PushDelivery:
+    """Writes the rounds of the policy to the proxies."""
+
+    def __init__(
+        self,
+        runner: Loop,
+        encoder: PushEncoder,
+        sessions: dict[int, ProxySession],
+        statistics: SessionStatistics,
+    ) -> None:
+        """Start with nothing deferred.
+
+        Args:
+            runner: Its assignments are delivered, and its log is written to.
+            encoder: Encodes the messages.
+            sessions: The sessions by proxy; belongs to the session manager.
+            statistics: Counters to keep.
+        """
+        self._runner = runner
+        self._encoder = encoder
+        self._sessions = sessions
+        self._statistics = statistics
+        self._ejected: set[str] = set()  # endpoints ejected when proxies were last written to
+        self.deferred_nonces: dict[int, int | None] = {}  # by proxy that could not be written to, the latest
+
+    def on_policy_restart(self) -> None:
+        """Note that the assignments are those of a new policy."""
+        self._ejected = set()
+
+    def remove_proxy(self, proxy: int) -> None:
+        """Forget what was deferred for a proxy."""
+        self.deferred_nonces.pop(proxy, None)
+
+    def deliver_round(self, round_result: Round, now_ns: int) -> Iterator[Delivery]:
+        """Yield the messages of a round; those of proxies that do not read are deferred."""
+        ejected = self._runner.orders.shut
+        newly_ejected: Iterable[str] = ()
+        if round_result.withdrawals:
+            newly_ejected = ejected - self._ejected
+            self._ejected = set(ejected)
+        nonce = round_result.seal
+        for proxy in round_result.lines:
+            session = self._sessions.get(proxy)
+            if session is None:
+                continue
+            if proxy in self.deferred_nonces or not self._may_write(session, now_ns):
+                self._statistics.merged += 1
+                self.deferred_nonces[proxy] = nonce if nonce is not None else self.deferred_nonces.get(proxy)
+                continue
+            yield from self._write(proxy, session, nonce, newly_ejected, now_ns)
+
+    def deliver_deferred(self, now_ns: int) -> Iterator[Delivery]:
+        """Yield one message for each proxy that was deferred and may be written to again."""
+        for proxy in list(self.deferred_nonces):
+            session = self._sessions[proxy]
+            if self._may_write(session, now_ns):
+                nonce = self.deferred_nonces.pop(proxy)
+                yield from self._write(proxy, session, nonce, self._runner.orders.shut, now_ns)
+
+    @staticmethod
+    def _may_write(session: ProxySession, now_ns: int) -> bool:
+        """Whether a proxy has read enough of what it was sent, or is due to be tried again."""
+        return session.unread_bytes < MAX_UNREAD_BYTES or now_ns - session.last_push_ns >= UNREAD_RETRY_NS
+
+    def _write(
+        self, proxy: int, session: ProxySession, nonce: int | None, newly_ejected: Iterable[str], now_ns: int
+    ) -> Iterator[Delivery]:
+        try:
+            message = self._encoder.encode(proxy, nonce, newly_ejected)
+        except MessageTooLargeError as error:
+            self._statistics.too_large += 1
+            self._runner.event("message too large", proxy=proxy, cause=str(error))
+            return
+        if message.data:
+            self._statistics.nonces_lost += session.record_push(len(message.data), nonce, now_ns)
+            self._statistics.messages += 1
+            self._statistics.entries += message.entry_count
+            self._statistics.bytes += len(message.data)
+            yield session, message.data
--- a/swiftchute/platform/push_encoder.py
+++ b/swiftchute/platform/push_encoder.py
@@ -1,259 +1,163 @@
-"""From a round's orders to one `push` message a proxy. No I/O, and nothing waits here.
+"""From the assignments of a round to one `push` message a proxy. No I/O, and nothing waits here.
 
-    writer = PushEncoder(settings, orders)
-    writer.joined(proxy, fresh); writer.left(proxy)
-    writer.listed(entries, whole)
-    data, lines = writer.message(proxy, seal)      # from what was last written to what it should hold now
+For each connected proxy the encoder keeps what was last written to it: the content of its table by operation,
+and the endpoints that it ejects. A message is the difference to what the assignments say now, so that a proxy
+to which nothing could be written for a while gets one message, whatever was ordered meanwhile. Proxies of one
+table that hold the same content share the bytes of a round.
 
-Each proxy has what was last written on its stream: by operation the content of its table. A message is the
-difference to what the orders say now, so that a proxy for which nothing could be written for a while gets one
-message, whatever was ordered meanwhile. Proxies of one table that hold the same share the bytes of a round.
-
-A whole table (`full`) leaves servers that a proxy was told to shut out shut, whoever told it so. A proxy that
-holds orders of another planner (`fresh` false) may shut out servers that nobody here withdrew. So what goes
-to it first lets back the servers among its lines that may once have been shut: those that were listed as not
-ready before, or whose restart is known.
+A full table leaves ejected endpoints ejected, whichever instance ordered that. What goes first to a proxy
+that holds tables of another instance therefore restores the endpoints of its tables that may have been
+ejected there (see `listed_endpoints`).
 """
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, NamedTuple
 
 from swiftchute.api.endpoints import EndpointRecord
 from swiftchute.api.settings import Settings
 from swiftchute.controller.assignments import Orders
-from swiftchute.platform import wire_messages
-from swiftchute.platform.errors import MessageTooLargeError
+from swiftchute.platform import push_difference, wire_messages
+from swiftchute.platform.listed_endpoints import ListedEndpoints
+from swiftchute.platform.push_difference import TableContent
 
-PART_LINES = 2000  # lines of one part of a message; far below the protocol's size of a message
-PARTS_MOST = 64  # parts of one message, the protocol's limit
-GONE_MOST = 1000  # ids that left the list and are remembered: they may come back, late reports name them
-CACHE_MOST = 64  # encoded messages that proxies of a round may share
+MAX_SHARED_MESSAGES = 64  # encoded messages of a round that several proxies may share
 
 
-@dataclass(frozen=True, eq=False)
-class Content:
-    """What a table holds: weights by server, and by operation's place the level and the way of further
-    tries (absent where none was set)."""
+class EncodedPush(NamedTuple):
+    """A push message."""
 
-    number: tuple[int, int]  # the module's life, and the table in it
-    lines: dict[str, float]
-    levels: dict[int, tuple[float, int]]
+    data: bytes  # empty if there is nothing to write
+    entry_count: int  # as the protocol counts entries
 
 
-@dataclass
-class _Proxy:
-    """What was written on a proxy's stream: by operation's place its content, and servers shut out."""
+@dataclass(slots=True)
+class ProxyContent:
+    """What was last written to a proxy."""
 
-    strange: bool  # it may shut out servers by the word of another planner
-    written: dict[int, Content] = field(default_factory=dict)
-    shut: set[str] = field(default_factory=set)
-    cleared: set[str] = field(default_factory=set)  # of a strange one: servers whose state is known
+    foreign: bool  # it may eject endpoints by another instance's command
+    tables: dict[int, TableContent] = field(default_factory=dict)  # by operation
+    ejected: set[str] = field(default_factory=set)
+    settled: set[str] = field(default_factory=set)  # of a foreign one: endpoints whose ejection is known
 
 
 class PushEncoder:
-    """What was written to each joined proxy."""
+    """Encodes the difference between what each proxy holds and what it should hold."""
 
     def __init__(self, settings: Settings, orders: Orders) -> None:
-        """Nothing is written yet."""
-        self.set, self.orders = settings, orders
-        self.names = [op.name for op in settings.operations]
-        self.proxies: dict[Any, _Proxy] = {}
-        self.contents: dict[int, tuple[int, Content]] = {}
-        self.life = 0
-        self.started: dict[str, int] = {}  # listed servers, by their last start
-        self.suspect: set[str] = set()  # of those, which some planner may have shut out
-        self.unready: set[str] = set()  # listed as draining, or gone
-        self.gone: dict[str, None] = {}  # ids that left the list, the newest last: they may come back
-        self.cache: dict[Any, tuple[bytes, int]] = {}
-
-    def fresh(self, orders: Orders) -> None:
-        """The module was started anew: its tables are others, whatever their numbers."""
-        self.life += 1
+        """Start with nothing written to any proxy."""
+        self.orders = orders
+        self.operation_names = [operation.name for operation in settings.operations]
+        self.listed = ListedEndpoints()
+        self.proxies: dict[Any, ProxyContent] = {}
+        self.incarnation = 0  # of the policy
+        self._contents: dict[int, tuple[int, TableContent]] = {}  # by table, with its revision
+        self._shared: dict[Any, EncodedPush] = {}
+
+    def on_policy_restart(self, orders: Orders) -> None:
+        """Serve the orders of a new policy; its tables are others, even under the same numbers."""
+        self.incarnation += 1
         self.orders = orders
-        self.contents.clear()
-        self.cache.clear()
+        self._contents.clear()
+        self._shared.clear()
 
-    def joined(self, proxy: Any, fresh: bool) -> None:
-        """A proxy's stream begins."""
-        self.proxies[proxy] = _Proxy(not fresh)
+    def add_proxy(self, proxy: Any, fresh: bool) -> None:
+        """Start with nothing written to a proxy.
 
-    def left(self, proxy: Any) -> None:
-        """A proxy's stream is over."""
-        self.proxies.pop(proxy, None)
+        Args:
+            proxy: Its number.
+            fresh: Whether it holds no tables of an earlier session.
+        """
+        self.proxies[proxy] = ProxyContent(foreign=not fresh)
 
-    def listed(self, entries: Iterable[EndpointRecord], whole: bool) -> None:
-        """News of the list: which servers may have been shut out by somebody."""
-        first = not self.started
-        if whole:
-            named = {entry.endpoint for entry in entries}
-            for server in [s for s in self.started if s not in named]:
-                self._gone(server)
-        for server, _, _, _, state, _, started in entries:
-            known = self.started.get(server)
-            if state == "gone":
-                self._gone(server)
-                continue
-            # a new id: nobody can have shut it out before
-            new = known is None and not first and server not in self.gone
-            if state != "ready" or (known != started and not new and started):
-                self.suspect.add(server)
-            self.started[server] = started
-            (self.unready.discard if state == "ready" else self.unready.add)(server)
-        self.suspect &= self.started.keys()
+    def remove_proxy(self, proxy: Any) -> None:
+        """Forget a proxy whose session is over."""
+        self.proxies.pop(proxy, None)
 
-    def _gone(self, server: str) -> None:
-        if self.started.pop(server, None) is not None:
-            self.gone.pop(server, None)
-            self.gone[server] = None
-            self.unready.add(server)
-            if len(self.gone) > GONE_MOST:
-                forgotten = next(iter(self.gone))
-                del self.gone[forgotten]
-                if forgotten not in self.started:  # it may be back, and draining
-                    self.unready.discard(forgotten)
+    def update_list(self, records: Iterable[EndpointRecord], snapshot: bool) -> None:
+        """Note the endpoint list, or changes to it, as `ListedEndpoints.update` does."""
+        self.listed.update(records, snapshot)
 
-    # -- contents
+    def clear_shared(self) -> None:
+        """Drop the messages that proxies of one round may share."""
+        self._shared.clear()
 
-    def content(self, number: int) -> Content:
+    def table_content(self, table: int) -> TableContent:
         """What a table holds now; the same object until the table changes."""
-        table = self.orders.tables[number]
-        kept = self.contents.get(number)
-        if kept is None or kept[0] != table.revision:
-            levels = {
-                place: self.orders.level(number, place)
-                for place in range(len(self.names))
-                if place in table.levels or place in self.orders.common
+        ordered = self.orders.tables[table]
+        revision, content = self._contents.get(table, (None, None))
+        if content is None or revision != ordered.revision:
+            admissions = {
+                operation: self.orders.level(table, operation)
+                for operation in range(len(self.operation_names))
+                if operation in ordered.levels or operation in self.orders.common
             }
-            made = Content((self.life, number), dict(table.lines), levels)
-            kept = self.contents[number] = (table.revision, made)
-        return kept[1]
+            content = TableContent((self.incarnation, table), dict(ordered.lines), admissions)
+            self._contents[table] = (ordered.revision, content)
+        return content
 
-    def begin(self) -> None:
-        """A round begins: its messages share bytes."""
-        self.cache.clear()
+    def encode(self, proxy: Any, nonce: int | None, newly_ejected: Iterable[str] = ()) -> EncodedPush:
+        """Encode what leads a proxy from what was written to what it should hold now.
 
-    # -- messages
+        Args:
+            proxy: Its number.
+            nonce: Number that the proxy is to acknowledge, if any.
+            newly_ejected: Endpoints ejected since the last round, for a proxy that has no table yet.
 
-    def message(self, proxy: Any, seal: int | None, withdrawn: Iterable[str] = ()) -> tuple[bytes, int]:
-        """The message that brings a proxy from what was written to what it should hold now, with its lines;
-        no bytes if nothing differs and no mark is to be answered. `withdrawn` are the servers shut out or
-        let in since the last message, for a proxy that is bound to nothing."""
+        Raises:
+            MessageTooLargeError: The difference does not fit into one message.
+        """
         held = self.proxies[proxy]
-        bound = self.orders.proxies[proxy].bound
-        contents = {place: self.content(table) for place, table in bound.items()}
-        out, back = self._doors(held, contents, withdrawn)
-        old = held.written
+        assigned = self.orders.proxies[proxy].bound
+        contents = {operation: self.table_content(table) for operation, table in assigned.items()}
+        eject, restore = self._ejection_difference(held, contents, newly_ejected)
         key = (
-            tuple((place, contents[place], old.get(place)) for place in sorted(contents)),
-            tuple(out), tuple(back), seal,
+            tuple((place, contents[place], held.tables.get(place)) for place in sorted(contents)),
+            tuple(eject), tuple(restore), nonce,
         )  # fmt: skip
-        made = self.cache.get(key)
-        if made is None:
-            made = self._encode(self._parts(old, contents), out, back, seal)
-            if len(self.cache) < CACHE_MOST:
-                self.cache[key] = made
-        held.written = contents or held.written
-        held.shut = (held.shut | set(out)) - set(back)
-        if held.strange:
-            held.cleared = (held.cleared | set(out) | set(back)) & (self.started.keys() | held.shut)
-        return made
-
-    def _doors(
-        self, held: _Proxy, contents: dict[int, Content], withdrawn: Iterable[str]
+        message = self._shared.get(key)
+        if message is None:
+            message = self._encode(held.tables, contents, eject, restore, nonce)
+            if len(self._shared) < MAX_SHARED_MESSAGES:
+                self._shared[key] = message
+        self._record_written(held, contents, eject, restore)
+        return message
+
+    def _ejection_difference(
+        self, held: ProxyContent, contents: dict[int, TableContent], newly_ejected: Iterable[str]
     ) -> tuple[list[str], list[str]]:
-        """Servers to shut out, and to let back."""
-        shut = self.orders.shut
+        """Endpoints that the proxy must eject, and those that it must restore."""
+        ejected = self.orders.shut
+        # What the list says is not ready stays ejected, even where a new policy has ejected nothing.
+        restore = held.ejected - ejected - self.listed.not_ready
         if not contents:
-            out = {s for s in withdrawn if s in shut} - held.shut
-            return sorted(out), sorted(held.shut - shut - self.unready)
+            eject = {endpoint for endpoint in newly_ejected if endpoint in ejected} - held.ejected
+            return sorted(eject), sorted(restore)
         named: set[str] = set()
         for content in set(contents.values()):
-            named |= content.lines.keys()
-        # What the list says is not ready stays shut, also when a module started anew that withdrew nothing.
-        back = held.shut - shut - self.unready
-        if held.strange and self.suspect:
-            back |= (named & self.suspect) - shut - held.cleared
-        return sorted((named & shut) - held.shut), sorted(back)
-
-    def _parts(self, old: dict[int, Content], new: dict[int, Content]) -> list[dict[str, Any]]:
-        """The differences, as the fields of a message's parts."""
-        parts: list[dict[str, Any]] = []
-        pairs: dict[tuple[Content | None, Content], list[int]] = {}
-        for place, content in sorted(new.items()):
-            pairs.setdefault((old.get(place), content), []).append(place)
-        for (before, after), places in pairs.items():
-            if before is after:
-                continue
-            full = before is None or before.number != after.number
-            if not full and any(p in before.levels and p not in after.levels for p in places):
-                full = True  # only a whole table forgets a level
-            if full:
-                lines, levels = after.lines, {p: after.levels[p] for p in places if p in after.levels}
-            else:
-                lines = {s: w for s, w in after.lines.items() if before.lines.get(s) != w}
-                # what goes out goes last: a table is never left empty in between
-                lines |= dict.fromkeys((s for s in before.lines if s not in after.lines), 0)
-                levels = {
-                    p: after.levels[p]
-                    for p in places
-                    if p in after.levels and before.levels.get(p) != after.levels[p]
-                }
-            parts += self._table(places, lines, levels, full)
-        return parts
-
-    def _table(
-        self, places: list[int], lines: dict[str, float], levels: dict[int, tuple[float, int]], full: bool
-    ) -> list[dict[str, Any]]:
-        """One table's part of a message, in more parts where levels differ or lines are many."""
-        parts: list[dict[str, Any]] = []
-        rows = [[server, weight] for server, weight in lines.items()]
-        if rows or full:
-            for first in range(0, max(len(rows), 1), PART_LINES):
-                part: dict[str, Any] = self._routes(places)
-                if full and not first:
-                    part["full"] = True
-                part["endpoints"] = rows[first : first + PART_LINES]
-                parts.append(part)
-        kinds: dict[tuple[float, int], list[int]] = {}
-        for place, level in levels.items():
-            kinds.setdefault(level, []).append(place)
-        for (admit, policy), at in kinds.items():
-            if len(kinds) == 1 and at == places and parts:
-                part = parts[-1]
-            else:
-                part = self._routes(at)
-                parts.append(part)
-            part["admit"], part["policy"] = admit, policy
-        return parts
-
-    def _routes(self, places: list[int]) -> dict[str, Any]:
-        return {} if len(places) == len(self.names) else {"routes": [self.names[p] for p in places]}
+            named |= content.weights.keys()
+        if held.foreign and self.listed.possibly_ejected:
+            restore |= (named & self.listed.possibly_ejected) - ejected - held.settled
+        return sorted((named & ejected) - held.ejected), sorted(restore)
 
     def _encode(
-        self, parts: list[dict[str, Any]], out: list[str], back: list[str], seal: int | None
-    ) -> tuple[bytes, int]:
-        """The bytes of a message and its lines, counted as the protocol counts them."""
-        if not parts and not out and not back and seal is None:
-            return b"", 0
-        parts = parts or [{}]
-        for name, servers in (("eject", out), ("restore", back)):
-            for first in range(0, len(servers), PART_LINES):
-                if first:
-                    parts.append({})
-                parts[-1][name] = servers[first : first + PART_LINES]
-        if seal is not None:
-            parts[-1]["nonce_out"] = seal
-        if len(parts) > PARTS_MOST:
-            raise MessageTooLargeError(f"{len(parts)} parts")
-        lines = sum(
-            len(part.get("endpoints", ())) + len(part.get("eject", ())) + len(part.get("restore", ()))
-            + ("admit" in part) + ("full" in part) + ("nonce_out" in part)
-            for part in parts
-        )  # fmt: skip
-        last = len(parts) - 1
-        data = b"".join(
-            wire_messages.line({"msg": "push"} | part | ({"continued": True} if place < last else {}))
-            for place, part in enumerate(parts)
-        )
-        return data, lines
+        self,
+        before: dict[int, TableContent],
+        after: dict[int, TableContent],
+        eject: list[str],
+        restore: list[str],
+        nonce: int | None,
+    ) -> EncodedPush:
+        differences = push_difference.table_difference(before, after, self.operation_names)
+        parts = push_difference.complete_message(differences, eject, restore, nonce)
+        entry_count = sum(part.entry_count for part in parts)
+        return EncodedPush(wire_messages.encode_push(parts), entry_count)
+
+    def _record_written(
+        self, held: ProxyContent, contents: dict[int, TableContent], eject: list[str], restore: list[str]
+    ) -> None:
+        held.tables = contents or held.tables
+        held.ejected = (held.ejected | set(eject)) - set(restore)
+        if held.foreign:
+            settled = held.settled | set(eject) | set(restore)
+            held.settled = settled & (self.listed.started_ns.keys() | held.ejected)
--- a/swiftchute/platform/session_manager.py
+++ b/swiftchute/platform/session_manager.py
@@ -1,329 +1,267 @@
-"""All connections of one planner, between its round loop and its sockets. No I/O.
+"""All client connections of this process, between its policy runner and its sockets. No I/O.
 
-    front = SessionManager(loop, sockets)
-    stream = front.opened(now); stream.received(data, now); front.closed(stream, cause)
-    front.listed(scope, entries)        # from discovery
-    for stream, data in front.turn(now): ...
-    front.due, front.ending             # when the next turn is due; streams to be closed
-
-Rules of the protocol that concern more than one connection are kept here: which stream is a proxy's, how many
-connections may wait to join, what may be written to a proxy that does not read.
+The manager holds the rules that concern more than one connection: which session is a proxy's, how many
+connections may be pending, and when a client that says nothing is let go. What it decides to close is in
+`sessions_to_close`. Messages that cannot be used are answered as `ProxySession` tells.
 """
 
-import math
 from collections.abc import Iterable, Iterator, KeysView
-from typing import Any
 
-from swiftchute.api.endpoints import EndpointRecord
-from swiftchute.api.events import DemandReport, EndpointLoadReport, PushAcknowledged
-from swiftchute.controller.assignments import Round
+from swiftchute.api.endpoints import EndpointRecord, ListScope
+from swiftchute.api.events import PushAcknowledged
 from swiftchute.controller.policy_runner import Loop
-from swiftchute.platform import wire_messages
-from swiftchute.platform.errors import MessageTooLargeError
-from swiftchute.platform.proxy_session import ProxySession
+from swiftchute.platform import load_reports, wire_messages
+from swiftchute.platform.errors import MalformedMessageError
+from swiftchute.platform.load_reports import ReportReader
+from swiftchute.platform.proxy_session import AckResult, ProxySession
+from swiftchute.platform.push_delivery import Delivery, PushDelivery
 from swiftchute.platform.push_encoder import PushEncoder
+from swiftchute.platform.statistics import SessionStatistics
 
-MS, S = 1_000_000, 1_000_000_000
-JOIN_WITHIN = 1 * S  # a connection that has not joined by then is closed, once its socket was read again
-UNREAD_MOST = 40 * 1024  # bytes that a proxy may leave unread before what follows is merged
-HELD_WAIT = 5 * S  # a proxy that proves nothing read is tried again so often, by one message
-SILENT = 15 * S  # a proxy that owes a mark and says nothing for so long has left
-UNJOINED_LEAST = 8  # connections that may wait to join, whatever the descriptors
-RESERVE = 32  # descriptors kept for what is no client's: files, discovery, listeners, the loop's own
-COLLECTORS_MOST = 4  # connections of collectors, by zone
-MEAN_LEAST = 10 * S  # a mean time up to this is believed, however short the timeouts are
-SPAN_MOST = 600 * S  # a report of a longer span is none
-OUT_MOST = 256 * 1024  # bytes waiting in this process for a client that reads nothing: it is let go
-SPOILT_LOGGED = 3  # spoilt messages that are told one by one; the rest is counted
+NS_PER_S = 1_000_000_000
+JOIN_TIMEOUT_NS = 1 * NS_PER_S  # until a client has said what it is
+IDLE_TIMEOUT_NS = 15 * NS_PER_S  # a proxy that owes an acknowledgement must say something within this time
+MIN_PENDING_SESSIONS = 8  # that may be open, however few descriptors are left
+RESERVED_SOCKETS = 32  # descriptors kept for files, discovery, listeners and the event loop
+MAX_COLLECTORS_PER_ZONE = 4
+MAX_LOGGED_MALFORMED = 3  # malformed messages that are logged each; after them one of `MALFORMED_LOG_STEP`
+MALFORMED_LOG_STEP = 100
 
 
 class SessionManager:
-    """The state of a planner's address."""
-
-    def __init__(self, loop: Loop, sockets: int) -> None:
-        """No connection is open; `sockets` are the descriptors that this process may hold."""
-        self.loop, self.sockets, self.set = loop, sockets, loop.set
-        self.operations = {op.name for op in self.set.operations}
-        self.zones = set(self.set.zones)
-        self.longest = max(2 * max(op.timeout_ns for op in self.set.operations), MEAN_LEAST)
-        self.writer = PushEncoder(self.set, loop.orders)
-        self.streams: dict[int, ProxySession] = {}  # by proxy
-        self.collectors: dict[ProxySession, None] = {}
-        self.unjoined: dict[ProxySession, None] = {}  # the oldest first
-        self.ending: list[ProxySession] = []  # to be closed by the shell
-        self.shut: set[str] = set()  # what was withdrawn when proxies were last written to
-        self.pending: dict[int, int | None] = {}  # proxies that could not be written to: their newest mark
-        self.counts = dict.fromkeys(
-            ("opened", "joined", "left", "replaced", "refused", "crowded", "late", "silent", "spoilt",
-             "reports", "acks", "messages", "lines", "bytes", "merged", "too_large", "out_bytes",
-             "collectors_closed", "marks_lost"), 0,
-        )  # fmt: skip
-
-    # -- connections
-
-    def opened(self, now: int) -> ProxySession:
-        """A connection was accepted; past the bound the oldest that has not joined gives way."""
-        stream = ProxySession(self, now)
-        self.counts["opened"] += 1
-        self.unjoined[stream] = None
-        # By descriptors alone: a whole fleet may come at once, read only after all of it was accepted.
-        most = max(self.sockets - RESERVE - len(self.streams) - len(self.collectors), UNJOINED_LEAST)
-        while len(self.unjoined) > most:
-            self.counts["crowded"] += 1
-            self._refuse(next(iter(self.unjoined)), "too many connections")
-        return stream
-
-    def _refuse(self, stream: ProxySession, cause: str) -> None:
-        self.unjoined.pop(stream, None)
-        stream.end(cause)
-        self.ending.append(stream)
-
-    def closed(self, stream: ProxySession, cause: str) -> None:
-        """A connection is over, by whichever side. A proxy's old stream that ends after its new one began
-        changes nothing."""
-        self.counts["refused"] += not stream.joined and stream.ended is not None
-        self.unjoined.pop(stream, None)
-        self.collectors.pop(stream, None)
-        if stream.proxy is not None and self.streams.get(stream.proxy) is stream:
-            self._left(stream.proxy, cause)
-
-    def _left(self, proxy: int, cause: str) -> None:
-        del self.streams[proxy]
-        self.pending.pop(proxy, None)
-        self.writer.left(proxy)
-        self.loop.left(proxy)
-        self.counts["left"] += 1
-        self.loop.event("proxy left", proxy=proxy, cause=cause)
-
-    def dropped(self, stream: ProxySession, cause: str) -> None:
-        """A spoilt message of a joined connection is passed over."""
-        self.counts["spoilt"] += 1
-        if self.counts["spoilt"] <= SPOILT_LOGGED or not self.counts["spoilt"] % 100:
-            who = {"proxy": stream.proxy} if stream.proxy is not None else {"collector": stream.zone}
-            self.loop.event("message dropped", cause=cause, dropped=self.counts["spoilt"], **who)
-
-    def tend(self, now: int) -> None:
-        """Look at connections that wait: those that do not join, and proxies that say nothing."""
-        for stream in list(self.unjoined):
-            if now - stream.since < JOIN_WITHIN:
+    """The client connections of one process."""
+
+    def __init__(self, runner: Loop, max_sockets: int) -> None:
+        """Start without connections.
+
+        Args:
+            runner: Runs the policy; events go to it and assignments come from it.
+            max_sockets: Descriptors that this process may hold.
+        """
+        self.runner = runner
+        self.max_sockets = max_sockets
+        self.statistics = SessionStatistics()
+        self.sessions_by_proxy: dict[int, ProxySession] = {}
+        self.collectors: dict[ProxySession, None] = {}  # the oldest first
+        self.pending_sessions: dict[ProxySession, None] = {}  # not identified yet, the oldest first
+        self.sessions_to_close: list[ProxySession] = []
+        self.encoder = PushEncoder(runner.set, runner.orders)
+        self._proxy_count = runner.set.proxy_count
+        self._reports = ReportReader(runner.set)
+        self._delivery = PushDelivery(runner, self.encoder, self.sessions_by_proxy, self.statistics)
+
+    def open_session(self, now_ns: int) -> ProxySession:
+        """Start the session of a connection that was accepted.
+
+        The limit of pending sessions follows from the descriptors alone: a whole fleet may connect at once,
+        and be read only after all of it was accepted. Past the limit the oldest pending sessions are
+        closed.
+        """
+        session = ProxySession(self, now_ns)
+        self.statistics.opened += 1
+        self.pending_sessions[session] = None
+        free_sockets = (
+            self.max_sockets - RESERVED_SOCKETS - len(self.sessions_by_proxy) - len(self.collectors)
+        )
+        while len(self.pending_sessions) > max(free_sockets, MIN_PENDING_SESSIONS):
+            self.statistics.evicted += 1
+            self._reject(next(iter(self.pending_sessions)), "too many connections")
+        return session
+
+    def _reject(self, session: ProxySession, cause: str) -> None:
+        self.pending_sessions.pop(session, None)
+        session.end(cause)
+        self.sessions_to_close.append(session)
+
+    def session_closed(self, session: ProxySession, cause: str) -> None:
+        """Handle the end of a connection, whichever side closed it.
+
+        A proxy's old session that ends after its new one began changes nothing.
+        """
+        self.statistics.rejected += not session.identified and session.end_cause is not None
+        self.pending_sessions.pop(session, None)
+        self.collectors.pop(session, None)
+        if session.proxy is not None and self.sessions_by_proxy.get(session.proxy) is session:
+            self._disconnect_proxy(session.proxy, cause)
+
+    def _disconnect_proxy(self, proxy: int, cause: str) -> None:
+        del self.sessions_by_proxy[proxy]
+        self._delivery.remove_proxy(proxy)
+        self.encoder.remove_proxy(proxy)
+        self.runner.left(proxy)
+        self.statistics.disconnected += 1
+        self.runner.event("proxy disconnected", proxy=proxy, cause=cause)
+
+    def check_timeouts(self, now_ns: int) -> None:
+        """Close sessions whose clients say nothing for too long.
+
+        Sockets must be read between two calls: a client's bytes may wait there while this process stood
+        still.
+        """
+        self._check_pending_sessions(now_ns)
+        for proxy, session in list(self.sessions_by_proxy.items()):
+            sent_at_ns = session.oldest_nonce_sent_at_ns
+            if sent_at_ns is None:
+                continue
+            if now_ns - max(sent_at_ns, session.last_received_ns) > IDLE_TIMEOUT_NS:
+                self.statistics.idle_timeout += 1
+                session.end("nothing heard", notify=False)
+                self.sessions_to_close.append(session)
+                self._disconnect_proxy(proxy, "silent")
+
+    def _check_pending_sessions(self, now_ns: int) -> None:
+        for session in list(self.pending_sessions):
+            if now_ns - session.opened_at_ns < JOIN_TIMEOUT_NS:
                 break
-            if stream.late:
-                self.counts["late"] += 1
-                self._refuse(stream, "no joining within 1 s")
-            # Its bytes may lie in the socket while this process stood still: one reading more is waited for.
-            stream.late = True
-        for proxy, stream in list(self.streams.items()):
-            since = stream.waiting()
-            if since is not None and now - max(since, stream.heard) > SILENT:
-                self.counts["silent"] += 1
-                stream.end("nothing heard", tell=False)
-                self.ending.append(stream)
-                self._left(proxy, "silent")
-
-    # -- messages
-
-    def take(self, stream: ProxySession, message: Any, now: int) -> str | None:
-        """A message other than `probe`; returns why it cannot be used, or None."""
-        kind = type(message)
-        if kind is wire_messages.Hello:
-            return self._hello(stream, message, now)
-        if kind is wire_messages.Agent:
-            return self._agent(stream, message)
-        if not stream.joined:
-            return "a report before joining"
-        if kind is wire_messages.Ack:
-            return self._ack(stream, message)
-        if kind is wire_messages.Outcomes:
-            return self._outcomes(stream, message)
-        return self._demand(stream, message)
-
-    def _hello(self, stream: ProxySession, message: wire_messages.Hello, now: int) -> str | None:
-        if stream.joined:
-            return "a second joining"
-        if message.proxy >= self.set.proxy_count:
-            return f"proxy {message.proxy}: numbers end at {self.set.proxy_count - 1}"
-        if message.zone not in self.zones:
-            return f"zone {message.zone!r} is not known"
+            if session.join_overdue:
+                self.statistics.join_timeout += 1
+                self._reject(session, "no joining within 1 s")
+            session.join_overdue = True  # closed at the next check, unless its bytes are read before
+
+    def drop_message(self, session: ProxySession, cause: str) -> None:
+        """Count a malformed message of a known client; some are logged."""
+        self.statistics.malformed += 1
+        count = self.statistics.malformed
+        if count <= MAX_LOGGED_MALFORMED or not count % MALFORMED_LOG_STEP:
+            if session.proxy is not None:
+                sender = {"proxy": session.proxy}
+            else:
+                sender = {"collector": session.collector_zone}
+            self.runner.event("message dropped", cause=cause, dropped=count, **sender)
+
+    def handle_message(self, session: ProxySession, message: wire_messages.Message, now_ns: int) -> None:
+        """Handle a message of a session; raises `MalformedMessageError` where it cannot be used."""
+        match message:
+            case wire_messages.ProxyHello():
+                self._on_proxy_hello(session, message, now_ns)
+            case wire_messages.CollectorHello():
+                self._on_collector_hello(session, message)
+            case _ if not session.identified:
+                raise MalformedMessageError("a report before joining")
+            case wire_messages.Acknowledgement():
+                self._on_acknowledgement(session, message)
+            case wire_messages.EndpointOutcomes():
+                self._on_endpoint_outcomes(session, message)
+            case wire_messages.ProxyDemand():
+                self._on_proxy_demand(session, message)
+
+    def _on_proxy_hello(self, session: ProxySession, message: wire_messages.ProxyHello, now_ns: int) -> None:
+        if session.identified:
+            raise MalformedMessageError("a second joining")
         proxy = message.proxy
-        old = self.streams.get(proxy)
-        if old is not None:  # the new stream arrived before the old one was seen to end
-            self.counts["replaced"] += 1
-            old.end("replaced by a new stream", tell=False)
-            self.ending.append(old)
-            self._left(proxy, "replaced")
-        self.unjoined.pop(stream, None)
-        stream.proxy = proxy
-        stream.wrote = now
-        self.streams[proxy] = stream
-        self.counts["joined"] += 1
-        self.writer.joined(proxy, message.fresh)
-        self.loop.joined(proxy, message.zone, message.weight, message.fresh)
-        return None
-
-    def _agent(self, stream: ProxySession, message: wire_messages.Agent) -> str | None:
-        if stream.joined:
-            return "a second joining"
-        if message.zone not in self.zones:
-            return f"zone {message.zone!r} is not known"
-        same = [s for s in self.collectors if s.zone == message.zone]
-        if len(same) >= COLLECTORS_MOST:  # a collector that comes again: the oldest is the dead one
-            self.collectors.pop(same[0])
-            self.counts["collectors_closed"] += 1
-            same[0].end("too many collectors of the zone")
-            self.ending.append(same[0])
-        self.unjoined.pop(stream, None)
-        stream.zone = message.zone
-        self.collectors[stream] = None
-        return None
-
-    def _ack(self, stream: ProxySession, message: wire_messages.Ack) -> str | None:
-        if message.proxy != stream.proxy:
-            return "an answer of another proxy"
-        if message.took_ms * MS > SPAN_MOST:
-            return f"took_ms {message.took_ms:g}"
-        asked = stream.applied(message.mark)
-        if asked is None:
-            return f"mark {message.mark} was not asked for"
-        self.counts["acks"] += 1
-        if asked:
-            self.loop.tell(PushAcknowledged(stream.proxy, message.mark, int(message.took_ms * MS)))
-        return None
-
-    def _span(self, message: wire_messages.Outcomes | wire_messages.Demand) -> str | None:
-        if not 0 < message.span_ms * MS <= SPAN_MOST:
-            return f"span_ms {message.span_ms:g}"
-        return None
-
-    def _outcomes(self, stream: ProxySession, message: wire_messages.Outcomes) -> str | None:
-        if stream.zone is None:
-            return "a report of outcomes on a proxy's stream"
-        if message.zone not in self.zones:
-            return f"zone {message.zone!r} is not known"
-        if not self._known(message.server):
-            return f"server {message.server!r} was not listed"
-        good = message.tries - message.failed
-        mean = message.mean_ms
-        if good and mean is None or mean is not None and not 0 <= mean * MS <= self.longest:
-            return f"mean_ms {mean}"
-        cause = self._span(message)
-        if cause is not None:
-            return cause
-        if good < 0:
-            return f"{message.failed} of {message.tries} failed"
-        load = message.load
-        if load is not None:
-            if not all(math.isfinite(v) and v >= 0 for v in load.values()):
-                return "a load figure below 0"
-            load = {wire_messages.LOADS.get(name, name): value for name, value in load.items()}
-        self.counts["reports"] += 1
-        took = int(mean * MS) if good and mean is not None else 0
-        window = int(message.span_ms * MS)
-        self.loop.tell(
-            EndpointLoadReport(
-                message.zone, message.server, message.tries, message.failed, took, window, load or None
-            )
-        )
-        return None
-
-    def _demand(self, stream: ProxySession, message: wire_messages.Demand) -> str | None:
-        if message.proxy != stream.proxy and stream.zone is None:
-            return "usage of another proxy"
-        if message.proxy not in self.streams:
-            return f"proxy {message.proxy} has not joined"
-        if message.operation not in self.operations:
-            return f"class {message.operation!r} is not known"
-        cause = self._span(message)
-        if cause is not None:
-            return cause
-        self.counts["reports"] += 1
-        window = int(message.span_ms * MS)
-        self.loop.tell(DemandReport(message.proxy, message.operation, message.tries, message.failed, window))
-        return None
-
-    # -- the list
-
-    def listed(self, scope: str, entries: Iterable[EndpointRecord]) -> None:
-        """News from discovery, in the words of `interface`."""
-        entries = list(entries)
-        self.writer.listed(entries, scope in ("whole", "held"))
-        self.loop.news_of_list(scope, entries)
-
-    def _known(self, server: str) -> bool:
-        """Reports may name servers that are listed, and those lately gone."""
-        return server in self.loop.list or server in self.writer.gone
+        if proxy >= self._proxy_count:
+            raise MalformedMessageError(f"proxy {proxy}: numbers end at {self._proxy_count - 1}")
+        self._reports.check_zone(message.zone)
+        previous = self.sessions_by_proxy.get(proxy)
+        if previous is not None:  # its end was not seen yet
+            self.statistics.replaced += 1
+            previous.end("replaced by a new stream", notify=False)
+            self.sessions_to_close.append(previous)
+            self._disconnect_proxy(proxy, "replaced")
+        self.pending_sessions.pop(session, None)
+        session.proxy = proxy
+        session.last_push_ns = now_ns
+        self.sessions_by_proxy[proxy] = session
+        self.statistics.connected += 1
+        self.encoder.add_proxy(proxy, message.fresh)
+        self.runner.joined(proxy, message.zone, message.request_rate, message.fresh)
+
+    def _on_collector_hello(self, session: ProxySession, message: wire_messages.CollectorHello) -> None:
+        if session.identified:
+            raise MalformedMessageError("a second joining")
+        self._reports.check_zone(message.zone)
+        same_zone = [other for other in self.collectors if other.collector_zone == message.zone]
+        if len(same_zone) >= MAX_COLLECTORS_PER_ZONE:
+            oldest = same_zone[0]  # a collector that reconnects leaves its dead connection behind
+            self.collectors.pop(oldest)
+            self.statistics.collectors_closed += 1
+            oldest.end("too many collectors of the zone")
+            self.sessions_to_close.append(oldest)
+        self.pending_sessions.pop(session, None)
+        session.collector_zone = message.zone
+        self.collectors[session] = None
+
+    def _on_acknowledgement(self, session: ProxySession, message: wire_messages.Acknowledgement) -> None:
+        if message.proxy != session.proxy:
+            raise MalformedMessageError("an answer of another proxy")
+        latency_ns = load_reports.acknowledgement_latency_ns(message.latency_ms)
+        result = session.acknowledge(message.nonce)
+        if result is AckResult.UNKNOWN_NONCE:
+            raise MalformedMessageError(f"mark {message.nonce} was not asked for")
+        self.statistics.acks += 1
+        if result is AckResult.CURRENT_POLICY:
+            self.runner.tell(PushAcknowledged(message.proxy, message.nonce, latency_ns))
+
+    def _on_endpoint_outcomes(self, session: ProxySession, message: wire_messages.EndpointOutcomes) -> None:
+        if session.collector_zone is None:
+            raise MalformedMessageError("a report of outcomes on a proxy's stream")
+        self._reports.check_zone(message.zone)
+        if message.endpoint not in self.runner.list and message.endpoint not in self.encoder.listed.removed:
+            raise MalformedMessageError(f"server {message.endpoint!r} was not listed")
+        report = self._reports.endpoint_report(message)
+        self.statistics.reports += 1
+        self.runner.tell(report)
+
+    def _on_proxy_demand(self, session: ProxySession, message: wire_messages.ProxyDemand) -> None:
+        if message.proxy != session.proxy and session.collector_zone is None:
+            raise MalformedMessageError("usage of another proxy")
+        if message.proxy not in self.sessions_by_proxy:
+            raise MalformedMessageError(f"proxy {message.proxy} has not joined")
+        report = self._reports.demand_report(message)
+        self.statistics.reports += 1
+        self.runner.tell(report)
+
+    def update_list(self, scope: ListScope, records: Iterable[EndpointRecord]) -> None:
+        """Hand on an update of the endpoint list."""
+        endpoints = list(records)
+        self.encoder.update_list(endpoints, scope in (ListScope.SNAPSHOT, ListScope.CACHED))
+        self.runner.news_of_list(scope, endpoints)
 
     @property
-    def known(self) -> set[str]:
-        """All that reports may name."""
-        return self.loop.list.keys() | self.writer.gone.keys()
+    def reportable_endpoints(self) -> set[str]:
+        """Endpoints that reports may name: those listed, and those lately removed."""
+        return self.runner.list.keys() | self.encoder.listed.removed.keys()
 
-    # -- a turn
+    @property
+    def deferred_proxies(self) -> KeysView[int]:
+        """Proxies that could not be written to yet."""
+        return self._delivery.deferred_nonces.keys()
 
     @property
-    def held(self) -> KeysView[int]:
-        """Proxies that something could not be written to yet."""
-        return self.pending.keys()
+    def next_round_at_ns(self) -> int:
+        """When the next round is due at the latest."""
+        return self.runner.due
 
     @property
-    def due(self) -> int:
-        """When the next turn is due."""
-        return self.loop.due
-
-    def turn(self, now: int) -> Iterator[tuple[ProxySession, bytes]]:
-        """Call the module if anything came in, and yield what is to be written now, message by message."""
-        done = self.loop.turn(now)
-        if self.loop.orders is not self.writer.orders:  # the module started anew after a fault
-            self.writer.fresh(self.loop.orders)
-            self.shut = set()
-            for stream in self.streams.values():
-                stream.fresh()
-        self.writer.begin()
-        if done is not None:
-            yield from self._ordered(done, now)
-        for proxy in list(self.pending):
-            stream = self.streams[proxy]
-            if self._room(stream, now):
-                made = self._write(proxy, stream, self.pending.pop(proxy), self.loop.orders.shut, now)
-                if made:
-                    yield stream, made
-        self.writer.begin()
-
-    def _ordered(self, done: Round, now: int) -> Iterator[tuple[ProxySession, bytes]]:
-        shut = self.loop.orders.shut
-        withdrawn = shut - self.shut if done.withdrawals else ()
-        if done.withdrawals:
-            self.shut = set(shut)
-        if done.fetch or done.watch is not None:  # the watch is open at all times here: what is held is told
-            entries = [self.loop.list[n] for n in sorted(self.loop.list)]
-            self.loop.news_of_list("whole" if done.fetch else "changes", entries if done.fetch else [])
-        for proxy in done.lines:
-            stream = self.streams.get(proxy)
-            if stream is None:
-                continue
-            if proxy in self.pending or not self._room(stream, now):
-                self.counts["merged"] += 1
-                self.pending[proxy] = done.seal if done.seal is not None else self.pending.get(proxy)
-                continue
-            made = self._write(proxy, stream, done.seal, withdrawn, now)
-            if made:
-                yield stream, made
-
-    def _room(self, stream: ProxySession, now: int) -> bool:
-        """Whether a proxy may be written to: it has read enough of what it got, or is tried again."""
-        return stream.unread < UNREAD_MOST or now - stream.wrote >= HELD_WAIT
-
-    def _write(
-        self, proxy: int, stream: ProxySession, seal: int | None, withdrawn: Iterable[str], now: int
-    ) -> bytes:
-        try:
-            data, lines = self.writer.message(proxy, seal, withdrawn)
-        except MessageTooLargeError as why:
-            self.counts["too_large"] += 1
-            self.loop.event("message too large", proxy=proxy, cause=str(why))
-            return b""
-        if data:
-            self.counts["marks_lost"] += stream.pushed(len(data), seal, now)
-            self.counts["messages"] += 1
-            self.counts["lines"] += lines
-            self.counts["bytes"] += len(data)
-        return data
+    def needs_round(self) -> bool:
+        """Whether events wait and the policy runs; after a crash it waits until the next round is due."""
+        return bool(self.runner.calls) and self.runner.planner is not None
+
+    def run_round(self, now_ns: int) -> Iterator[Delivery]:
+        """Run the policy if an event arrived, and yield what is to be written now, message by message."""
+        result = self.runner.turn(now_ns)
+        if self.runner.orders is not self.encoder.orders:  # the policy crashed, and a new one starts
+            self._on_policy_restart()
+        self.encoder.clear_shared()
+        if result is not None:
+            # The subscription is open at all times here: a request for it is answered by the list that is
+            # known.
+            if result.fetch or result.watch is not None:
+                self._answer_list_request(result.fetch)
+            yield from self._delivery.deliver_round(result, now_ns)
+        yield from self._delivery.deliver_deferred(now_ns)
+        self.encoder.clear_shared()
+
+    def _on_policy_restart(self) -> None:
+        self.encoder.on_policy_restart(self.runner.orders)
+        self._delivery.on_policy_restart()
+        for session in self.sessions_by_proxy.values():
+            session.on_policy_restart()
+
+    def _answer_list_request(self, whole: bool) -> None:
+        """Tell the policy the whole list, or that nothing changed."""
+        if whole:
+            endpoints = [self.runner.list[endpoint] for endpoint in sorted(self.runner.list)]
+            self.runner.news_of_list(ListScope.SNAPSHOT, endpoints)
+        else:
+            self.runner.news_of_list(ListScope.DELTA, [])
--- a/swiftchute/platform/signals.py
+++ b/swiftchute/platform/signals.py
@@ -1,30 +1,27 @@
-"""Signals that come before the event loop takes them.
+"""Signals that come before the event loop handles them.
 
-    signals = StartupSignals()       # the first line of the program, before its imports
-    signals.reload          # whether SIGHUP has come since
-
-Until the loop has handlers of its own, SIGTERM and SIGINT end the process in order, as nothing is open yet,
-and SIGHUP is remembered: by itself it would kill the process.
+Until then SIGTERM and SIGINT end the process with exit code 0, as nothing is open yet. SIGHUP is
+remembered: by itself it would kill the process.
 """
 
 import os
 import signal
-from typing import Any
+from types import FrameType
 
 
 class StartupSignals:
-    """Handlers for the time of the start."""
+    """Signal handlers for the time of the start; to be created before anything that takes time."""
 
     def __init__(self) -> None:
-        """They act from now on."""
-        self.reload = False
+        """Install the handlers."""
+        self.reload = False  # whether SIGHUP has come
         for number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(number, self._stop)
         signal.signal(signal.SIGHUP, self._reload)
 
     @staticmethod
-    def _stop(number: int, frame: Any) -> None:
+    def _stop(number: int, frame: FrameType | None) -> None:
         os._exit(0)
 
-    def _reload(self, number: int, frame: Any) -> None:
+    def _reload(self, number: int, frame: FrameType | None) -> None:
         self.reload = True
--- /dev/null
+++ b/swiftchute/platform/transports.py
@@ -0,0 +1,162 @@
+"""The sockets of clients and of discovery, as asyncio protocols.
+
+Each hands bytes and the time to its state machine and writes what that has to say. What they need of the
+server is in `TransportOwner`.
+"""
+
+import asyncio
+from collections.abc import Callable
+from typing import Any, Protocol
+
+from swiftchute.platform.connection_limits import CLOSE_TIMEOUT_S, MAX_UNSENT_BYTES
+from swiftchute.platform.discovery_client import DiscoveryClient, DiscoveryConnection
+from swiftchute.platform.endpoint_list import ListUpdate
+from swiftchute.platform.session_manager import SessionManager
+
+
+class TransportOwner(Protocol):
+    """The server as its transports see it."""
+
+    event_loop: asyncio.AbstractEventLoop
+    clock: Callable[[], int]
+    sessions: SessionManager
+    discovery: DiscoveryClient
+    clients: "set[ClientTransport]"
+
+    @property
+    def stopping(self) -> bool:
+        """Whether no more bytes are to be read."""
+
+    def close_sessions(self) -> None:
+        """Close what the session manager decided to close."""
+
+    def on_input(self) -> None:
+        """Handle that bytes were read or a connection ended."""
+
+    def on_client_closed(self) -> None:
+        """Handle that a client is gone from `clients`."""
+
+    def on_list_update(self, update: ListUpdate) -> None:
+        """Handle an update of the endpoint list."""
+
+    def run_discovery_commands(self) -> None:
+        """Carry out what the discovery client asks for."""
+
+    def on_discovery_closed(self, connection: DiscoveryConnection, cause: str) -> None:
+        """Handle the end of a connection to discovery."""
+
+
+class ClientTransport(asyncio.Protocol):
+    """A connection of a proxy or a collector."""
+
+    def __init__(self, owner: TransportOwner) -> None:
+        """The connection is not accepted yet."""
+        self.owner = owner
+
+    def connection_made(self, transport: Any) -> None:
+        """Start the session."""
+        self.transport = transport
+        if self.owner.stopping:  # accepted before the listener was closed
+            transport.abort()
+            return
+        self.session = self.owner.sessions.open_session(self.owner.clock())
+        self.session.transport = self
+        self.owner.clients.add(self)
+        self.owner.close_sessions()
+
+    def data_received(self, data: bytes) -> None:
+        """Hand bytes to the session."""
+        if self.owner.stopping:
+            return
+        self.session.receive_data(data, self.owner.clock())
+        if self.session.end_cause is not None:
+            self.close()
+        else:
+            self._flush()
+        self.owner.on_input()
+
+    def write(self, data: bytes) -> None:
+        """Write a message; a client that does not read is cut off."""
+        if self.transport.is_closing():
+            return
+        self.transport.write(data)
+        if self.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
+            self.cut_off()
+
+    def cut_off(self) -> None:
+        """Reset the connection; what waits for the client is lost."""
+        if self in self.owner.clients:
+            self.owner.sessions.statistics.unsent_overflow += 1
+            self.transport.abort()
+
+    def _flush(self) -> None:
+        """Write what the session itself has to say."""
+        if self.session.outgoing:
+            outgoing, self.session.outgoing = self.session.outgoing, []
+            self.write(b"".join(outgoing))
+
+    def close(self) -> None:
+        """Write what the session has to say and close; a client that does not read it is cut off."""
+        if not self.transport.is_closing():
+            self._flush()
+            self.transport.close()
+            if self.transport.get_write_buffer_size():
+                self.owner.event_loop.call_later(CLOSE_TIMEOUT_S, self.cut_off)
+
+    def connection_lost(self, error: Exception | None) -> None:
+        """End the session."""
+        if self not in self.owner.clients:
+            return
+        self.owner.clients.remove(self)
+        self.owner.sessions.session_closed(self.session, self.session.end_cause or _closing_cause(error))
+        self.owner.on_input()
+        self.owner.on_client_closed()
+
+
+class DiscoveryTransport(asyncio.Protocol):
+    """A connection to discovery, from the command to open it on."""
+
+    def __init__(self, owner: TransportOwner, connection: DiscoveryConnection) -> None:
+        """Start to connect."""
+        self.owner = owner
+        self.connection = connection
+        self.transport: Any = None
+        self._connecting = asyncio.ensure_future(self._connect())
+
+    async def _connect(self) -> None:
+        host, port = self.connection.address
+        try:
+            await self.owner.event_loop.create_connection(lambda: self, host, port)
+        except OSError as error:
+            self.owner.on_discovery_closed(self.connection, f"{type(error).__name__}: {error}")
+
+    def connection_made(self, transport: Any) -> None:
+        """Send the request."""
+        self.transport = transport
+        request = self.owner.discovery.connection_opened(self.connection)
+        if request is None:  # it was given up at the moment at which it was established
+            transport.abort()
+        else:
+            transport.write(request)
+
+    def data_received(self, data: bytes) -> None:
+        """Hand bytes to the discovery client."""
+        now_ns = self.owner.clock()
+        for update in self.owner.discovery.receive_data(self.connection, data, now_ns):
+            self.owner.on_list_update(update)
+        self.owner.run_discovery_commands()
+
+    def connection_lost(self, error: Exception | None) -> None:
+        """Report the end of the connection."""
+        self.owner.on_discovery_closed(self.connection, _closing_cause(error))
+
+    def close(self) -> None:
+        """Reset the connection, or give up opening it."""
+        if self.transport is not None:
+            self.transport.abort()
+        else:
+            self._connecting.cancel()
+
+
+def _closing_cause(error: Exception | None) -> str:
+    return f"the connection broke: {error}" if error else "the connection ended"
--- a/tests/platform/test_byte_digest.py
+++ b/tests/platform/test_byte_digest.py
@@ -8,14 +8,15 @@
 import hashlib
 import json
 from collections import Counter
+from dataclasses import astuple
 
 from swiftchute.controller.policy_runner import Loop
-from swiftchute.platform import session_manager, settings
+from swiftchute.platform import push_delivery, settings
 from swiftchute.platform.discovery_client import DiscoveryClient, OpenConnection
 from swiftchute.platform.endpoint_list import EndpointList
 from swiftchute.platform.session_manager import SessionManager
 from swiftchute.policy import Reconciler
-from tests.platform.test_server import wire_settings
+from tests.support.platform import wire_settings
 
 MS, S = 1_000_000, 1_000_000_000
 START = 1_700_000_000 * S
@@ -67,16 +68,18 @@
             "limits": {"sockets": 64}, "settings": wire_settings(60),
             "known": {"revision": 41, "complete": True, "members": MEMBERS},
         }))  # fmt: skip
-        told = settings.read({"GW_CONFIG": str(path)})
+        configuration = settings.read({"GW_CONFIG": str(path)})
         self.now, self.crashes, self.commands = START, 0, []
         self.digest, self.counted, self.written, self.closed = hashlib.sha256(), Counter(), b"", []
-        self.loop = Loop(told.settings, told.seed, lambda *made: PolicyOfTheRun(self, *made), self.now)
-        self.front = SessionManager(self.loop, told.sockets)
-        self.streams = []
-        self.catalog = EndpointList(told.settings.zones)
-        self.watches = DiscoveryClient(self.catalog, self.loop.random)
-        self.links = []
-        self.list_update(self.catalog.held(told.known))
+        self.loop = Loop(
+            configuration.settings, configuration.seed, lambda *made: PolicyOfTheRun(self, *made), self.now
+        )
+        self.sessions = SessionManager(self.loop, configuration.max_sockets)
+        self.connections = []
+        self.endpoint_list = EndpointList(configuration.settings.zones)
+        self.discovery = DiscoveryClient(self.endpoint_list, self.loop.random)
+        self.discovery_connections = []
+        self.list_update(self.endpoint_list.load_cached(configuration.known_list))
 
     def record(self, kind, *values):
         """One thing that the state machines did, in the digest."""
@@ -87,27 +90,27 @@
 
     def open(self, *messages):
         """A connection is accepted and says this; its number."""
-        stream = self.front.opened(self.now)
-        self.streams.append(stream)
+        session = self.sessions.open_session(self.now)
+        self.connections.append(session)
         self.close_due()
-        number = len(self.streams) - 1
+        number = len(self.connections) - 1
         self.say(number, *messages)
         return number
 
     def say(self, number, *messages):
-        stream = self.streams[number]
+        session = self.connections[number]
         for message in messages:
             data = message if isinstance(message, bytes) else json.dumps(message).encode() + b"\n"
-            stream.received(data, self.now)
-            if stream.ended is not None:
+            session.receive_data(data, self.now)
+            if session.end_cause is not None:
                 self.close(number)
                 return
             self.flush(number)
 
     def flush(self, number):
-        stream = self.streams[number]
-        out, stream.out = stream.out, []
-        for data in out:
+        session = self.connections[number]
+        outgoing, session.outgoing = session.outgoing, []
+        for data in outgoing:
             self.write(number, data)
 
     def write(self, number, data):
@@ -117,70 +120,74 @@
     def close(self, number, cause="the connection ended"):
         """The connection is over, by whichever side."""
         self.flush(number)
-        if self.streams[number] not in self.closed:
-            self.closed.append(self.streams[number])
+        if self.connections[number] not in self.closed:
+            self.closed.append(self.connections[number])
             self.record("close", number)
-            self.front.closed(self.streams[number], cause)
+            self.sessions.session_closed(self.connections[number], cause)
 
     def close_due(self):
-        ending, self.front.ending = self.front.ending, []
-        for stream in ending:
-            self.close(self.streams.index(stream))
+        to_close, self.sessions.sessions_to_close = self.sessions.sessions_to_close, []
+        for session in to_close:
+            self.close(self.connections.index(session))
 
     def round(self):
         """A round: what is written to proxies, with the nonces that ask for an acknowledgement."""
         asked = []
-        for stream, data in self.front.turn(self.now):
-            number = self.streams.index(stream)
+        for session, data in self.sessions.run_round(self.now):
+            number = self.connections.index(session)
             self.write(number, data)
             for text in data.splitlines():
                 order = json.loads(text)
                 if "nonce_out" in order:
-                    asked.append((number, stream.proxy, order["nonce_out"]))
+                    asked.append((number, session.proxy, order["nonce_out"]))
         self.loop.take_events()
         self.close_due()
         return asked
 
     # what the sockets do for the discovery client
 
-    def list_update(self, news):
-        entries = [tuple(entry) for entry in news.entries]
+    def list_update(self, update):
+        entries = [tuple(entry) for entry in update.endpoints]
         entries = [(*entry[:4], str(entry[4]), *entry[5:]) for entry in entries]
-        self.record("update", str(news.scope), entries, len(news.passed))
-        if news.entries or news.scope != "changes":
-            self.front.listed(news.scope, news.entries)
-
-    def discovery_acts(self):
-        for act in self.watches.acts(self.now):
-            if isinstance(act, OpenConnection):
-                self.links.append(act.link)
-                self.record("dial", len(self.links) - 1, act.link.address)
+        self.record("update", str(update.scope), entries, len(update.rejected))
+        if update.changes_list:
+            self.sessions.update_list(update.scope, update.endpoints)
+
+    def run_discovery_commands(self):
+        for command in self.discovery.take_commands(self.now):
+            if isinstance(command, OpenConnection):
+                self.discovery_connections.append(command.connection)
+                self.record("dial", len(self.discovery_connections) - 1, command.connection.address)
             else:
-                self.record("end", self.links.index(act.link))
-        self.watches.take_events()
+                self.record("end", self.discovery_connections.index(command.connection))
+        self.discovery.take_log_events()
 
     def discovery_address(self, address):
-        self.watches.at(address, self.now)
-        self.discovery_acts()
+        self.discovery.set_address(address, self.now)
+        self.run_discovery_commands()
 
     def discovery_connects(self):
         """The newest dial comes up."""
-        self.record("request", len(self.links) - 1, self.watches.connected(self.links[-1]))
+        self.record(
+            "request",
+            len(self.discovery_connections) - 1,
+            self.discovery.connection_opened(self.discovery_connections[-1]),
+        )
 
-    def discovery_says(self, data, link=-1):
-        for news in self.watches.received(self.links[link], data, self.now):
-            self.list_update(news)
-        self.discovery_acts()
+    def discovery_says(self, data, number=-1):
+        for update in self.discovery.receive_data(self.discovery_connections[number], data, self.now):
+            self.list_update(update)
+        self.run_discovery_commands()
 
-    def discovery_breaks(self, link=-1):
-        self.watches.ended(self.links[link], "the connection broke", self.now)
-        self.discovery_acts()
+    def discovery_breaks(self, number=-1):
+        self.discovery.connection_closed(self.discovery_connections[number], "the connection broke", self.now)
+        self.run_discovery_commands()
 
     def check_timeouts(self):
-        self.front.tend(self.now)
-        for news in self.watches.tend(self.now):
-            self.list_update(news)
-        self.discovery_acts()
+        self.sessions.check_timeouts(self.now)
+        for update in self.discovery.check_timeouts(self.now):
+            self.list_update(update)
+        self.run_discovery_commands()
         self.close_due()
 
 
@@ -280,7 +287,7 @@
     }
 
 
-def played(run, seconds):
+def play(run, seconds):
     """The whole run."""
     agents = [run.open({"msg": "agent", "zone": zone}) for zone in ("east", "west")]
     streams = {proxy: run.open(hello(proxy)) for proxy in range(PROXIES)}
@@ -312,16 +319,18 @@
                 continue
             if proxy != SILENT_PROXY or time_ms < 8000:
                 owed.append((run.now + (40 + 20 * proxy) * MS, number, proxy, nonce))
-    run.record("counts", *run.front.counts.values(), run.catalog.stale, run.catalog.revision)
+    run.record(
+        "counts", *astuple(run.sessions.statistics), run.endpoint_list.stale_lines, run.endpoint_list.revision
+    )
 
 
 def test_every_byte_of_a_fixed_run_is_as_it_was(tmp_path, monkeypatch):
-    monkeypatch.setattr(session_manager, "UNREAD_MOST", 1000)  # so that a slow proxy's messages are merged
+    monkeypatch.setattr(push_delivery, "MAX_UNREAD_BYTES", 1000)  # so that a slow proxy's messages are merged
     run = Run(tmp_path / "config.json")
-    played(run, 40)
+    play(run, 40)
     for word in (b"eject", b"restore", b"admit", b"full", b"nonce_out", b"error"):
         assert word in run.written
-    assert run.front.counts["merged"] > 5
+    assert run.sessions.statistics.merged > 5
     assert run.loop.counts["faults"] == 9
     assert run.counted == {
         "write": 276, "close": 73, "update": 11, "dial": 10, "end": 7, "request": 6, "counts": 1,
--- /dev/null
+++ b/tests/platform/test_process_signals.py
@@ -0,0 +1,184 @@
+"""Signals raised at a marked place of a process, and a process that runs out of descriptors."""
+
+import contextlib
+import json
+import os
+import resource
+import signal
+import socket
+import subprocess
+import sys
+import time
+
+import pytest
+
+from tests.support.platform import (
+    MEMBERS,
+    ROOT,
+    TIMEOUT_S,
+    free_port,
+    wire_settings,
+)
+
+S = 1_000_000_000
+
+LAUNCH = """
+import importlib, os, signal, sys
+place, times, *numbers = sys.argv[1].split(",")
+numbers, left = [int(n) for n in numbers], [int(times)]
+
+def shot():
+    if left[0]:
+        left[0] -= 1
+        for number in numbers:
+            os.kill(os.getpid(), number)
+
+class Finder:
+    def find_spec(self, name, path=None, target=None):
+        if name == place:
+            shot()
+
+sys.meta_path.insert(0, Finder())
+if ":" in place:
+    module, path = place.split(":")
+    at = importlib.import_module(module)
+    *way, last = path.split(".")
+    for step in way:
+        at = getattr(at, step)
+    old = getattr(at, last)
+    def marked(*arguments, **named):
+        shot()
+        return old(*arguments, **named)
+    setattr(at, last, marked)
+from swiftchute.platform.__main__ import run
+run()
+"""
+
+PLACES = {
+    "an import of the start": "uvloop,1",
+    "the configuration is read": "swiftchute.platform.settings:read,1",
+    "before the loop's handlers": "swiftchute.platform.server:Server.__init__,1",
+    "before the listener": "swiftchute.platform.transports:DiscoveryTransport.__init__,1",
+    "in a round": "swiftchute.platform.session_manager:SessionManager.run_round,1",
+    "before the first request": "swiftchute.platform.discovery_client:DiscoveryClient.connection_opened,1",
+}
+
+
+class LaunchedProcess:
+    """A planner behind the launcher."""
+
+    def __init__(self, tmp_path, marked, **more):
+        self.port, self.discovery = free_port(), socket.create_server(("127.0.0.1", 0))  # it never answers
+        file = tmp_path / "config.json"
+        file.write_text(json.dumps({
+            "name": "n0", "listen": f"127.0.0.1:{self.port}",
+            "discovery": "{}:{}".format(*self.discovery.getsockname()),
+            "seed": "1", "settings": wire_settings(),
+            "known": {"revision": 41, "complete": True, "members": MEMBERS},
+        }))  # fmt: skip
+        self.process = subprocess.Popen(
+            [sys.executable, "-c", LAUNCH, marked], cwd=ROOT, stderr=subprocess.PIPE,
+            env=os.environ | {"GW_CONFIG": str(file)}, **more,
+        )  # fmt: skip
+
+    def event(self, name):
+        until = time.monotonic() + TIMEOUT_S
+        for line in self.process.stderr:  # a line of figures comes every 10 s
+            row = json.loads(line)
+            if row["event"] == name:
+                return row
+            assert time.monotonic() < until
+        raise AssertionError(f"the planner ended with {self.process.wait(TIMEOUT_S)}")
+
+    def probe(self):
+        with socket.create_connection(("127.0.0.1", self.port), TIMEOUT_S) as client:
+            client.settimeout(TIMEOUT_S)
+            client.sendall(b'{"msg":"probe"}\n')
+            return client.makefile().readline()
+
+    def end(self):
+        if self.process.poll() is None:
+            self.process.send_signal(signal.SIGTERM)
+        self.process.stderr.read()
+        code = self.process.wait(TIMEOUT_S)
+        self.process.stderr.close()
+        return code
+
+
+@pytest.fixture
+def launched(tmp_path):
+    made = []
+
+    def launch(*arguments, **more):
+        made.append(LaunchedProcess(tmp_path, *arguments, **more))
+        return made[-1]
+
+    yield launch
+    for planner in made:
+        if planner.process.poll() is None:
+            planner.process.kill()
+            planner.process.wait(TIMEOUT_S)
+        planner.process.stderr.close()
+        planner.discovery.close()
+
+
+@pytest.mark.parametrize("place", PLACES)
+def test_sigterm_at_any_place_of_the_start_exits_with_code_0(launched, place):
+    planner = launched(f"{PLACES[place]},{int(signal.SIGTERM)}")
+    assert planner.process.wait(TIMEOUT_S) == 0
+    assert b"Traceback" not in planner.process.stderr.read()
+
+
+@pytest.mark.parametrize("place", PLACES)
+def test_sighup_at_any_place_of_the_start_reloads_and_goes_on(launched, place):
+    planner = launched(f"{PLACES[place]},{int(signal.SIGHUP)}")
+    planner.event("reloaded")
+    assert planner.probe() == '{"msg":"alive"}\n'
+    assert planner.end() == 0
+
+
+def test_signals_that_cross_a_reload(launched):
+    """SIGHUP comes again while the file is read for the first one."""
+    planner = launched(f"swiftchute.platform.settings:read,3,{int(signal.SIGHUP)}")
+    for _ in range(2):
+        planner.event("reloaded")
+    assert planner.probe() == '{"msg":"alive"}\n'
+    assert planner.end() == 0
+
+
+@pytest.mark.parametrize("place", ["_stop", "on_client_closed", "os:_exit"])
+def test_signals_repeated_at_the_end_change_nothing(launched, place):
+    many = ",".join(str(int(n)) for n in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM))
+    place = place if ":" in place else f"swiftchute.platform.server:Server.{place}"
+    planner = launched(f"{place},9,{many}")
+    planner.event("serving")
+    assert planner.end() == 0
+
+
+def test_accepting_goes_on_after_descriptors_ran_out(launched):
+    def few():
+        resource.setrlimit(resource.RLIMIT_NOFILE, (40, 40))
+
+    planner = launched("none,0", preexec_fn=few)
+    planner.event("serving")
+    heard, crowd = [], [socket.create_connection(("127.0.0.1", planner.port), TIMEOUT_S) for _ in range(200)]
+    try:
+        for client in crowd:  # each is answered or let go, none waits for good
+            client.settimeout(TIMEOUT_S)
+            with contextlib.suppress(ConnectionError):
+                client.sendall(b'{"msg":"probe"}\n')
+                heard.append(client.recv(100))
+        assert b'{"msg":"alive"}\n' in heard
+        assert planner.process.poll() is None
+    finally:
+        for client in crowd:
+            client.close()
+    said = ""
+    while not said:  # until it has seen the ends of the crowd
+        assert planner.process.poll() is None
+        with contextlib.suppress(ConnectionError):
+            said = planner.probe()
+    assert said == '{"msg":"alive"}\n'
+    planner.process.send_signal(signal.SIGTERM)
+    assert planner.event("stopped")["evicted"] > 0  # they were let go by rule, not by the want itself
+    assert planner.end() == 0
--- a/tests/platform/test_push_encoder.py
+++ b/tests/platform/test_push_encoder.py
@@ -1,7 +1,7 @@
-"""Push messages of the platform's front, against a reader that applies them as the protocol says.
+"""Push messages against a reader that applies them as the protocol says.
 
-The reader and the record of what was ordered are written here from the protocol and from the words of
-`interface`; they share no code with the writer.
+The reader and the record of what was ordered are written here from the protocol and from the meaning of the
+commands; they share no code with the encoder.
 """
 
 import json
@@ -13,8 +13,9 @@
 from swiftchute.api.endpoints import EndpointRecord
 from swiftchute.api.settings import Settings
 from swiftchute.controller.assignments import Orders
-from swiftchute.platform import push_encoder as module
+from swiftchute.platform import push_difference
 from swiftchute.platform.errors import MessageTooLargeError
+from swiftchute.platform.listed_endpoints import MAX_REMOVED_ENDPOINTS
 from swiftchute.platform.push_encoder import PushEncoder
 from tests.conftest import FACTS, operation
 
@@ -119,14 +120,14 @@
 class World:
     """A planner's orders, the writer, and proxies that read."""
 
-    def __init__(self, make=PushEncoder, strange=()):
+    def __init__(self, foreign=()):
         self.orders = Orders(SET)
-        self.writer = make(SET, self.orders)
+        self.encoder = PushEncoder(SET, self.orders)
         self.ordered, self.readers, self.seal = Ordered(), {}, 0
         for proxy in range(3):
             self.readers[proxy] = Reader()
             self.orders.joined(proxy, "east")
-            self.writer.joined(proxy, proxy not in strange)
+            self.encoder.add_proxy(proxy, proxy not in foreign)
         self.shut = set()
 
     def round(self, verbs, silent=()):
@@ -136,11 +137,11 @@
         self.seal += 1
         self.orders.request_ack(self.seal, False)
         done = self.orders.end()
-        self.writer.begin()
+        self.encoder.clear_shared()
         withdrawn, self.shut = self.orders.shut - self.shut, set(self.orders.shut)
         for proxy in done.lines:
             if proxy not in silent:
-                data, lines = self.writer.message(proxy, self.seal, withdrawn)
+                data, lines = self.encoder.encode(proxy, self.seal, withdrawn)
                 before = self.readers[proxy].lines
                 self.readers[proxy].read(data)
                 assert self.readers[proxy].lines - before == lines
@@ -179,59 +180,62 @@
     for verbs in rounds:
         world.round(verbs, silent=(1,))
         assert world.agrees(but=(1,))
-    data, _ = world.writer.message(1, 9, world.orders.shut)
+    data, _ = world.encoder.encode(1, 9, world.orders.shut)
     world.readers[1].read(data)
     assert world.agrees()
     world.round(last)
     assert world.agrees()
 
 
-class KeepsLines(PushEncoder):
-    """Broken: a line that goes is not told."""
+table_parts = push_difference.table_parts
 
-    def _table(self, places, lines, levels, full):
-        return super()._table(places, {s: w for s, w in lines.items() if w}, levels, full)
 
+def keep_removed_entries(operations, weights, admissions, full, names):
+    """Broken: the removal of an endpoint is not written."""
+    return table_parts(operations, {s: w for s, w in weights.items() if w}, admissions, full, names)
 
-class ForgetsWhole(PushEncoder):
-    """Broken: a table is never whole."""
 
-    def _table(self, places, lines, levels, full):
-        return super()._table(places, lines, levels, False)
+def never_write_full_tables(operations, weights, admissions, full, names):
+    """Broken: a table is never replaced."""
+    return table_parts(operations, weights, admissions, False, names)
 
 
-class MixesClasses(PushEncoder):
-    """Broken: a part is for all classes."""
+def address_all_operations(operations, names):
+    """Broken: a part is for all operations."""
+    return
 
-    def _routes(self, places):
-        return {}
 
+def never_restore(encoder, held, contents, newly_ejected):
+    """Broken: a restored endpoint is not written."""
+    return ejection_difference(encoder, held, contents, newly_ejected)[0], []
 
-class ForgetsDoors(PushEncoder):
-    """Broken: what is let back is not told."""
 
-    def _doors(self, held, contents, withdrawn):
-        return super()._doors(held, contents, withdrawn)[0], []
+def share_with_everyone(encoder, proxy, nonce, newly_ejected=()):
+    """Broken: proxies share bytes whatever they hold."""
+    message = encode(encoder, proxy, nonce, newly_ejected)
+    return encoder._shared.setdefault("any", message)
 
 
-class SharesTooMuch(PushEncoder):
-    """Broken: proxies share bytes whatever they held."""
+ejection_difference, encode = PushEncoder._ejection_difference, PushEncoder.encode
 
-    def message(self, proxy, seal, withdrawn=()):
-        made = super().message(proxy, seal, withdrawn)
-        return self.cache.setdefault("any", made)
 
-
-@pytest.mark.parametrize("broken", [KeepsLines, ForgetsWhole, MixesClasses, ForgetsDoors, SharesTooMuch])
-def test_a_broken_writer_is_found(broken):
+@pytest.mark.parametrize("owner, name, broken", [
+    (push_difference, "table_parts", keep_removed_entries),
+    (push_difference, "table_parts", never_write_full_tables),
+    (push_difference, "operation_names", address_all_operations),
+    (PushEncoder, "_ejection_difference", never_restore),
+    (PushEncoder, "encode", share_with_everyone),
+])  # fmt: skip
+def test_a_broken_encoder_is_found(monkeypatch, owner, name, broken):
     @given(ROUNDS)
     @settings(max_examples=500, deadline=None, derandomize=True, phases=[Phase.generate])
     def holds(rounds):
-        world = World(broken)
+        world = World()
         for verbs in rounds:
             world.round(verbs)
             assert world.agrees()
 
+    monkeypatch.setattr(owner, name, broken)
     with pytest.raises((AssertionError, KeyError)):
         holds()
 
@@ -248,18 +252,18 @@
         ]
     )
     world.orders.set_weight(1, "a", 2.0)
-    world.writer.begin()
-    first, second, third = (world.writer.message(p, 7)[0] for p in (0, 1, 2))
+    world.encoder.clear_shared()
+    first, second, third = (world.encoder.encode(p, 7)[0] for p in (0, 1, 2))
     assert first is second
     assert json.loads(first)["endpoints"] == [["a", 2.0]]
     assert json.loads(third) == {"msg": "push", "nonce_out": 7}
 
 
-def test_servers_that_another_planner_shut_out_are_let_back_with_the_first_table():
-    world = World(strange=(0,))
-    world.writer.listed([entry("a", started=5), entry("b"), entry("c")], True)
-    world.writer.listed([entry("b", "draining"), entry("d", started=9)], False)
-    world.writer.listed([entry("b")], False)
+def test_endpoints_that_another_instance_ejected_are_restored_with_the_first_table():
+    world = World(foreign=(0,))
+    world.encoder.update_list([entry("a", started=5), entry("b"), entry("c")], True)
+    world.encoder.update_list([entry("b", "draining"), entry("d", started=9)], False)
+    world.encoder.update_list([entry("b")], False)
     world.readers[0].shut = {"a", "b"}  # by its last planner; `a` restarted and `b` drained there
     world.round(
         [("set_weight", 1, s, 1.0) for s in "abcd"] + [("assign_table", 0, 1, 0), ("assign_table", 1, 1, 0)]
@@ -271,45 +275,45 @@
     assert world.readers[0].lines == world.readers[1].lines + 2  # and no word of it again
 
 
-def test_a_strange_proxy_keeps_shut_what_is_shut_here():
-    world = World(strange=(0,))
-    world.writer.listed([entry("a", "draining", 5), entry("b")], True)
+def test_a_foreign_proxy_keeps_ejected_what_is_ejected_here():
+    world = World(foreign=(0,))
+    world.encoder.update_list([entry("a", "draining", 5), entry("b")], True)
     world.readers[0].shut = {"a"}
     world.round([("set_ejected", "a", True)])
     world.round([("set_weight", 1, "a", 1.0), ("set_weight", 1, "b", 1.0), ("assign_table", 0, 1, 0)])
     assert world.readers[0].picks("read") == {"b": 1.0}
-    world.writer.listed([entry("a", "ready", 7)], False)
+    world.encoder.update_list([entry("a", "ready", 7)], False)
     world.round([("set_ejected", "a", False), ("set_weight", 1, "b", 2.0)])
     assert world.agrees()
     assert world.readers[0].shut == set()
 
 
-def test_an_id_that_comes_back_may_have_been_shut_out():
-    world = World(strange=(0,))
-    world.writer.listed([entry("a"), entry("b")], True)
-    world.writer.listed([entry("a", "gone")], False)
-    world.writer.listed([entry("a", started=9)], False)
+def test_an_endpoint_that_comes_back_may_have_been_ejected():
+    world = World(foreign=(0,))
+    world.encoder.update_list([entry("a"), entry("b")], True)
+    world.encoder.update_list([entry("a", "gone")], False)
+    world.encoder.update_list([entry("a", started=9)], False)
     world.readers[0].shut = {"a"}
     world.round([("set_weight", 1, "a", 1.0), ("assign_table", 0, 1, 0)])
     assert world.agrees()
 
 
-def test_tables_of_a_module_that_started_anew_go_whole():
+def test_tables_of_a_restarted_policy_are_written_in_full():
     world = World()
     world.round([("set_weight", 1, "a", 1.0), ("assign_table", 0, 1, 0), ("set_ejected", "z", True)])
     fresh = Orders(SET)
     fresh.joined(0, "east")
-    world.writer.fresh(fresh)
+    world.encoder.on_policy_restart(fresh)
     fresh.set_weight(1, "b", 1.0)
     fresh.assign_table(0, 1, 0)
-    world.writer.begin()
-    world.readers[0].read(world.writer.message(0, 1)[0])
+    world.encoder.clear_shared()
+    world.readers[0].read(world.encoder.encode(0, 1)[0])
     assert world.readers[0].picks("read") == {"b": 1.0}
     assert world.readers[0].shut == set()
 
 
-def test_long_tables_go_in_parts_and_too_long_ones_not_at_all(monkeypatch):
-    monkeypatch.setattr(module, "PART_LINES", 10)
+def test_long_tables_are_written_in_parts_and_too_long_ones_raise(monkeypatch):
+    monkeypatch.setattr(push_difference, "MAX_PART_ENTRIES", 10)
     world = World()
     world.round([("set_weight", 1, f"s{k}", 1.0) for k in range(25)] + [("assign_table", 0, 1, 0)])
     assert world.agrees()
@@ -317,18 +321,18 @@
         world.orders.set_weight(2, f"s{k}", 1.0)
     world.orders.assign_table(1, 2, 0)
     with pytest.raises(MessageTooLargeError, match="70 parts"):
-        world.writer.message(1, 3)
+        world.encoder.encode(1, 3)
 
 
-def test_state_of_servers_that_are_gone_levels_off():
-    world = World(strange=(0,))
+def test_the_memory_of_removed_endpoints_is_bounded():
+    world = World(foreign=(0,))
     for k in range(10_000):
-        world.writer.listed([entry(f"s{k}", "draining")], False)
-        world.writer.listed([entry(f"s{k}", "gone")], False)
-    writer = world.writer
-    assert not writer.started
-    assert not writer.suspect
-    assert len(writer.gone) == module.GONE_MOST
+        world.encoder.update_list([entry(f"s{k}", "draining")], False)
+        world.encoder.update_list([entry(f"s{k}", "gone")], False)
+    listed = world.encoder.listed
+    assert not listed.started_ns
+    assert not listed.possibly_ejected
+    assert len(listed.removed) == MAX_REMOVED_ENDPOINTS
 
 
 def entry(server, state="ready", started=0):
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -1,4 +1,4 @@
-"""Configurations drawn from the form of the platform's pages: legal ones serve, illegal ones are named."""
+"""Configurations drawn from their documented form: legal ones serve, others are refused by field."""
 
 import copy
 import json
@@ -13,7 +13,7 @@
 from swiftchute.platform.errors import SettingsError
 from swiftchute.platform.session_manager import SessionManager
 from swiftchute.policy import Reconciler, S
-from tests.platform.test_server import MEMBERS, wire_settings
+from tests.support.platform import MEMBERS, wire_settings
 
 NAMES = st.text(min_size=1, max_size=20)
 TIMES = st.one_of(st.integers(1, 1000), st.integers(10**4, 10**7), st.just(10**13))
@@ -63,7 +63,7 @@
 
 
 def read(tmp_path_factory, data):
-    path = tmp_path_factory.mktemp("told") / "config.json"
+    path = tmp_path_factory.mktemp("configuration") / "config.json"
     path.write_text(json.dumps(data))
     return path, module.read({"GW_CONFIG": str(path)})
 
@@ -71,49 +71,55 @@
 @settings(max_examples=60, deadline=None, derandomize=True, database=None, phases=[Phase.generate])
 @given(made=configurations(), servers=st.integers(1, 3), bad=st.floats(0, 1))
 def test_any_legal_settings_serve(tmp_path_factory, made, servers, bad):
-    """Every proxy gets a table of every class, through reports that tell of any share of errors."""
-    _, told = read(tmp_path_factory, configuration(made, servers))
+    """Every proxy gets a table of every operation, whatever share of errors is reported."""
+    _, configured = read(tmp_path_factory, configuration(made, servers))
     now = 1_700_000_000 * S
-    loop = Loop(told.settings, told.seed, Reconciler, now)
-    front = SessionManager(loop, told.sockets)
-    news = EndpointList(told.settings.zones).held(told.known)
-    assert not news.passed
-    front.listed("held", news.entries)
+    runner = Loop(configured.settings, configured.seed, Reconciler, now)
+    manager = SessionManager(runner, configured.max_sockets)
+    update = EndpointList(configured.settings.zones).load_cached(configured.known_list)
+    assert not update.rejected
+    manager.update_list(update.scope, update.endpoints)
     names = [c["name"] for c in made["classes"]]
-    mean = min(told.settings.operations[0].latency_objective_ns, told.settings.operations[0].timeout_ns) / 1e6
-    streams, served = [], set()
-
-    def say(stream, **message):
-        stream.received(json.dumps(message).encode() + b"\n", now)
-        assert not stream.out
-
-    for proxy in range(told.settings.proxy_count):
-        streams.append(front.opened(now))
+    mean = (
+        min(
+            configured.settings.operations[0].latency_objective_ns,
+            configured.settings.operations[0].timeout_ns,
+        )
+        / 1e6
+    )
+    sessions, served = [], set()
+
+    def send(session, **message):
+        session.receive_data(json.dumps(message).encode() + b"\n", now)
+        assert not session.outgoing
+
+    for proxy in range(configured.settings.proxy_count):
+        sessions.append(manager.open_session(now))
         zone = made["dcs"][proxy % len(made["dcs"])]
-        say(streams[-1], msg="hello", proxy=proxy, zone=zone, weight=2.0, fresh=True)
-    agents = [front.opened(now) for _ in made["dcs"]]
+        send(sessions[-1], msg="hello", proxy=proxy, zone=zone, weight=2.0, fresh=True)
+    agents = [manager.open_session(now) for _ in made["dcs"]]
     for agent, zone in zip(agents, made["dcs"], strict=True):
-        say(agent, msg="agent", zone=zone)
+        send(agent, msg="agent", zone=zone)
     for turn in range(60):
-        for stream, data in front.turn(now):
+        for session, data in manager.run_round(now):
             for order in map(json.loads, data.splitlines()):
                 if order.get("full"):
                     assert order["endpoints"]
-                    served |= {(stream.proxy, name) for name in order.get("routes", names)}
+                    served |= {(session.proxy, name) for name in order.get("routes", names)}
                 if "nonce_out" in order:
-                    say(stream, msg="ack", proxy=stream.proxy, mark=order["nonce_out"], took_ms=20.0)
+                    send(session, msg="ack", proxy=session.proxy, mark=order["nonce_out"], took_ms=20.0)
         now += S // 10
         if turn % 5 == 4:
-            for stream in streams:
-                say(stream, msg="demand", proxy=stream.proxy, span_ms=500.0, tries=9, failed=1,
+            for session in sessions:
+                send(session, msg="demand", proxy=session.proxy, span_ms=500.0, tries=9, failed=1,
                     **{"class": names[0]})  # fmt: skip
             for agent, zone in zip(agents, made["dcs"], strict=True):
-                for server in loop.list:
-                    say(agent, msg="outcomes", zone=zone, server=server, tries=50, failed=int(50 * bad),
+                for server in runner.list:
+                    send(agent, msg="outcomes", zone=zone, server=server, tries=50, failed=int(50 * bad),
                         mean_ms=mean, span_ms=500.0)  # fmt: skip
-    assert loop.counts["faults"] == 0, loop.take_events()
-    assert front.counts["spoilt"] == 0
-    assert served == {(p, name) for p in range(told.settings.proxy_count) for name in names}
+    assert runner.counts["faults"] == 0, runner.take_events()
+    assert manager.statistics.malformed == 0
+    assert served == {(p, name) for p in range(configured.settings.proxy_count) for name in names}
 
 
 PLACES = [
@@ -140,11 +146,11 @@
     for step in way:
         at = at[int(step)] if step.isdecimal() else at[step]
     at[last] = value
-    with pytest.raises(SettingsError) as told:
+    with pytest.raises(SettingsError) as refused:
         read(tmp_path_factory, configuration(made))
-    assert str(told.value).count("\n") == 0
-    assert f"config.json: settings: {place.replace('.0.', '[...].').split('[')[0]}" in str(told.value)
-    assert last in str(told.value)
+    assert str(refused.value).count("\n") == 0
+    assert f"config.json: settings: {place.replace('.0.', '[...].').split('[')[0]}" in str(refused.value)
+    assert last in str(refused.value)
 
 
 @pytest.mark.parametrize("section", ["specifics", "rules", "stats", "permissions"])
@@ -164,13 +170,13 @@
     ({"discovery": "127.0.0.1:٨٠"}, "discovery: "), ({"limits": {"sockets": True}}, "limits.sockets: "),
     ({"name": "\ud800"}, "not JSON: "), ({"limits": {"sockets": 63}}, "limits.sockets: 63; 64 at least"),
 ])  # fmt: skip
-def test_what_cannot_be_used_beside_the_settings_is_named(tmp_path_factory, change, cause):
-    with pytest.raises(SettingsError) as told:
+def test_unusable_fields_beside_the_settings_are_named(tmp_path_factory, change, cause):
+    with pytest.raises(SettingsError) as refused:
         read(tmp_path_factory, configuration(wire_settings()) | change)
-    assert f"config.json: {cause}" in str(told.value)
+    assert f"config.json: {cause}" in str(refused.value)
 
 
-def test_names_that_stand_twice_are_refused(tmp_path_factory):
+def test_duplicate_names_are_refused(tmp_path_factory):
     for field in ("classes", "dcs"):
         made = wire_settings()
         made[field] = [made[field][0]] * 2
@@ -178,45 +184,46 @@
             read(tmp_path_factory, configuration(made))
 
 
-class Day:
-    """A planner of these settings whose proxies and reports are the same each time; all that it writes."""
+class Run:
+    """A session manager of these settings; its proxies and reports are the same each time."""
 
     def __init__(self, made):
-        told = module._told("config.json", configuration(made))
+        configured = module.from_object("config.json", configuration(made))
         self.made, self.now, self.written = made, 1_700_000_000 * S, []
-        self.loop = Loop(told.settings, 7, Reconciler, self.now)
-        self.front = SessionManager(self.loop, told.sockets)
-        self.front.listed("held", EndpointList(told.settings.zones).held(told.known).entries)
+        self.runner = Loop(configured.settings, 7, Reconciler, self.now)
+        self.manager = SessionManager(self.runner, configured.max_sockets)
+        cached = EndpointList(configured.settings.zones).load_cached(configured.known_list)
+        self.manager.update_list(cached.scope, cached.endpoints)
         zones = made["dcs"]
         self.proxies = [self.open(msg="hello", proxy=p, zone=zones[p % len(zones)], weight=3.0, fresh=True)
                         for p in range(8)]  # fmt: skip
         self.agents = [self.open(msg="agent", zone=zone) for zone in zones]
 
     def open(self, **message):
-        stream = self.front.opened(self.now)
-        return self.say(stream, **message)
+        session = self.manager.open_session(self.now)
+        return self.send(session, **message)
 
-    def say(self, stream, **message):
-        stream.received(json.dumps(message).encode() + b"\n", self.now)
-        return stream
+    def send(self, session, **message):
+        session.receive_data(json.dumps(message).encode() + b"\n", self.now)
+        return session
 
-    def turn(self, number):
+    def round(self, number):
         self.now += S // 2
-        for stream, data in self.front.turn(self.now):
-            self.written.append((stream.proxy, data))
+        for session, data in self.manager.run_round(self.now):
+            self.written.append((session.proxy, data))
             for order in map(json.loads, data.splitlines()):
                 if "nonce_out" in order:
-                    self.say(stream, msg="ack", proxy=stream.proxy, mark=order["nonce_out"], took_ms=20.0)
-        for stream in self.proxies:
-            self.say(stream, msg="demand", proxy=stream.proxy, span_ms=500.0, tries=20, failed=2,
+                    self.send(session, msg="ack", proxy=session.proxy, mark=order["nonce_out"], took_ms=20.0)
+        for session in self.proxies:
+            self.send(session, msg="demand", proxy=session.proxy, span_ms=500.0, tries=20, failed=2,
                      **{"class": self.made["classes"][0]["name"]})  # fmt: skip
         for agent, zone in zip(self.agents, self.made["dcs"], strict=True):
-            for k, server in enumerate(self.loop.list):
-                self.say(agent, msg="outcomes", zone=zone, server=server, tries=40, failed=(k + number) % 9,
+            for k, server in enumerate(self.runner.list):
+                self.send(agent, msg="outcomes", zone=zone, server=server, tries=40, failed=(k + number) % 9,
                          mean_ms=100.0 + 90 * k, span_ms=500.0)  # fmt: skip
 
 
-def test_two_planners_of_other_settings_in_one_process_decide_as_they_do_alone():
+def test_two_policies_of_other_settings_in_one_process_decide_as_they_do_alone():
     """Names are the same in both, what they mean is not."""
     one, other = wire_settings(8), wire_settings(8)
     other["classes"] = [other["classes"][1] | {"slo_us": 2 * 10**5, "semantics": "single_shot"},
@@ -226,14 +233,14 @@
     other["rules"] |= {"warm_within_us": 0}
     alone = []
     for made in (one, other):
-        day = Day(made)
+        run = Run(made)
         for number in range(40):
-            day.turn(number)
-        alone.append(day.written)
-    days = [Day(one), Day(other)]
+            run.round(number)
+        alone.append(run.written)
+    runs = [Run(one), Run(other)]
     for number in range(40):
-        for day in days:
-            day.turn(number)
-    assert [day.written for day in days] == alone
+        for run in runs:
+            run.round(number)
+    assert [run.written for run in runs] == alone
     assert alone[0] != alone[1]
     assert all(len(written) > 40 for written in alone)
