--- a/swiftchute/platform/push_delivery.py
+++ b/swiftchute/platform/push_delivery.py
@@ -69,7 +69,9 @@
                 self._statistics.merged += 1
                 self.deferred_nonces[proxy] = nonce if nonce is not None else self.deferred_nonces.get(proxy)
                 continue
-            yield from self._write(proxy, session, nonce, newly_ejected, now_ns)
+            data = self._encode(proxy, session, nonce, newly_ejected, now_ns)
+            if data:
+                yield session, data
 
     def deliver_deferred(self, now_ns: int) -> Iterator[Delivery]:
         """Yield one message for each proxy that was deferred and may be written to again."""
@@ -77,25 +79,28 @@
             session = self._sessions[proxy]
             if self._may_write(session, now_ns):
                 nonce = self.deferred_nonces.pop(proxy)
-                yield from self._write(proxy, session, nonce, self._runner.orders.shut, now_ns)
+                data = self._encode(proxy, session, nonce, self._runner.orders.shut, now_ns)
+                if data:
+                    yield session, data
 
     @staticmethod
     def _may_write(session: ProxySession, now_ns: int) -> bool:
         """Whether a proxy has read enough of what it was sent, or is due to be tried again."""
         return session.unread_bytes < MAX_UNREAD_BYTES or now_ns - session.last_push_ns >= UNREAD_RETRY_NS
 
-    def _write(
+    def _encode(
         self, proxy: int, session: ProxySession, nonce: int | None, newly_ejected: Iterable[str], now_ns: int
-    ) -> Iterator[Delivery]:
+    ) -> bytes:
+        """Encode the message to a proxy and count it as written; no bytes if there is nothing to write."""
         try:
             message = self._encoder.encode(proxy, nonce, newly_ejected)
         except MessageTooLargeError as error:
             self._statistics.too_large += 1
             self._runner.event("message too large", proxy=proxy, cause=str(error))
-            return
+            return b""
         if message.data:
             self._statistics.nonces_lost += session.record_push(len(message.data), nonce, now_ns)
             self._statistics.messages += 1
             self._statistics.entries += message.entry_count
             self._statistics.bytes += len(message.data)
-            yield session, message.data
+        return message.data
--- a/swiftchute/platform/session_manager.py
+++ b/swiftchute/platform/session_manager.py
@@ -5,7 +5,7 @@
 `sessions_to_close`. Messages that cannot be used are answered as `ProxySession` tells.
 """
 
-from collections.abc import Iterable, Iterator, KeysView
+from collections.abc import Callable, Iterable, Iterator, KeysView
 
 from swiftchute.api.endpoints import EndpointRecord, ListScope
 from swiftchute.api.events import PushAcknowledged
@@ -26,6 +26,7 @@
 MAX_COLLECTORS_PER_ZONE = 4
 MAX_LOGGED_MALFORMED = 3  # malformed messages that are logged each; after them one of `MALFORMED_LOG_STEP`
 MALFORMED_LOG_STEP = 100
+IDENTIFYING_MESSAGES = (wire_messages.ProxyHello, wire_messages.CollectorHello)
 
 
 class SessionManager:
@@ -49,6 +50,13 @@
         self._proxy_count = runner.set.proxy_count
         self._reports = ReportReader(runner.set)
         self._delivery = PushDelivery(runner, self.encoder, self.sessions_by_proxy, self.statistics)
+        self._handlers: dict[type, Callable[..., None]] = {
+            wire_messages.ProxyHello: self._on_proxy_hello,
+            wire_messages.CollectorHello: self._on_collector_hello,
+            wire_messages.Acknowledgement: self._on_acknowledgement,
+            wire_messages.EndpointOutcomes: self._on_endpoint_outcomes,
+            wire_messages.ProxyDemand: self._on_proxy_demand,
+        }
 
     def open_session(self, now_ns: int) -> ProxySession:
         """Start the session of a connection that was accepted.
@@ -131,19 +139,9 @@
 
     def handle_message(self, session: ProxySession, message: wire_messages.Message, now_ns: int) -> None:
         """Handle a message of a session; raises `MalformedMessageError` where it cannot be used."""
-        match message:
-            case wire_messages.ProxyHello():
-                self._on_proxy_hello(session, message, now_ns)
-            case wire_messages.CollectorHello():
-                self._on_collector_hello(session, message)
-            case _ if not session.identified:
-                raise MalformedMessageError("a report before joining")
-            case wire_messages.Acknowledgement():
-                self._on_acknowledgement(session, message)
-            case wire_messages.EndpointOutcomes():
-                self._on_endpoint_outcomes(session, message)
-            case wire_messages.ProxyDemand():
-                self._on_proxy_demand(session, message)
+        if not session.identified and not isinstance(message, IDENTIFYING_MESSAGES):
+            raise MalformedMessageError("a report before joining")
+        self._handlers[type(message)](session, message, now_ns)
 
     def _on_proxy_hello(self, session: ProxySession, message: wire_messages.ProxyHello, now_ns: int) -> None:
         if session.identified:
@@ -166,7 +164,9 @@
         self.encoder.add_proxy(proxy, message.fresh)
         self.runner.joined(proxy, message.zone, message.request_rate, message.fresh)
 
-    def _on_collector_hello(self, session: ProxySession, message: wire_messages.CollectorHello) -> None:
+    def _on_collector_hello(
+        self, session: ProxySession, message: wire_messages.CollectorHello, now_ns: int
+    ) -> None:
         if session.identified:
             raise MalformedMessageError("a second joining")
         self._reports.check_zone(message.zone)
@@ -181,7 +181,9 @@
         session.collector_zone = message.zone
         self.collectors[session] = None
 
-    def _on_acknowledgement(self, session: ProxySession, message: wire_messages.Acknowledgement) -> None:
+    def _on_acknowledgement(
+        self, session: ProxySession, message: wire_messages.Acknowledgement, now_ns: int
+    ) -> None:
         if message.proxy != session.proxy:
             raise MalformedMessageError("an answer of another proxy")
         latency_ns = load_reports.acknowledgement_latency_ns(message.latency_ms)
@@ -192,7 +194,9 @@
         if result is AckResult.CURRENT_POLICY:
             self.runner.tell(PushAcknowledged(message.proxy, message.nonce, latency_ns))
 
-    def _on_endpoint_outcomes(self, session: ProxySession, message: wire_messages.EndpointOutcomes) -> None:
+    def _on_endpoint_outcomes(
+        self, session: ProxySession, message: wire_messages.EndpointOutcomes, now_ns: int
+    ) -> None:
         if session.collector_zone is None:
             raise MalformedMessageError("a report of outcomes on a proxy's stream")
         self._reports.check_zone(message.zone)
@@ -202,7 +206,9 @@
         self.statistics.reports += 1
         self.runner.tell(report)
 
-    def _on_proxy_demand(self, session: ProxySession, message: wire_messages.ProxyDemand) -> None:
+    def _on_proxy_demand(
+        self, session: ProxySession, message: wire_messages.ProxyDemand, now_ns: int
+    ) -> None:
         if message.proxy != session.proxy and session.collector_zone is None:
             raise MalformedMessageError("usage of another proxy")
         if message.proxy not in self.sessions_by_proxy:
