--- a/swiftchute/platform/push_encoder.py
+++ b/swiftchute/platform/push_encoder.py
@@ -44,9 +44,9 @@
 class PushEncoder:
     """Encodes the difference between what each proxy holds and what it should hold."""
 
-    def __init__(self, settings: Settings, orders: Orders) -> None:
+    def __init__(self, settings: Settings, assignments: Orders) -> None:
         """Start with nothing written to any proxy."""
-        self.orders = orders
+        self.assignments = assignments
         self.operation_names = [operation.name for operation in settings.operations]
         self.listed = ListedEndpoints()
         self.proxies: dict[Any, ProxyContent] = {}
@@ -54,10 +54,10 @@
         self._contents: dict[int, tuple[int, TableContent]] = {}  # by table, with its revision
         self._shared: dict[Any, EncodedPush] = {}
 
-    def on_policy_restart(self, orders: Orders) -> None:
-        """Serve the orders of a new policy; its tables are others, even under the same numbers."""
+    def on_policy_restart(self, assignments: Orders) -> None:
+        """Serve the assignments of a new policy; its tables are others, even under the same numbers."""
         self.incarnation += 1
-        self.orders = orders
+        self.assignments = assignments
         self._contents.clear()
         self._shared.clear()
 
@@ -84,13 +84,13 @@
 
     def table_content(self, table: int) -> TableContent:
         """What a table holds now; the same object until the table changes."""
-        ordered = self.orders.tables[table]
+        ordered = self.assignments.tables[table]
         revision, content = self._contents.get(table, (None, None))
         if content is None or revision != ordered.revision:
             admissions = {
-                operation: self.orders.level(table, operation)
+                operation: self.assignments.level(table, operation)
                 for operation in range(len(self.operation_names))
-                if operation in ordered.levels or operation in self.orders.common
+                if operation in ordered.levels or operation in self.assignments.common
             }
             content = TableContent((self.incarnation, table), dict(ordered.lines), admissions)
             self._contents[table] = (ordered.revision, content)
@@ -108,7 +108,7 @@
             MessageTooLargeError: The difference does not fit into one message.
         """
         held = self.proxies[proxy]
-        assigned = self.orders.proxies[proxy].bound
+        assigned = self.assignments.proxies[proxy].bound
         contents = {operation: self.table_content(table) for operation, table in assigned.items()}
         eject, restore = self._ejection_difference(held, contents, newly_ejected)
         key = (
@@ -127,7 +127,7 @@
         self, held: ProxyContent, contents: dict[int, TableContent], newly_ejected: Iterable[str]
     ) -> tuple[list[str], list[str]]:
         """Endpoints that the proxy must eject, and those that it must restore."""
-        ejected = self.orders.shut
+        ejected = self.assignments.shut
         # What the list says is not ready stays ejected, even where a new policy has ejected nothing.
         restore = held.ejected - ejected - self.listed.not_ready
         if not contents:
--- a/swiftchute/platform/session_manager.py
+++ b/swiftchute/platform/session_manager.py
@@ -246,7 +246,7 @@
     def run_round(self, now_ns: int) -> Iterator[Delivery]:
         """Run the policy if an event arrived, and yield what is to be written now, message by message."""
         result = self.runner.turn(now_ns)
-        if self.runner.orders is not self.encoder.orders:  # the policy crashed, and a new one starts
+        if self.runner.orders is not self.encoder.assignments:  # the policy crashed, and a new one starts
             self._on_policy_restart()
         self.encoder.clear_shared()
         if result is not None:
