--- a/swiftchute/cli/serving.py
+++ b/swiftchute/cli/serving.py
@@ -66,11 +66,11 @@
 
     loaded = load_or_fail(config, load_proxy)
     if check_only:
-        click.echo(f"{config}: proxy {loaded.proxy['name']} in {loaded.proxy['zone']}")
+        click.echo(f"{config}: proxy {loaded.node} in {loaded.zone}")
         return
 
     async def run() -> None:
-        await Daemon(loaded, setup(loaded.log_level, proxy=loaded.proxy["name"])).run()
+        await Daemon(loaded, setup(loaded.log_level, proxy=loaded.node)).run()
 
     try:
         uvloop.run(run())
