--- a/swiftchute/drill/network_faults.py
+++ b/swiftchute/drill/network_faults.py
@@ -127,13 +127,13 @@
     async def reject_updates(self, gateway: int, seconds: float) -> None:
         """Let a gateway reject added endpoints for a while, and reconnect halfway."""
         client = self._fleet.gateways[gateway].client
-        held = client.held
-        client.refuses = (
+        resources = client.resources
+        client.validate = (
             lambda kind, name, message: "not taken today"
-            if (kind.endswith("LbEndpoint") and name not in held[kind])
+            if (kind.endswith("LbEndpoint") and name not in resources[kind])
             else None
         )
         await asyncio.sleep(seconds / 2)
-        self._fleet.gateways[gateway].cut()
+        self._fleet.gateways[gateway].disconnect()
         await asyncio.sleep(seconds / 2)
-        client.refuses = lambda kind, name, message: None
+        client.validate = lambda kind, name, message: None
