--- a/swiftchute/platform/push_delivery.py
+++ b/swiftchute/platform/push_delivery.py
@@ -7,8 +7,8 @@
 
 from collections.abc import Iterable, Iterator
 
-from swiftchute.controller.assignments import Round
-from swiftchute.controller.policy_runner import Loop
+from swiftchute.controller.assignments import RoundResult
+from swiftchute.controller.policy_runner import PolicyRunner
 from swiftchute.platform.errors import MessageTooLargeError
 from swiftchute.platform.proxy_session import ProxySession
 from swiftchute.platform.push_encoder import PushEncoder
@@ -25,7 +25,7 @@
 
     def __init__(
         self,
-        runner: Loop,
+        runner: PolicyRunner,
         encoder: PushEncoder,
         sessions: dict[int, ProxySession],
         statistics: SessionStatistics,
@@ -53,15 +53,15 @@
         """Forget what was deferred for a proxy."""
         self.deferred_nonces.pop(proxy, None)
 
-    def deliver_round(self, round_result: Round, now_ns: int) -> Iterator[Delivery]:
+    def deliver_round(self, round_result: RoundResult, now_ns: int) -> Iterator[Delivery]:
         """Yield the messages of a round; those of proxies that do not read are deferred."""
-        ejected = self._runner.orders.shut
+        ejected = self._runner.assignments.ejected
         newly_ejected: Iterable[str] = ()
-        if round_result.withdrawals:
+        if round_result.ejections_changed:
             newly_ejected = ejected - self._ejected
             self._ejected = set(ejected)
-        nonce = round_result.seal
-        for proxy in round_result.lines:
+        nonce = round_result.nonce
+        for proxy in round_result.entries_by_proxy:
             session = self._sessions.get(proxy)
             if session is None:
                 continue
@@ -79,7 +79,7 @@
             session = self._sessions[proxy]
             if self._may_write(session, now_ns):
                 nonce = self.deferred_nonces.pop(proxy)
-                data = self._encode(proxy, session, nonce, self._runner.orders.shut, now_ns)
+                data = self._encode(proxy, session, nonce, self._runner.assignments.ejected, now_ns)
                 if data:
                     yield session, data
 
@@ -96,7 +96,7 @@
             message = self._encoder.encode(proxy, nonce, newly_ejected)
         except MessageTooLargeError as error:
             self._statistics.too_large += 1
-            self._runner.event("message too large", proxy=proxy, cause=str(error))
+            self._runner.log_event("message too large", proxy=proxy, cause=str(error))
             return b""
         if message.data:
             self._statistics.nonces_lost += session.record_push(len(message.data), nonce, now_ns)
--- a/swiftchute/platform/push_encoder.py
+++ b/swiftchute/platform/push_encoder.py
@@ -16,7 +16,7 @@
 
 from swiftchute.api.endpoints import EndpointRecord
 from swiftchute.api.settings import Settings
-from swiftchute.controller.assignments import Orders
+from swiftchute.controller.assignments import Assignments
 from swiftchute.platform import push_difference, wire_messages
 from swiftchute.platform.listed_endpoints import ListedEndpoints
 from swiftchute.platform.push_difference import TableContent
@@ -44,7 +44,7 @@
 class PushEncoder:
     """Encodes the difference between what each proxy holds and what it should hold."""
 
-    def __init__(self, settings: Settings, assignments: Orders) -> None:
+    def __init__(self, settings: Settings, assignments: Assignments) -> None:
         """Start with nothing written to any proxy."""
         self.assignments = assignments
         self.operation_names = [operation.name for operation in settings.operations]
@@ -54,7 +54,7 @@
         self._contents: dict[int, tuple[int, TableContent]] = {}  # by table, with its revision
         self._shared: dict[Any, EncodedPush] = {}
 
-    def on_policy_restart(self, assignments: Orders) -> None:
+    def on_policy_restart(self, assignments: Assignments) -> None:
         """Serve the assignments of a new policy; its tables are others, even under the same numbers."""
         self.incarnation += 1
         self.assignments = assignments
@@ -88,11 +88,11 @@
         revision, content = self._contents.get(table, (None, None))
         if content is None or revision != ordered.revision:
             admissions = {
-                operation: self.assignments.level(table, operation)
+                operation: self.assignments.admission(table, operation)
                 for operation in range(len(self.operation_names))
-                if operation in ordered.levels or operation in self.assignments.common
+                if operation in ordered.admission or operation in self.assignments.common_admission
             }
-            content = TableContent((self.incarnation, table), dict(ordered.lines), admissions)
+            content = TableContent((self.incarnation, table), dict(ordered.weights), admissions)
             self._contents[table] = (ordered.revision, content)
         return content
 
@@ -108,7 +108,7 @@
             MessageTooLargeError: The difference does not fit into one message.
         """
         held = self.proxies[proxy]
-        assigned = self.assignments.proxies[proxy].bound
+        assigned = self.assignments.proxies[proxy].table_by_operation
         contents = {operation: self.table_content(table) for operation, table in assigned.items()}
         eject, restore = self._ejection_difference(held, contents, newly_ejected)
         key = (
@@ -127,7 +127,7 @@
         self, held: ProxyContent, contents: dict[int, TableContent], newly_ejected: Iterable[str]
     ) -> tuple[list[str], list[str]]:
         """Endpoints that the proxy must eject, and those that it must restore."""
-        ejected = self.assignments.shut
+        ejected = self.assignments.ejected
         # What the list says is not ready stays ejected, even where a new policy has ejected nothing.
         restore = held.ejected - ejected - self.listed.not_ready
         if not contents:
--- a/swiftchute/platform/server.py
+++ b/swiftchute/platform/server.py
@@ -14,7 +14,7 @@
 import time
 from collections.abc import Callable, Mapping
 
-from swiftchute.controller.policy_runner import Loop
+from swiftchute.controller.policy_runner import PolicyRunner
 from swiftchute.platform import connection_limits, settings
 from swiftchute.platform.discovery_client import DiscoveryClient, DiscoveryConnection, OpenConnection
 from swiftchute.platform.endpoint_list import EndpointList, ListUpdate
@@ -62,7 +62,7 @@
         self.log = log
         self.clock = steady_clock()
         self.endpoint_list = EndpointList(configuration.settings.zones)
-        self.runner = Loop(configuration.settings, configuration.seed, Reconciler, self.clock())
+        self.runner = PolicyRunner(configuration.settings, configuration.seed, Reconciler, self.clock())
         self.sessions = SessionManager(self.runner, self._usable_sockets())
         self.discovery = DiscoveryClient(self.endpoint_list, random.Random(configuration.seed))
         self.clients: set[ClientTransport] = set()
@@ -178,7 +178,7 @@
         finally:  # an error here must not keep the next round from running
             self._schedule_idle_round()
         self._round_cpu_ns += time.thread_time_ns() - cpu_start_ns
-        for event, fields in self.runner.take_events():
+        for event, fields in self.runner.drain_log_events():
             self.log(event, **fields)
         self.close_sessions()
         self.on_input()
@@ -209,7 +209,7 @@
             proxies=len(self.sessions.sessions_by_proxy),
             pending=len(self.sessions.pending_sessions),
             deferred=len(self.sessions.deferred_proxies),
-            endpoints=len(self.runner.list),
+            endpoints=len(self.runner.endpoint_records),
             reportable=len(self.sessions.reportable_endpoints),
             stale_lines=self.endpoint_list.stale_lines,
             cpu_ms=time.process_time_ns() // NS_PER_MS,
--- a/swiftchute/platform/session_manager.py
+++ b/swiftchute/platform/session_manager.py
@@ -9,7 +9,7 @@
 
 from swiftchute.api.endpoints import EndpointRecord, ListScope
 from swiftchute.api.events import PushAcknowledged
-from swiftchute.controller.policy_runner import Loop
+from swiftchute.controller.policy_runner import PolicyRunner
 from swiftchute.platform import load_reports, wire_messages
 from swiftchute.platform.errors import MalformedMessageError
 from swiftchute.platform.load_reports import ReportReader
@@ -32,7 +32,7 @@
 class SessionManager:
     """The client connections of one process."""
 
-    def __init__(self, runner: Loop, max_sockets: int) -> None:
+    def __init__(self, runner: PolicyRunner, max_sockets: int) -> None:
         """Start without connections.
 
         Args:
@@ -46,9 +46,9 @@
         self.collectors: dict[ProxySession, None] = {}  # the oldest first
         self.pending_sessions: dict[ProxySession, None] = {}  # not identified yet, the oldest first
         self.sessions_to_close: list[ProxySession] = []
-        self.encoder = PushEncoder(runner.set, runner.orders)
-        self._proxy_count = runner.set.proxy_count
-        self._reports = ReportReader(runner.set)
+        self.encoder = PushEncoder(runner.settings, runner.assignments)
+        self._proxy_count = runner.settings.proxy_count
+        self._reports = ReportReader(runner.settings)
         self._delivery = PushDelivery(runner, self.encoder, self.sessions_by_proxy, self.statistics)
         self._handlers: dict[type, Callable[..., None]] = {
             wire_messages.ProxyHello: self._on_proxy_hello,
@@ -96,9 +96,9 @@
         del self.sessions_by_proxy[proxy]
         self._delivery.remove_proxy(proxy)
         self.encoder.remove_proxy(proxy)
-        self.runner.left(proxy)
+        self.runner.on_proxy_disconnected(proxy)
         self.statistics.disconnected += 1
-        self.runner.event("proxy disconnected", proxy=proxy, cause=cause)
+        self.runner.log_event("proxy disconnected", proxy=proxy, cause=cause)
 
     def check_timeouts(self, now_ns: int) -> None:
         """Close sessions whose clients say nothing for too long.
@@ -135,7 +135,7 @@
                 sender = {"proxy": session.proxy}
             else:
                 sender = {"collector": session.collector_zone}
-            self.runner.event("message dropped", cause=cause, dropped=count, **sender)
+            self.runner.log_event("message dropped", cause=cause, dropped=count, **sender)
 
     def handle_message(self, session: ProxySession, message: wire_messages.Message, now_ns: int) -> None:
         """Handle a message of a session; raises `MalformedMessageError` where it cannot be used."""
@@ -162,7 +162,7 @@
         self.sessions_by_proxy[proxy] = session
         self.statistics.connected += 1
         self.encoder.add_proxy(proxy, message.fresh)
-        self.runner.joined(proxy, message.zone, message.request_rate, message.fresh)
+        self.runner.on_proxy_connected(proxy, message.zone, message.request_rate, message.fresh)
 
     def _on_collector_hello(
         self, session: ProxySession, message: wire_messages.CollectorHello, now_ns: int
@@ -192,7 +192,7 @@
             raise MalformedMessageError(f"mark {message.nonce} was not asked for")
         self.statistics.acks += 1
         if result is AckResult.CURRENT_POLICY:
-            self.runner.tell(PushAcknowledged(message.proxy, message.nonce, latency_ns))
+            self.runner.enqueue(PushAcknowledged(message.proxy, message.nonce, latency_ns))
 
     def _on_endpoint_outcomes(
         self, session: ProxySession, message: wire_messages.EndpointOutcomes, now_ns: int
@@ -200,11 +200,14 @@
         if session.collector_zone is None:
             raise MalformedMessageError("a report of outcomes on a proxy's stream")
         self._reports.check_zone(message.zone)
-        if message.endpoint not in self.runner.list and message.endpoint not in self.encoder.listed.removed:
+        if (
+            message.endpoint not in self.runner.endpoint_records
+            and message.endpoint not in self.encoder.listed.removed
+        ):
             raise MalformedMessageError(f"server {message.endpoint!r} was not listed")
         report = self._reports.endpoint_report(message)
         self.statistics.reports += 1
-        self.runner.tell(report)
+        self.runner.enqueue(report)
 
     def _on_proxy_demand(
         self, session: ProxySession, message: wire_messages.ProxyDemand, now_ns: int
@@ -215,18 +218,18 @@
             raise MalformedMessageError(f"proxy {message.proxy} has not joined")
         report = self._reports.demand_report(message)
         self.statistics.reports += 1
-        self.runner.tell(report)
+        self.runner.enqueue(report)
 
     def update_list(self, scope: ListScope, records: Iterable[EndpointRecord]) -> None:
         """Hand on an update of the endpoint list."""
         endpoints = list(records)
         self.encoder.update_list(endpoints, scope in (ListScope.SNAPSHOT, ListScope.CACHED))
-        self.runner.news_of_list(scope, endpoints)
+        self.runner.on_endpoint_list(scope, endpoints)
 
     @property
     def reportable_endpoints(self) -> set[str]:
         """Endpoints that reports may name: those listed, and those lately removed."""
-        return self.runner.list.keys() | self.encoder.listed.removed.keys()
+        return self.runner.endpoint_records.keys() | self.encoder.listed.removed.keys()
 
     @property
     def deferred_proxies(self) -> KeysView[int]:
@@ -236,30 +239,32 @@
     @property
     def next_round_at_ns(self) -> int:
         """When the next round is due at the latest."""
-        return self.runner.due
+        return self.runner.next_deadline_ns
 
     @property
     def needs_round(self) -> bool:
         """Whether events wait and the policy runs; after a crash it waits until the next round is due."""
-        return bool(self.runner.calls) and self.runner.planner is not None
+        return bool(self.runner.pending_events) and self.runner.policy is not None
 
     def run_round(self, now_ns: int) -> Iterator[Delivery]:
         """Run the policy if an event arrived, and yield what is to be written now, message by message."""
-        result = self.runner.turn(now_ns)
-        if self.runner.orders is not self.encoder.assignments:  # the policy crashed, and a new one starts
+        result = self.runner.run_round(now_ns)
+        if (
+            self.runner.assignments is not self.encoder.assignments
+        ):  # the policy crashed, and a new one starts
             self._on_policy_restart()
         self.encoder.clear_shared()
         if result is not None:
             # The subscription is open at all times here: a request for it is answered by the list that is
             # known.
-            if result.fetch or result.watch is not None:
-                self._answer_list_request(result.fetch)
+            if result.fetch_list or result.subscribe is not None:
+                self._answer_list_request(result.fetch_list)
             yield from self._delivery.deliver_round(result, now_ns)
         yield from self._delivery.deliver_deferred(now_ns)
         self.encoder.clear_shared()
 
     def _on_policy_restart(self) -> None:
-        self.encoder.on_policy_restart(self.runner.orders)
+        self.encoder.on_policy_restart(self.runner.assignments)
         self._delivery.on_policy_restart()
         for session in self.sessions_by_proxy.values():
             session.on_policy_restart()
@@ -267,7 +272,9 @@
     def _answer_list_request(self, whole: bool) -> None:
         """Tell the policy the whole list, or that nothing changed."""
         if whole:
-            endpoints = [self.runner.list[endpoint] for endpoint in sorted(self.runner.list)]
-            self.runner.news_of_list(ListScope.SNAPSHOT, endpoints)
+            endpoints = [
+                self.runner.endpoint_records[endpoint] for endpoint in sorted(self.runner.endpoint_records)
+            ]
+            self.runner.on_endpoint_list(ListScope.SNAPSHOT, endpoints)
         else:
-            self.runner.news_of_list(ListScope.DELTA, [])
+            self.runner.on_endpoint_list(ListScope.DELTA, [])
--- a/tests/platform/test_push_delivery.py
+++ b/tests/platform/test_push_delivery.py
@@ -55,7 +55,7 @@
     (session,) = world.assigned(1)
     world.round(("set_ejected", "c", True))
     world.round(("set_weight", 1, "a", float("nan")))
-    events = [event for event, _ in world.manager.runner.take_events()]
+    events = [event for event, _ in world.manager.runner.drain_log_events()]
     assert "module fault" in events
     assert session.end_cause is None
     world.now += S
@@ -71,7 +71,7 @@
 def crash(world):
     """The policy crashes and a new one starts."""
     world.round(("set_weight", 1, "a", float("nan")))
-    assert "module fault" in [event for event, _ in world.manager.runner.take_events()]
+    assert "module fault" in [event for event, _ in world.manager.runner.drain_log_events()]
     world.now += S
     assert list(world.manager.run_round(world.now)) == []
 
@@ -111,7 +111,7 @@
     for _ in range(6):  # it fails again and again, and so waits
         world.round(("set_weight", 1, "a", float("nan")), wait=0.01)
         list(world.manager.run_round(world.now))
-    assert world.manager.runner.planner is None
+    assert world.manager.runner.policy is None
     late = world.open(HELLO | {"proxy": 3})
     world.manager.session_closed(goes, "the connection ended")
     again = world.open(HELLO | {"proxy": 2, "fresh": False})
--- a/tests/platform/test_session_manager.py
+++ b/tests/platform/test_session_manager.py
@@ -26,20 +26,20 @@
     whole = b"".join(text(m) for m in ({"msg": "probe"}, HELLO, DEMAND, DEMAND | {"class": "write"}, DEMAND))
     expected = World()
     expected.send(expected.open(), whole)
-    assert len(expected.manager.runner.calls) == 5  # the list, the joining and three sums
+    assert len(expected.manager.runner.pending_events) == 5  # the list, the joining and three sums
     for place in range(1, len(whole)):
         world = World()
         session = world.open()
         for piece in (whole[:place], whole[place:]):
             world.send(session, piece)
-        assert world.manager.runner.calls == expected.manager.runner.calls
+        assert world.manager.runner.pending_events == expected.manager.runner.pending_events
         assert session.outgoing == [b'{"msg":"alive"}\n']
         assert session.end_cause is None
     world = World()
     session = world.open()
     for place in range(len(whole)):
         world.send(session, whole[place : place + 1])
-    assert world.manager.runner.calls == expected.manager.runner.calls
+    assert world.manager.runner.pending_events == expected.manager.runner.pending_events
 
 
 def test_messages_become_events_of_the_policy(world):
@@ -103,15 +103,15 @@
 def test_a_malformed_message_of_a_proxy_is_dropped_and_the_rest_handled(world, malformed):
     (session,) = world.assigned(1)
     world.round(("set_weight", 1, "a", 2.0), ("request_ack", 5, False))  # an acknowledgement is owed
-    before = list(world.manager.runner.calls)
+    before = list(world.manager.runner.pending_events)
     world.send(session, malformed)
-    assert world.manager.runner.calls == before
+    assert world.manager.runner.pending_events == before
     assert session.end_cause is None
     assert not session.outgoing
     assert world.manager.statistics.malformed == 1
     world.send(session, DEMAND)
     world.send(session, ACK)
-    assert len(world.manager.runner.calls) == len(before) + 2
+    assert len(world.manager.runner.pending_events) == len(before) + 2
 
 
 @pytest.mark.parametrize("malformed", [
@@ -125,9 +125,9 @@
 ])  # fmt: skip
 def test_a_malformed_message_of_a_collector_is_dropped_and_nothing_written(world, malformed):
     agent = world.open(AGENT)
-    before = list(world.manager.runner.calls)
+    before = list(world.manager.runner.pending_events)
     world.send(agent, malformed)
-    assert world.manager.runner.calls == before
+    assert world.manager.runner.pending_events == before
     assert agent.end_cause is None
     world.send(agent, OUTCOMES)
     assert len(world.events(EndpointLoadReport)) == 1
@@ -163,7 +163,7 @@
     new = world.open(HELLO | {"fresh": False, "weight": 3.0})
     joins = [
         (type(event), event.proxy)
-        for event in world.manager.runner.calls
+        for event in world.manager.runner.pending_events
         if isinstance(event, (ProxyConnected, ProxyDisconnected))
     ]
     assert joins == [(ProxyConnected, 1), (ProxyDisconnected, 1), (ProxyConnected, 1)]
@@ -183,7 +183,7 @@
     world.open(HELLO)
     joins = [
         type(event)
-        for event in world.manager.runner.calls
+        for event in world.manager.runner.pending_events
         if isinstance(event, (ProxyConnected, ProxyDisconnected))
     ]
     assert joins == [ProxyConnected, ProxyDisconnected, ProxyConnected]
@@ -249,7 +249,7 @@
 def test_a_hello_in_the_same_read_as_the_end_leaves_nothing(world):
     session = world.open(text(HELLO) + text(DEMAND) + b'{"msg":"ack","pro')
     world.manager.session_closed(session, "the connection ended")
-    assert [type(event) for event in world.manager.runner.calls] == [
+    assert [type(event) for event in world.manager.runner.pending_events] == [
         EndpointListUpdate,
         ProxyConnected,
         DemandReport,
@@ -261,14 +261,14 @@
     )
     assert not world.manager.sessions_by_proxy
     assert not world.manager.encoder.proxies
-    assert not world.manager.runner.orders.proxies
+    assert not world.manager.runner.assignments.proxies
 
 
 def test_a_client_killed_right_after_its_accept_leaves_nothing(world):
     for _ in range(1000):
         world.manager.session_closed(world.open(), "the connection broke")
     assert not world.manager.pending_sessions
-    assert [type(event) for event in world.manager.runner.calls] == [EndpointListUpdate]
+    assert [type(event) for event in world.manager.runner.pending_events] == [EndpointListUpdate]
 
 
 @pytest.mark.parametrize("first", ["old end", "new acknowledgement"])
@@ -308,10 +308,10 @@
         session = world.open(HELLO | {"proxy": k % 400})
         world.manager.session_closed(session, "the connection ended")
         world.round()
-        world.manager.runner.take_events()
+        world.manager.runner.drain_log_events()
     manager = world.manager
     assert len(manager.reportable_endpoints) < 1100
-    assert len(manager.runner.list) == 3
+    assert len(manager.runner.endpoint_records) == 3
     assert not manager.sessions_by_proxy
     assert not manager.pending_sessions
     assert not manager.encoder.proxies
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -7,7 +7,7 @@
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
-from swiftchute.controller.policy_runner import Loop
+from swiftchute.controller.policy_runner import PolicyRunner
 from swiftchute.platform import settings as module
 from swiftchute.platform.endpoint_list import EndpointList
 from swiftchute.platform.errors import SettingsError
@@ -74,7 +74,7 @@
     """Every proxy gets a table of every operation, whatever share of errors is reported."""
     _, configured = read(tmp_path_factory, configuration(made, servers))
     now = 1_700_000_000 * S
-    runner = Loop(configured.settings, configured.seed, Reconciler, now)
+    runner = PolicyRunner(configured.settings, configured.seed, Reconciler, now)
     manager = SessionManager(runner, configured.max_sockets)
     update = EndpointList(configured.settings.zones).load_cached(configured.known_list)
     assert not update.rejected
@@ -114,10 +114,10 @@
                 send(session, msg="demand", proxy=session.proxy, span_ms=500.0, tries=9, failed=1,
                     **{"class": names[0]})  # fmt: skip
             for agent, zone in zip(agents, made["dcs"], strict=True):
-                for server in runner.list:
+                for server in runner.endpoint_records:
                     send(agent, msg="outcomes", zone=zone, server=server, tries=50, failed=int(50 * bad),
                         mean_ms=mean, span_ms=500.0)  # fmt: skip
-    assert runner.counts["faults"] == 0, runner.take_events()
+    assert runner.counts["faults"] == 0, runner.drain_log_events()
     assert manager.statistics.malformed == 0
     assert served == {(p, name) for p in range(configured.settings.proxy_count) for name in names}
 
@@ -190,7 +190,7 @@
     def __init__(self, made):
         configured = module.from_object("config.json", configuration(made))
         self.made, self.now, self.written = made, 1_700_000_000 * S, []
-        self.runner = Loop(configured.settings, 7, Reconciler, self.now)
+        self.runner = PolicyRunner(configured.settings, 7, Reconciler, self.now)
         self.manager = SessionManager(self.runner, configured.max_sockets)
         cached = EndpointList(configured.settings.zones).load_cached(configured.known_list)
         self.manager.update_list(cached.scope, cached.endpoints)
@@ -218,7 +218,7 @@
             self.send(session, msg="demand", proxy=session.proxy, span_ms=500.0, tries=20, failed=2,
                      **{"class": self.made["classes"][0]["name"]})  # fmt: skip
         for agent, zone in zip(self.agents, self.made["dcs"], strict=True):
-            for k, server in enumerate(self.runner.list):
+            for k, server in enumerate(self.runner.endpoint_records):
                 self.send(agent, msg="outcomes", zone=zone, server=server, tries=40, failed=(k + number) % 9,
                          mean_ms=100.0 + 90 * k, span_ms=500.0)  # fmt: skip
 
--- a/tests/support/sessions.py
+++ b/tests/support/sessions.py
@@ -9,7 +9,7 @@
     TimerFired,
 )
 from swiftchute.api.settings import Settings
-from swiftchute.controller.policy_runner import Loop
+from swiftchute.controller.policy_runner import PolicyRunner
 from swiftchute.platform.session_manager import SessionManager
 from swiftchute.policy import S
 from tests.conftest import FACTS, Fixed, operation
@@ -33,7 +33,7 @@
     def __init__(self, sockets=1024, **facts):
         self.policy, self.now = Fixed(), 1000 * S
         facts = FACTS | {"operations": (operation("read"), operation("write")), "proxy_count": 400} | facts
-        runner = Loop(Settings(**facts), 7, lambda settings, seed: self.policy, self.now)
+        runner = PolicyRunner(Settings(**facts), 7, lambda settings, seed: self.policy, self.now)
         self.manager = SessionManager(runner, sockets)
         self.manager.update_list("held", [EndpointRecord(s, "east", "", 0, "ready", 1.0, 0) for s in "abc"])
 
@@ -48,12 +48,12 @@
 
     def events(self, kind):
         """The fields of each event of a kind that waits for the next round."""
-        return [astuple(event) for event in self.manager.runner.calls if isinstance(event, kind)]
+        return [astuple(event) for event in self.manager.runner.pending_events if isinstance(event, kind)]
 
     def round(self, *writes, wait=0.0):
         self.now += int(wait * S)
         self.policy.writes = list(writes)
-        self.manager.runner.tell(TimerFired(0))
+        self.manager.runner.enqueue(TimerFired(0))
         return [(session, data) for session, data in self.manager.run_round(self.now)]
 
     def assigned(self, *proxies):
