--- a/swiftchute/drill/network_faults.py
+++ b/swiftchute/drill/network_faults.py
@@ -127,10 +127,10 @@
     async def reject_updates(self, gateway: int, seconds: float) -> None:
         """Let a gateway reject added endpoints for a while, and reconnect halfway."""
         client = self._fleet.gateways[gateway].client
-        held = client.resources
+        resources = client.resources
         client.validate = (
             lambda kind, name, message: "not taken today"
-            if (kind.endswith("LbEndpoint") and name not in held[kind])
+            if (kind.endswith("LbEndpoint") and name not in resources[kind])
             else None
         )
         await asyncio.sleep(seconds / 2)
