--- a/swiftchute/daemon/commands.py
+++ b/swiftchute/daemon/commands.py
@@ -4,11 +4,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from swiftchute.admin.server import Denied
-from swiftchute.controller.controller import Core
+from swiftchute.admin.errors import CommandRejectedError
+from swiftchute.controller.controller import Controller
 from swiftchute.versions import encoding
-from swiftchute.versions.history import Change, Unknown
-from swiftchute.versions.pinning import Impossible
+from swiftchute.versions.history import UnknownVersionError, VersionChange
+from swiftchute.versions.pinning import PinError
 
 S = 1_000_000_000
 MOST = 1000  # rows of an answer
@@ -17,9 +17,9 @@
 class Commands:
     """The commands on one planner's core; `done` is called once something was changed."""
 
-    def __init__(self, core: Core, clock: Callable[[], int], done: Callable[[], None]) -> None:
+    def __init__(self, controller: Controller, clock: Callable[[], int], done: Callable[[], None]) -> None:
         """`clock` is the core's."""
-        self.core, self.clock, self.done = core, clock, done
+        self.controller, self.clock, self.done = controller, clock, done
 
     def all(self) -> dict[str, Callable[..., Any]]:
         """By name, as requests give them."""
@@ -34,28 +34,28 @@
         def run(**given: Any) -> Any:
             try:
                 return command(**given)
-            except (Unknown, Impossible) as why:
-                raise Denied(str(why)) from None
+            except (UnknownVersionError, PinError) as why:
+                raise CommandRejectedError(str(why)) from None
 
         return run
 
     def explain(self, table: str | None = None) -> dict[str, Any]:
         """Why tables go out as they do."""
-        gate = self.core.gate
+        gate = self.controller.publish_gate
         if gate is None:
-            raise Denied("the guard is off")
-        tables = self.core.explain(self.clock())
+            raise CommandRejectedError("the guard is off")
+        tables = self.controller.explain(self.clock())
         if table is not None and table not in (names := [row["table"] for row in tables]):
-            raise Denied(f"no table {table!r} in use; there are {', '.join(names) or 'none'}")
+            raise CommandRejectedError(f"no table {table!r} in use; there are {', '.join(names) or 'none'}")
         return {
             "enforced": gate.enforce,
             "tables": [row for row in tables if table in (None, row["table"])],
             "counts": gate.counts,
         }
 
-    def _change(self, change: Change) -> dict[str, Any]:
-        held, way = self.core.sent.states(change.table).get(change.version, (0, 0))
-        newest = self.core.history.current(change.table)
+    def _change(self, change: VersionChange) -> dict[str, Any]:
+        held, way = self.controller.deliveries.states(change.table).get(change.version, (0, 0))
+        newest = self.controller.history.current(change.table)
         return {
             "table": change.table,
             "serial": change.serial,
@@ -73,29 +73,29 @@
 
     def log(self, table: str | None = None, most: int = 20) -> list[dict[str, Any]]:
         """The last changes, newest first."""
-        return [self._change(change) for change in self.core.history.log(table, min(int(most), MOST))]
+        return [self._change(change) for change in self.controller.history.log(table, min(int(most), MOST))]
 
-    def _kept(self, table: str, version: str) -> tuple[Change, encoding.Table]:
-        change = self.core.history.find(table, version)
-        content = self.core.history.get(change.version)
+    def _kept(self, table: str, version: str) -> tuple[VersionChange, encoding.Table]:
+        change = self.controller.history.find(table, version)
+        content = self.controller.history.get(change.version)
         if content is None:
-            raise Denied(f"version {change.version.hex()[:12]} is no longer kept")
+            raise CommandRejectedError(f"version {change.version.hex()[:12]} is no longer kept")
         return change, content
 
     def show(self, table: str, version: str = "~0") -> dict[str, Any]:
         """One version: its lines and levels, who holds it, and what the module orders beside a pinned one."""
         change, content = self._kept(table, version)
-        pin = self.core.pins.by.get(table)
+        pin = self.controller.pins.by.get(table)
         return self._change(change) | {
             "levels": [
-                [op, millionths / encoding.MILLION, tries] for op, millionths, tries in content.levels
+                [op, rate / encoding.ADMISSION_RATE_SCALE, tries] for op, rate, tries in content.levels
             ],
-            "lines": [[server, zone, units / encoding.UNIT] for server, zone, units in content.lines],
+            "lines": [[server, zone, units / encoding.WEIGHT_SCALE] for server, zone, units in content.lines],
             "pinned": None if pin is None else {
                 "version": pin.change.version.hex(), "cause": pin.cause, "levels": pin.levels,
                 "seconds": round((pin.until - self.clock()) / S, 1),
             },
-            "ordered": self.core.ordered_lines(table),
+            "ordered": self.controller.commanded_weights(table),
         }  # fmt: skip
 
     def diff(self, table: str, before: str, after: str) -> dict[str, Any]:
@@ -106,10 +106,14 @@
             "before": one.version.hex(),
             "after": two.version.hex(),
             "lines": [
-                [server, was[server][2] / encoding.UNIT if server in was else None, units / encoding.UNIT]
+                [
+                    server,
+                    was[server][2] / encoding.WEIGHT_SCALE if server in was else None,
+                    units / encoding.WEIGHT_SCALE,
+                ]
                 for server, _, units in step.put
             ]
-            + [[server, was[server][2] / encoding.UNIT, None] for server in step.gone],
+            + [[server, was[server][2] / encoding.WEIGHT_SCALE, None] for server in step.gone],
             "levels": None if step.levels is None else {"before": old.levels, "after": new.levels},
             "bytes": len(encoding.encode(step)),
             "whole": len(encoding.encode(new)),
@@ -128,11 +132,11 @@
         return self._pin(table, version, seconds, levels, "pin")
 
     def _pin(self, table: str, version: str, seconds: float, levels: bool, cause: str) -> dict[str, Any]:
-        change = self.core.pin(table, version, int(seconds * S), bool(levels), cause, self.clock())
+        change = self.controller.pin(table, version, int(seconds * S), bool(levels), cause, self.clock())
         self.done()
         return self._change(change)
 
     def release(self, table: str) -> None:
         """The module's orders count again."""
-        self.core.release(table, self.clock())
+        self.controller.release(table, self.clock())
         self.done()
--- a/swiftchute/drill/invariants.py
+++ b/swiftchute/drill/invariants.py
@@ -15,13 +15,13 @@
 from swiftchute.api.settings import Settings
 from swiftchute.fakes.backend import Receipt
 from swiftchute.fakes.gateway import Order, Stream, Try
-from swiftchute.proxy.xds_client import Client
+from swiftchute.proxy.xds_client import XdsClient
 
 S = 1_000_000_000
 
 
 @dataclass(frozen=True)
-class Told:
+class Observation:
     """What the published list said of a server from `at` on; `started` is the planner clock's, 0 if
     long ago."""
 
@@ -38,7 +38,7 @@
     anything."""
 
     settings: Settings
-    told: list[Told]
+    told: list[Observation]
     orders: list[Order]
     tries: list[Try]
     streams: list[Stream]
@@ -102,7 +102,7 @@
             self.joined[gateway].append((s.at, evidence.end, self.planner(s.planner)))
         for spans in self.joined.values():
             spans.sort()
-        self.told: dict[str, list[Told]] = defaultdict(list)
+        self.told: dict[str, list[Observation]] = defaultdict(list)
         for t in sorted(evidence.told, key=lambda t: t.at):
             self.told[t.server].append(t)
 
@@ -123,14 +123,14 @@
                 at = end
         return at
 
-    def replayed(self) -> Iterator[tuple[Client, list[Order]]]:
+    def replayed(self) -> Iterator[tuple[XdsClient, list[Order]]]:
         """Each gateway's client, fresh, with its orders in the sequence in which they came."""
         by: dict[str, list[Order]] = defaultdict(list)
         for order in self.e.orders:
             by[order.gateway].append(order)
         for gateway, (zone, rate, delta, lines, standing) in sorted(self.e.gateways.items()):
-            client = Client(gateway, zone, rate, delta, lines)
-            client.standing = dict(standing)
+            client = XdsClient(gateway, zone, rate, delta, lines)
+            client.static_endpoints = dict(standing)
             yield client, sorted(by[gateway], key=lambda o: o.at)
 
     # -- 1
@@ -183,19 +183,19 @@
         servable = self._servable()
         for client, orders in self.replayed():
             spans = self.joined[client.node]
-            bare: dict[str, int] = {}
+            bare: dict[str, int | None] = {}
             stream = 0
             marks = [(o.at, o) for o in orders] + [(t, None) for a, b, _ in spans for t in (a, b)]
             for at, order in sorted(marks, key=lambda m: m[0]) + [(self.e.end, None)]:
                 if order is not None:
                     if order.stream != stream:
                         stream = order.stream
-                        client.hello(True)
+                        client.open_stream(True)
                     client.receive(order.data)
                 held = self.stream(client.node, at)
                 for op in self.set.operations:
                     table = client.table(op.name)
-                    empty = held is not None and (table is None or not table.lines)
+                    empty = held is not None and (table is None or not table.weights)
                     began = bare.get(op.name)
                     if began is not None:
                         # the span ends with its stream too: a proxy that is cut off is not joined
@@ -342,7 +342,7 @@
             for order in orders:
                 if order.stream != stream:
                     stream = order.stream
-                    client.hello(True)
+                    client.open_stream(True)
                     recent.clear()  # counted from its joining
                 parsed = (DeltaDiscoveryResponse if order.delta else DiscoveryResponse).FromString(order.data)
                 version = parsed.system_version_info if order.delta else parsed.version_info
@@ -361,7 +361,7 @@
                         )
                 count = 0
                 for table in {t.cluster.partition("/")[0]: t for t in client.tables.values()}.items():
-                    name, now = table[0], dict(table[1].lines) | {"": table[1].level}
+                    name, now = table[0], dict(table[1].weights) | {"": table[1].admission_rate}
                     old = before.get(name, {})
                     count += sum(old.get(k) != now.get(k) for k in old.keys() | now.keys())
                     before[name] = now
--- a/tests/config/test_schema.py
+++ b/tests/config/test_schema.py
@@ -7,11 +7,11 @@
 
 import pytest
 
-from swiftchute.config import BadConfig, load
-from swiftchute.discovery.endpoint_list import BadList, Registry
+from swiftchute.config import ConfigError, load
+from swiftchute.discovery.endpoint_list import EndpointList, EndpointListError
 from swiftchute.discovery.sources import FileSource, HttpSource
 from swiftchute.observability.logging import mode_fields
-from swiftchute.proxy.xds_client import Client
+from swiftchute.proxy.xds_client import XdsClient
 from swiftchute.xds import load_reports
 
 S, MS = 1_000_000_000, 1_000_000
@@ -75,7 +75,7 @@
 def test_each_error_names_file_line_field_and_cause(checked, before, after, at, says):
     text = GOOD.replace(before, after, 1)
     lines = [n for n, row in enumerate(text.split("\n"), 1) if at in row]
-    with pytest.raises(BadConfig) as caught:
+    with pytest.raises(ConfigError) as caught:
         checked(text)
     found = [str(p) for p in caught.value.problems if p.line in lines]
     assert before in GOOD
@@ -83,7 +83,7 @@
 
 
 def test_a_missing_file_is_a_plain_error(tmp_path):
-    with pytest.raises(BadConfig, match="cannot be read: No such file"):
+    with pytest.raises(ConfigError, match="cannot be read: No such file"):
         load(str(tmp_path / "none.hcl"))
 
 
@@ -112,7 +112,7 @@
 
 @pytest.fixture
 def registry():
-    made = Registry(("east", "west"), 1000 * S)
+    made = EndpointList(("east", "west"), 1000 * S)
     made.read(listing("10.0.0.1:80", "10.0.0.2:80", start="1010.5"))
     return made
 
@@ -130,7 +130,7 @@
 )
 def test_half_a_list_nonsense_or_nothing_leaves_the_last_good_list(registry, text):
     held = dict(registry.held)
-    with pytest.raises(BadList):
+    with pytest.raises(EndpointListError):
         registry.read(text)
     assert registry.held == held
     assert registry.bad == 1
@@ -216,13 +216,13 @@
 
 
 def test_a_report_is_read_by_operation_and_server():
-    client = Client("n", "east", 1.0)
+    client = XdsClient("n", "east", 1.0)
     for _ in range(3):
-        client.met("0.1/read", "127.0.0.1:90", True, 0.2)
-    client.met("0.1/read", "127.0.0.1:90", False, 1.0)
-    client.dropped("0.1/read")
-    client.met("0.1/unknown", "127.0.0.1:90", True, 0.2)
-    report, node = load_reports.decode(client.report(0.5, first=True), frozenset({"read"}))
-    assert (report.span, report.arrived) == (S // 2, (("read", 5, 1),))
-    assert report.met == (("127.0.0.1:90", 4, 1, 600 * MS, 3),)
+        client.record_attempt("0.1/read", "127.0.0.1:90", True, 0.2)
+    client.record_attempt("0.1/read", "127.0.0.1:90", False, 1.0)
+    client.record_drop("0.1/read")
+    client.record_attempt("0.1/unknown", "127.0.0.1:90", True, 0.2)
+    report, node = load_reports.decode(client.build_load_report(0.5, first=True), frozenset({"read"}))
+    assert (report.window_ns, report.demand) == (S // 2, (("read", 5, 1),))
+    assert report.endpoints == (("127.0.0.1:90", 4, 1, 600 * MS, 3),)
     assert node.id == "n"
