--- a/swiftchute/platform/connection_limits.py
+++ b/swiftchute/platform/connection_limits.py
@@ -6,7 +6,6 @@
 MAX_UNSENT_BYTES = 256 * 1024  # waiting in this process for a client that does not read: it is cut off
 CLOSE_TIMEOUT_S = 3.0  # for a client to read the last message to it
 STOP_TIMEOUT_S = 0.3  # the same when the process stops: it is killed 0.7 s after SIGTERM at the soonest
-MAX_LOGGED_REJECTIONS = 3  # of the entries of one list update
 
 
 def usable_sockets(configured: int, system_limit: int | None) -> int:
--- a/swiftchute/platform/discovery_client.py
+++ b/swiftchute/platform/discovery_client.py
@@ -1,9 +1,9 @@
 """Which connections to discovery there are, whose updates count, and when to connect again. No I/O, no clock.
 
 At most two connections are in use: the current one, and the previous one until the current has brought a
-line and tells of all that is known. Updates of both count, those of any other do not. So a change of the
-address, or a watch that has fallen silent, leaves no gap, and neither does a discovery that lags behind the
-previous one.
+line and has caught up with all that is known. Updates of both count, those of any other do not. So a change
+of the address, or a watch that has fallen silent, leaves no gap, and neither does a discovery that lags
+behind the previous one.
 
 What the transport is to do comes from `take_commands`, to be called after each other method.
 """
@@ -126,8 +126,8 @@
     def check_timeouts(self, now_ns: int) -> Iterator[ListUpdate]:
         """Replace a silent connection, and yield the lists that count now for the time that has passed.
 
-        Sockets must be read between two calls: the bytes of a connection may wait there while this process
-        stood still, so that it is replaced only when it is overdue twice.
+        Sockets must be read between two calls: bytes may wait there if this process was stopped, so that a
+        connection is replaced only when it is overdue twice.
         """
         connection = self.current
         if connection is not None and self._is_silent(connection, now_ns):
--- a/swiftchute/platform/endpoint_list.py
+++ b/swiftchute/platform/endpoint_list.py
@@ -1,9 +1,9 @@
 """The last good endpoint list and its revision; it outlives every connection to discovery. No I/O, no clock.
 
 A watch that begins with a whole list of an older revision is of a discovery that lags, or of one that
-started over: only time tells. Meanwhile it is followed in a `LaggingList` of its own, and believed only in
-what ends an endpoint: that one drains or is removed, without having restarted since. Then its list becomes
-the list.
+started over: only time can tell which. Meanwhile it is followed in a `LaggingList` of its own, and believed
+only in what ends an endpoint: that one drains or is removed, without having restarted since. Then its list
+becomes the list.
 """
 
 from dataclasses import dataclass, field
@@ -13,6 +13,8 @@
 from swiftchute.platform.discovery_messages import WatchLine
 from swiftchute.platform.errors import DiscoveryError
 
+MAX_LOGGED_REJECTIONS = 3  # of the entries of one list update
+
 Endpoints = dict[str, EndpointRecord]
 
 
@@ -24,9 +26,14 @@
     endpoints: tuple[EndpointRecord, ...]
     rejected: tuple[str, ...] = ()  # causes, one for each entry that was left out
 
+    @property
+    def rejections_to_log(self) -> tuple[str, ...]:
+        """The first causes; the log names their number."""
+        return self.rejected[:MAX_LOGGED_REJECTIONS]
+
     @property
     def changes_list(self) -> bool:
-        """Whether it tells more than that entries were left out."""
+        """Whether it is more than a report of entries that were left out."""
         return bool(self.endpoints) or self.scope != ListScope.DELTA
 
     @property
@@ -51,7 +58,7 @@
     zones: tuple[str, ...]
     revision: int | None = None
     endpoints: Endpoints = field(default_factory=dict)
-    stale_lines: int = 0  # that told of nothing newer
+    stale_lines: int = 0  # of a revision that is not newer
 
     def load_cached(self, text: bytes) -> ListUpdate:
         """Start from the list that the configuration holds; raises `DiscoveryError`."""
--- a/swiftchute/platform/listed_endpoints.py
+++ b/swiftchute/platform/listed_endpoints.py
@@ -1,4 +1,4 @@
-"""What the endpoint list has told of each endpoint so far. No I/O.
+"""What is known of each endpoint from the endpoint lists so far. No I/O.
 
 A proxy that was connected to another instance may still eject endpoints by that instance's command, which
 nobody here knows of. Only an endpoint that was listed as not ready, or that has restarted, can have been
--- a/swiftchute/platform/proxy_session.py
+++ b/swiftchute/platform/proxy_session.py
@@ -1,7 +1,7 @@
 """The state of one client connection at the platform's address. No I/O.
 
 Bytes and times come in; messages go to a `MessageHandler`, bytes to write collect in `outgoing`, and
-`end_cause` tells that the connection is to be closed once they are written.
+`end_cause` is set once the connection is to be closed after they are written.
 
 A connection is a proxy's once it said `hello` and a collector's once it said `agent`. Until then anything
 that cannot be used ends it with an `error`. Afterwards a malformed message is dropped and counted, and only
--- a/swiftchute/platform/push_encoder.py
+++ b/swiftchute/platform/push_encoder.py
@@ -107,38 +107,38 @@
         Raises:
             MessageTooLargeError: The difference does not fit into one message.
         """
-        held = self.proxies[proxy]
+        written = self.proxies[proxy]
         assigned = self.assignments.proxies[proxy].table_by_operation
-        contents = {operation: self.table_content(table) for operation, table in assigned.items()}
-        eject, restore = self._ejection_difference(held, contents, newly_ejected)
+        desired = {operation: self.table_content(table) for operation, table in assigned.items()}
+        eject, restore = self._ejection_difference(written, desired, newly_ejected)
         key = (
-            tuple((place, contents[place], held.tables.get(place)) for place in sorted(contents)),
+            tuple((index, desired[index], written.tables.get(index)) for index in sorted(desired)),
             tuple(eject), tuple(restore), nonce,
         )  # fmt: skip
         message = self._shared.get(key)
         if message is None:
-            message = self._encode(held.tables, contents, eject, restore, nonce)
+            message = self._encode(written.tables, desired, eject, restore, nonce)
             if len(self._shared) < MAX_SHARED_MESSAGES:
                 self._shared[key] = message
-        self._record_written(held, contents, eject, restore)
+        self._record_written(written, desired, eject, restore)
         return message
 
     def _ejection_difference(
-        self, held: ProxyContent, contents: dict[int, TableContent], newly_ejected: Iterable[str]
+        self, written: ProxyContent, desired: dict[int, TableContent], newly_ejected: Iterable[str]
     ) -> tuple[list[str], list[str]]:
         """Endpoints that the proxy must eject, and those that it must restore."""
         ejected = self.assignments.ejected
         # What the list says is not ready stays ejected, even where a new policy has ejected nothing.
-        restore = held.ejected - ejected - self.listed.not_ready
-        if not contents:
-            eject = {endpoint for endpoint in newly_ejected if endpoint in ejected} - held.ejected
+        restore = written.ejected - ejected - self.listed.not_ready
+        if not desired:
+            eject = {endpoint for endpoint in newly_ejected if endpoint in ejected} - written.ejected
             return sorted(eject), sorted(restore)
         named: set[str] = set()
-        for content in set(contents.values()):
+        for content in set(desired.values()):
             named |= content.weights.keys()
-        if held.foreign and self.listed.possibly_ejected:
-            restore |= (named & self.listed.possibly_ejected) - ejected - held.settled
-        return sorted((named & ejected) - held.ejected), sorted(restore)
+        if written.foreign and self.listed.possibly_ejected:
+            restore |= (named & self.listed.possibly_ejected) - ejected - written.settled
+        return sorted((named & ejected) - written.ejected), sorted(restore)
 
     def _encode(
         self,
@@ -154,10 +154,10 @@
         return EncodedPush(wire_messages.encode_push(parts), entry_count)
 
     def _record_written(
-        self, held: ProxyContent, contents: dict[int, TableContent], eject: list[str], restore: list[str]
+        self, written: ProxyContent, desired: dict[int, TableContent], eject: list[str], restore: list[str]
     ) -> None:
-        held.tables = contents or held.tables
-        held.ejected = (held.ejected | set(eject)) - set(restore)
-        if held.foreign:
-            settled = held.settled | set(eject) | set(restore)
-            held.settled = settled & (self.listed.started_ns.keys() | held.ejected)
+        written.tables = desired or written.tables
+        written.ejected = (written.ejected | set(eject)) - set(restore)
+        if written.foreign:
+            settled = written.settled | set(eject) | set(restore)
+            written.settled = settled & (self.listed.started_ns.keys() | written.ejected)
--- a/swiftchute/platform/server.py
+++ b/swiftchute/platform/server.py
@@ -218,7 +218,7 @@
 
     def on_list_update(self, update: ListUpdate) -> None:
         """Hand an update of the endpoint list to the policy."""
-        for cause in update.rejected[: connection_limits.MAX_LOGGED_REJECTIONS]:
+        for cause in update.rejections_to_log:
             self.log("endpoint rejected", cause=cause, rejected=len(update.rejected))
         if update.changes_list:
             self.sessions.update_list(update.scope, update.endpoints)
--- a/swiftchute/platform/session_manager.py
+++ b/swiftchute/platform/session_manager.py
@@ -1,11 +1,12 @@
 """All client connections of this process, between its policy runner and its sockets. No I/O.
 
 The manager holds the rules that concern more than one connection: which session is a proxy's, how many
-connections may be pending, and when a client that says nothing is let go. What it decides to close is in
-`sessions_to_close`. Messages that cannot be used are answered as `ProxySession` tells.
+connections may be pending, and when the connection of a silent client is closed. What is to be closed is in
+`sessions_to_close`; `ProxySession` describes how messages that cannot be used are answered.
 """
 
 from collections.abc import Callable, Iterable, Iterator, KeysView
+from typing import Any
 
 from swiftchute.api.endpoints import EndpointRecord, ListScope
 from swiftchute.api.events import PushAcknowledged
@@ -50,7 +51,7 @@
         self._proxy_count = runner.settings.proxy_count
         self._reports = ReportReader(runner.settings)
         self._delivery = PushDelivery(runner, self.encoder, self.sessions_by_proxy, self.statistics)
-        self._handlers: dict[type, Callable[..., None]] = {
+        self._handlers: dict[type, Callable[[ProxySession, Any, int], None]] = {
             wire_messages.ProxyHello: self._on_proxy_hello,
             wire_messages.CollectorHello: self._on_collector_hello,
             wire_messages.Acknowledgement: self._on_acknowledgement,
@@ -103,8 +104,7 @@
     def check_timeouts(self, now_ns: int) -> None:
         """Close sessions whose clients say nothing for too long.
 
-        Sockets must be read between two calls: a client's bytes may wait there while this process stood
-        still.
+        Sockets must be read between two calls: bytes may wait there if this process was stopped.
         """
         self._check_pending_sessions(now_ns)
         for proxy, session in list(self.sessions_by_proxy.items()):
@@ -200,10 +200,7 @@
         if session.collector_zone is None:
             raise MalformedMessageError("a report of outcomes on a proxy's stream")
         self._reports.check_zone(message.zone)
-        if (
-            message.endpoint not in self.runner.endpoint_records
-            and message.endpoint not in self.encoder.listed.removed
-        ):
+        if not self._is_reportable(message.endpoint):
             raise MalformedMessageError(f"server {message.endpoint!r} was not listed")
         report = self._reports.endpoint_report(message)
         self.statistics.reports += 1
@@ -226,6 +223,9 @@
         self.encoder.update_list(endpoints, scope in (ListScope.SNAPSHOT, ListScope.CACHED))
         self.runner.on_endpoint_list(scope, endpoints)
 
+    def _is_reportable(self, endpoint: str) -> bool:
+        return endpoint in self.runner.endpoint_records or endpoint in self.encoder.listed.removed
+
     @property
     def reportable_endpoints(self) -> set[str]:
         """Endpoints that reports may name: those listed, and those lately removed."""
@@ -249,14 +249,11 @@
     def run_round(self, now_ns: int) -> Iterator[Delivery]:
         """Run the policy if an event arrived, and yield what is to be written now, message by message."""
         result = self.runner.run_round(now_ns)
-        if (
-            self.runner.assignments is not self.encoder.assignments
-        ):  # the policy crashed, and a new one starts
+        if self.runner.assignments is not self.encoder.assignments:  # those of a new policy, after a crash
             self._on_policy_restart()
         self.encoder.clear_shared()
         if result is not None:
-            # The subscription is open at all times here: a request for it is answered by the list that is
-            # known.
+            # The watch is always open here: a request to subscribe is answered at once.
             if result.fetch_list or result.subscribe is not None:
                 self._answer_list_request(result.fetch_list)
             yield from self._delivery.deliver_round(result, now_ns)
@@ -270,11 +267,9 @@
             session.on_policy_restart()
 
     def _answer_list_request(self, whole: bool) -> None:
-        """Tell the policy the whole list, or that nothing changed."""
+        """Send the policy the whole list, or that nothing changed."""
         if whole:
-            endpoints = [
-                self.runner.endpoint_records[endpoint] for endpoint in sorted(self.runner.endpoint_records)
-            ]
-            self.runner.on_endpoint_list(ListScope.SNAPSHOT, endpoints)
+            records = self.runner.endpoint_records
+            self.runner.on_endpoint_list(ListScope.SNAPSHOT, [records[name] for name in sorted(records)])
         else:
             self.runner.on_endpoint_list(ListScope.DELTA, [])
--- a/tests/platform/test_races.py
+++ b/tests/platform/test_races.py
@@ -120,7 +120,7 @@
 def play(tmp_path):
     """Run a day against a planner in this process; the planner is stopped by SIGTERM whatever happens."""
 
-    def run(day, **more):
+    def run(scenario, **more):
         async def whole():
             old = await AnsweringDiscovery().start()
             world = World(tmp_path, old.address, **more)
@@ -129,7 +129,7 @@
             asyncio.get_running_loop().set_exception_handler(lambda loop, context: faults.append(context))
             try:
                 await world.event("serving")
-                await day(world, old)
+                await scenario(world, old)
             finally:
                 if not serving.done():
                     signal.raise_signal(signal.SIGTERM)
@@ -144,7 +144,7 @@
 
 
 def test_a_second_reload_while_the_first_new_discovery_has_not_answered(play):
-    async def day(world, old):
+    async def scenario(world, old):
         proxy = await Client().open_proxy(world.port, 0)
         await proxy.receive_table()
         await old.wait_watched()
@@ -160,13 +160,13 @@
         await proxy.receive_removal("e1")
         assert await old.wait_closed() != b""
 
-    play(day)
+    play(scenario)
 
 
 def test_a_connection_given_up_at_the_moment_at_which_it_is_established(play, monkeypatch):
     made = transports.DiscoveryTransport.connection_made
 
-    async def day(world, old):
+    async def scenario(world, old):
         await old.wait_watched()
         middle, new = await ScriptedDiscovery().start(), await AnsweringDiscovery().start()
         port, address = int(middle.address.rpartition(":")[2]), int(new.address.rpartition(":")[2])
@@ -184,11 +184,11 @@
         await new.wait_requested()
         assert new.targets == ["/catalog/members?watch=1&after=41"]
 
-    play(day)
+    play(scenario)
 
 
 def test_the_old_discovery_counts_until_the_new_one_has_brought_a_line_byte_by_byte(play):
-    async def day(world, old):
+    async def scenario(world, old):
         proxy = await Client().open_proxy(world.port, 0)
         await proxy.receive_table()
         await old.wait_watched()
@@ -203,11 +203,11 @@
         await new.write(changes(43, MEMBERS[1] | {"phase": "Terminating"}))
         await proxy.receive_removal("e1")
 
-    play(day)
+    play(scenario)
 
 
 def test_a_silent_connection_is_replaced_and_counts_until_the_new_one_answers(play):
-    async def day(world, old):
+    async def scenario(world, old):
         proxy = await Client().open_proxy(world.port, 0)
         await proxy.receive_table()
         await old.wait_watched()
@@ -219,11 +219,11 @@
         old.send(42, MEMBERS[0] | {"phase": "Terminating"})
         await proxy.receive_removal("e0")
 
-    play(day)
+    play(scenario)
 
 
 def test_a_proxy_killed_after_its_accept_or_its_hello_leaves_nothing(play):
-    async def day(world, old):
+    async def scenario(world, old):
         linger = bytes([1, 0, 0, 0, 0, 0, 0, 0])  # ended by a reset
         hello = b'{"msg":"hello","proxy":9,"zone":"east","weight":1.0,"fresh":true}\n'
         for said in (b"", hello[:11], hello):
@@ -239,7 +239,7 @@
         assert set(world.server.sessions.sessions_by_proxy) == {9}
         assert not world.server.sessions.pending_sessions
 
-    play(day)
+    play(scenario)
 
 
 WIDE = wire_settings()
@@ -268,7 +268,7 @@
 def test_a_message_half_sent_when_sigterm_comes_is_written_completely(play, monkeypatch):
     monkeypatch.setattr(connection_limits, "STOP_TIMEOUT_S", TIMEOUT_S)  # the test reads slowly
 
-    async def day(world, old):
+    async def scenario(world, old):
         plain = await slow_proxy(world, 0)
         signal.raise_signal(signal.SIGTERM)
         async with asyncio.timeout(TIMEOUT_S):
@@ -279,13 +279,13 @@
         assert data.endswith(b"\n")
         assert len(json.loads(data.splitlines()[0])["endpoints"]) == len(LONG)
 
-    play(day, members=LONG, settings=WIDE)
+    play(scenario, members=LONG, settings=WIDE)
 
 
 def test_a_client_that_does_not_read_the_last_message_to_it_is_cut_off(play, monkeypatch):
     monkeypatch.setattr(transports, "CLOSE_TIMEOUT_S", 0.01)
 
-    async def day(world, old):
+    async def scenario(world, old):
         plain = await slow_proxy(world, 0)
         (stuck,) = world.server.clients
         await Client().open_proxy(world.port, 0)  # its new stream
@@ -295,7 +295,7 @@
         assert world.server.sessions.statistics.unsent_overflow == 1
         plain.close()
 
-    play(day, members=LONG, settings=WIDE)
+    play(scenario, members=LONG, settings=WIDE)
 
 
 def test_connections_accepted_between_the_listeners_close_and_the_end(play, monkeypatch):
@@ -310,7 +310,7 @@
 
     monkeypatch.setattr(Server, "_stop", held)
 
-    async def day(world, old):
+    async def scenario(world, old):
         proxy = await Client().open_proxy(world.port, 0)
         await proxy.receive_table()
         signal.raise_signal(signal.SIGTERM)
@@ -319,7 +319,7 @@
         await proxy.wait_closed()
         assert len(late) == 5
 
-    play(day)
+    play(scenario)
     for client in late:
         client.settimeout(TIMEOUT_S)
         with contextlib.suppress(ConnectionError):
