--- a/tests/platform/test_byte_digest.py
+++ b/tests/platform/test_byte_digest.py
@@ -94,10 +94,10 @@
         self.connections.append(session)
         self.close_due()
         number = len(self.connections) - 1
-        self.say(number, *messages)
+        self.send(number, *messages)
         return number
 
-    def say(self, number, *messages):
+    def send(self, number, *messages):
         session = self.connections[number]
         for message in messages:
             data = message if isinstance(message, bytes) else json.dumps(message).encode() + b"\n"
@@ -192,7 +192,7 @@
 
 
 PROXIES, SILENT_PROXY, SLOW_PROXY, REPLACED_PROXY = 10, 7, 8, 5
-STRANGERS = [
+UNKNOWN_CLIENTS = [
     b"GET / HTTP/1.1\r\n", b"\n", b"{}\n", b"[]\n", b'"probe"\n', b"\xff\xfe\n", b'{"msg":"hello"\n',
     b'{"msg":"nonsense"}\n', {"msg": "hello", "proxy": 60, "zone": "east", "weight": 1.0, "fresh": True},
     {"msg": "hello", "proxy": -1, "zone": "east", "weight": 1.0, "fresh": True},
@@ -232,27 +232,27 @@
             "span_ms": 500.0, "load": {"inflight": number, "util": 0.1 * number, "odd": 1.0}}  # fmt: skip
 
 
-def connections(run, streams, agents):
+def connections(run, sessions, agents):
     """What happens to connections, by time in ms."""
     return {
-        1000: lambda: [run.open(said) for said in STRANGERS],
-        1500: lambda: [run.say(streams[1], said) for said in MALFORMED],
-        1600: lambda: [run.say(agents[0], said) for said in MALFORMED],
+        1000: lambda: [run.open(message) for message in UNKNOWN_CLIENTS],
+        1500: lambda: [run.send(sessions[1], message) for message in MALFORMED],
+        1600: lambda: [run.send(agents[0], message) for message in MALFORMED],
         2000: lambda: [run.open({"msg": "probe"}), run.open(), run.open(b'{"msg":"hel')],
-        6000: lambda: streams.update({REPLACED_PROXY: run.open(hello(REPLACED_PROXY, False))}),
-        7000: lambda: run.close(streams.pop(6)),
-        7500: lambda: streams.update({6: run.open(hello(6, False)), 9: run.open(hello(9, False))}),
+        6000: lambda: sessions.update({REPLACED_PROXY: run.open(hello(REPLACED_PROXY, False))}),
+        7000: lambda: run.close(sessions.pop(6)),
+        7500: lambda: sessions.update({6: run.open(hello(6, False)), 9: run.open(hello(9, False))}),
         9000: lambda: [run.open() for _ in range(40)],
         3400: lambda: run.commands.extend([("set_ejected", "e6", True), ("set_ejected", "w0", True)]),
         4400: lambda: run.commands.extend([("set_admission", None, 1, 0.5, 2), ("set_ejected", "w0", False)]),
         11_000: lambda: setattr(run, "crashes", 1),
         12_400: lambda: run.commands.extend([("set_ejected", "e7", True), ("set_admission", 1, 2, 0.25, 0)]),
         15_000: lambda: setattr(run, "crashes", 8),
-        16_000: lambda: streams.update({10: run.open(hello(10)), 3: run.open(hello(3, False))}),
-        16_500: lambda: run.close(streams.pop(2)),
+        16_000: lambda: sessions.update({10: run.open(hello(10)), 3: run.open(hello(3, False))}),
+        16_500: lambda: run.close(sessions.pop(2)),
         31_000: lambda: [run.open({"msg": "agent", "zone": "east"}) for _ in range(6)],
-        32_000: lambda: run.say(streams[4], b"\x00garbage\n"),
-        33_000: lambda: run.say(streams[0], b" " * ((1 << 20) + 1)),
+        32_000: lambda: run.send(sessions[4], b"\x00garbage\n"),
+        33_000: lambda: run.send(sessions[0], b" " * ((1 << 20) + 1)),
     }
 
 
@@ -290,8 +290,8 @@
 def play(run, seconds):
     """The whole run."""
     agents = [run.open({"msg": "agent", "zone": zone}) for zone in ("east", "west")]
-    streams = {proxy: run.open(hello(proxy)) for proxy in range(PROXIES)}
-    happenings = [connections(run, streams, agents), discovery(run)]
+    sessions = {proxy: run.open(hello(proxy)) for proxy in range(PROXIES)}
+    happenings = [connections(run, sessions, agents), discovery(run)]
     owed = []
     for step in range(seconds * S // STEP):
         time_ms = step * STEP // MS
@@ -301,17 +301,17 @@
         if time_ms % 2000 == 500 and not 18_000 < time_ms < 24_000:
             run.discovery_says(chunk(b"\n"))
         if time_ms % 500 == 0:
-            for proxy, number in streams.items():
+            for proxy, number in sessions.items():
                 if proxy != SILENT_PROXY or time_ms < 8000:
-                    run.say(number, demand(proxy, 10 + (proxy * 7 + time_ms // 500) % 60))
+                    run.send(number, demand(proxy, 10 + (proxy * 7 + time_ms // 500) % 60))
             for agent, zone in zip(agents, ("east", "west"), strict=True):
                 for endpoint in sorted(run.loop.endpoint_records):
                     if (endpoint[0] == zone[0]) or time_ms % 1000:
-                        run.say(agent, outcomes(zone, endpoint, time_ms // 1000))
+                        run.send(agent, outcomes(zone, endpoint, time_ms // 1000))
         due = [answer for answer in owed if answer[0] <= run.now]
         owed = [answer for answer in owed if answer[0] > run.now]
         for _, number, proxy, nonce in due:
-            run.say(number, {"msg": "ack", "proxy": proxy, "mark": nonce, "took_ms": 40.5})
+            run.send(number, {"msg": "ack", "proxy": proxy, "mark": nonce, "took_ms": 40.5})
         if time_ms % 100 == 0:
             run.check_timeouts()
         for number, proxy, nonce in run.round():
--- a/tests/platform/test_discovery_client.py
+++ b/tests/platform/test_discovery_client.py
@@ -120,7 +120,7 @@
     began = world.now
     done = world.wait(6)
     dials = [when for kind, _, when in done if kind is OpenConnection]
-    # what is to be told counts as told 6 s later: a dial, and another one if it is not answered, come before
+    # a change counts as delivered after 6 s: a connection, and another one if it is not answered, come before
     assert dials[0] - began <= module.SILENCE_TIMEOUT_NS + S // 5
     assert len(dials) == 2
     assert dials[1] - began < MAX_DELIVERY_DELAY_NS
@@ -246,7 +246,7 @@
                 place = 1 + order % (len(data) - 1)
                 world.receive(new, data[:place], data[place:])
             drained = drained or world.states().get("a") == "draining"
-            assert not drained or world.states().get("a") == "draining"  # told by whomever, it is kept
+            assert not drained or world.states().get("a") == "draining"  # whoever reported it, it is kept
             assert world.states()
         assert world.states() == {"a": "draining", "c": "ready"}
         assert world.endpoint_list.revision == 44
--- a/tests/platform/test_process_signals.py
+++ b/tests/platform/test_process_signals.py
@@ -106,7 +106,7 @@
 
 
 @pytest.fixture
-def launched(tmp_path):
+def launch(tmp_path):
     made = []
 
     def launch(*arguments, **more):
@@ -114,71 +114,74 @@
         return made[-1]
 
     yield launch
-    for planner in made:
-        if planner.process.poll() is None:
-            planner.process.kill()
-            planner.process.wait(TIMEOUT_S)
-        planner.process.stderr.close()
-        planner.discovery.close()
+    for platform in made:
+        if platform.process.poll() is None:
+            platform.process.kill()
+            platform.process.wait(TIMEOUT_S)
+        platform.process.stderr.close()
+        platform.discovery.close()
 
 
 @pytest.mark.parametrize("place", PLACES)
-def test_sigterm_at_any_place_of_the_start_exits_with_code_0(launched, place):
-    planner = launched(f"{PLACES[place]},{int(signal.SIGTERM)}")
-    assert planner.process.wait(TIMEOUT_S) == 0
-    assert b"Traceback" not in planner.process.stderr.read()
+def test_sigterm_at_any_place_of_the_start_exits_with_code_0(launch, place):
+    platform = launch(f"{PLACES[place]},{int(signal.SIGTERM)}")
+    assert platform.process.wait(TIMEOUT_S) == 0
+    assert b"Traceback" not in platform.process.stderr.read()
 
 
 @pytest.mark.parametrize("place", PLACES)
-def test_sighup_at_any_place_of_the_start_reloads_and_goes_on(launched, place):
-    planner = launched(f"{PLACES[place]},{int(signal.SIGHUP)}")
-    planner.event("reloaded")
-    assert planner.probe() == '{"msg":"alive"}\n'
-    assert planner.end() == 0
+def test_sighup_at_any_place_of_the_start_reloads_and_goes_on(launch, place):
+    platform = launch(f"{PLACES[place]},{int(signal.SIGHUP)}")
+    platform.event("reloaded")
+    assert platform.probe() == '{"msg":"alive"}\n'
+    assert platform.end() == 0
 
 
-def test_signals_that_cross_a_reload(launched):
+def test_signals_that_cross_a_reload(launch):
     """SIGHUP comes again while the file is read for the first one."""
-    planner = launched(f"swiftchute.platform.settings:read,3,{int(signal.SIGHUP)}")
+    platform = launch(f"swiftchute.platform.settings:read,3,{int(signal.SIGHUP)}")
     for _ in range(2):
-        planner.event("reloaded")
-    assert planner.probe() == '{"msg":"alive"}\n'
-    assert planner.end() == 0
+        platform.event("reloaded")
+    assert platform.probe() == '{"msg":"alive"}\n'
+    assert platform.end() == 0
 
 
 @pytest.mark.parametrize("place", ["_stop", "on_client_closed", "os:_exit"])
-def test_signals_repeated_at_the_end_change_nothing(launched, place):
+def test_signals_repeated_at_the_end_change_nothing(launch, place):
     many = ",".join(str(int(n)) for n in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM))
     place = place if ":" in place else f"swiftchute.platform.server:Server.{place}"
-    planner = launched(f"{place},9,{many}")
-    planner.event("serving")
-    assert planner.end() == 0
+    platform = launch(f"{place},9,{many}")
+    platform.event("serving")
+    assert platform.end() == 0
 
 
-def test_accepting_goes_on_after_descriptors_ran_out(launched):
+def test_accepting_goes_on_after_descriptors_ran_out(launch):
     def few():
         resource.setrlimit(resource.RLIMIT_NOFILE, (40, 40))
 
-    planner = launched("none,0", preexec_fn=few)
-    planner.event("serving")
-    heard, crowd = [], [socket.create_connection(("127.0.0.1", planner.port), TIMEOUT_S) for _ in range(200)]
+    platform = launch("none,0", preexec_fn=few)
+    platform.event("serving")
+    replies, crowd = (
+        [],
+        [socket.create_connection(("127.0.0.1", platform.port), TIMEOUT_S) for _ in range(200)],
+    )
     try:
         for client in crowd:  # each is answered or let go, none waits for good
             client.settimeout(TIMEOUT_S)
             with contextlib.suppress(ConnectionError):
                 client.sendall(b'{"msg":"probe"}\n')
-                heard.append(client.recv(100))
-        assert b'{"msg":"alive"}\n' in heard
-        assert planner.process.poll() is None
+                replies.append(client.recv(100))
+        assert b'{"msg":"alive"}\n' in replies
+        assert platform.process.poll() is None
     finally:
         for client in crowd:
             client.close()
-    said = ""
-    while not said:  # until it has seen the ends of the crowd
-        assert planner.process.poll() is None
+    reply = ""
+    while not reply:  # until it has seen the ends of the crowd
+        assert platform.process.poll() is None
         with contextlib.suppress(ConnectionError):
-            said = planner.probe()
-    assert said == '{"msg":"alive"}\n'
-    planner.process.send_signal(signal.SIGTERM)
-    assert planner.event("stopped")["evicted"] > 0  # they were let go by rule, not by the want itself
-    assert planner.end() == 0
+            reply = platform.probe()
+    assert reply == '{"msg":"alive"}\n'
+    platform.process.send_signal(signal.SIGTERM)
+    assert platform.event("stopped")["evicted"] > 0  # they were let go by rule, not by the want itself
+    assert platform.end() == 0
--- a/tests/platform/test_push_encoder.py
+++ b/tests/platform/test_push_encoder.py
@@ -23,12 +23,12 @@
 SET = Settings(**(FACTS | {"operations": tuple(operation(name) for name in CLASSES)}))
 
 
-class Reader:
-    """A proxy: tables and levels by class, servers shut out, marks to be answered, lines counted."""
+class FakeProxy:
+    """A proxy: tables and admissions by class, ejected endpoints, nonces, and entries counted."""
 
     def __init__(self):
         self.tables, self.levels = {c: {} for c in CLASSES}, dict.fromkeys(CLASSES)
-        self.shut, self.marks, self.lines, self.open = set(), [], 0, False
+        self.ejected, self.nonces, self.lines, self.open = set(), [], 0, False
 
     def read(self, data):
         assert not data or data.endswith(b"\n")
@@ -54,24 +54,24 @@
                 self.lines += 1
                 for name in routes:
                     self.levels[name] = (part["admit"], part["policy"])
-            self.shut |= set(part.get("eject", ()))
-            self.shut -= set(part.get("restore", ()))
+            self.ejected |= set(part.get("eject", ()))
+            self.ejected -= set(part.get("restore", ()))
             self.lines += len(part.get("eject", ())) + len(part.get("restore", ()))
             if "nonce_out" in part:
                 self.lines += 1
-                self.marks.append(part["nonce_out"])
+                self.nonces.append(part["nonce_out"])
             self.open = part.get("continued", False)
         assert not self.open
 
     def picks(self, name):
-        return {s: w for s, w in self.tables[name].items() if s not in self.shut}
+        return {s: w for s, w in self.tables[name].items() if s not in self.ejected}
 
 
-class Ordered:
-    """What a planner ordered, by the words of the interface alone."""
+class ExpectedAssignments:
+    """What was commanded, by the meaning of the commands alone."""
 
     def __init__(self):
-        self.tables, self.levels, self.common, self.shut, self.bound = {}, {}, {}, set(), {}
+        self.tables, self.levels, self.common, self.ejected, self.bound = {}, {}, {}, set(), {}
 
     def set_weight(self, table, server, weight):
         self.tables.setdefault(table, {})[server] = weight
@@ -98,7 +98,7 @@
                     self.levels[table, name] = (level, tries)
 
     def set_ejected(self, server, out):
-        (self.shut.add if out else self.shut.discard)(server)
+        (self.ejected.add if out else self.ejected.discard)(server)
 
     def level(self, table, name):
         own, common = self.levels.get((table, name)), self.common.get(name)
@@ -111,37 +111,37 @@
             table = self.bound.get((proxy, name))
             if table is None:
                 continue
-            want = {s: w for s, w in self.tables[table].items() if s not in self.shut}
+            want = {s: w for s, w in self.tables[table].items() if s not in self.ejected}
             if reader.picks(name) != want or reader.levels[name] != self.level(table, name):
                 return False
         return True
 
 
 class World:
-    """A planner's orders, the writer, and proxies that read."""
+    """Assignments, the encoder, and proxies that read."""
 
     def __init__(self, foreign=()):
-        self.orders = Assignments(SET)
-        self.encoder = PushEncoder(SET, self.orders)
-        self.ordered, self.readers, self.seal = Ordered(), {}, 0
+        self.assignments = Assignments(SET)
+        self.encoder = PushEncoder(SET, self.assignments)
+        self.ordered, self.readers, self.nonce = ExpectedAssignments(), {}, 0
         for proxy in range(3):
-            self.readers[proxy] = Reader()
-            self.orders.on_proxy_connected(proxy, "east")
+            self.readers[proxy] = FakeProxy()
+            self.assignments.on_proxy_connected(proxy, "east")
             self.encoder.add_proxy(proxy, proxy not in foreign)
-        self.shut = set()
+        self.ejected = set()
 
     def round(self, verbs, silent=()):
         for verb, *arguments in verbs:
-            getattr(self.orders, verb)(*arguments)
+            getattr(self.assignments, verb)(*arguments)
             getattr(self.ordered, verb)(*arguments)
-        self.seal += 1
-        self.orders.request_ack(self.seal, False)
-        done = self.orders.finish_round()
+        self.nonce += 1
+        self.assignments.request_ack(self.nonce, False)
+        done = self.assignments.finish_round()
         self.encoder.clear_shared()
-        withdrawn, self.shut = self.orders.ejected - self.shut, set(self.orders.ejected)
+        newly_ejected, self.ejected = self.assignments.ejected - self.ejected, set(self.assignments.ejected)
         for proxy in done.entries_by_proxy:
             if proxy not in silent:
-                data, lines = self.encoder.encode(proxy, self.seal, withdrawn)
+                data, lines = self.encoder.encode(proxy, self.nonce, newly_ejected)
                 before = self.readers[proxy].lines
                 self.readers[proxy].read(data)
                 assert self.readers[proxy].lines - before == lines
@@ -180,7 +180,7 @@
     for verbs in rounds:
         world.round(verbs, silent=(1,))
         assert world.agrees(but=(1,))
-    data, _ = world.encoder.encode(1, 9, world.orders.ejected)
+    data, _ = world.encoder.encode(1, 9, world.assignments.ejected)
     world.readers[1].read(data)
     assert world.agrees()
     world.round(last)
@@ -251,7 +251,7 @@
             ("assign_table", 2, 2, 0),
         ]
     )
-    world.orders.set_weight(1, "a", 2.0)
+    world.assignments.set_weight(1, "a", 2.0)
     world.encoder.clear_shared()
     first, second, third = (world.encoder.encode(p, 7)[0] for p in (0, 1, 2))
     assert first is second
@@ -264,13 +264,13 @@
     world.encoder.update_list([entry("a", started=5), entry("b"), entry("c")], True)
     world.encoder.update_list([entry("b", "draining"), entry("d", started=9)], False)
     world.encoder.update_list([entry("b")], False)
-    world.readers[0].shut = {"a", "b"}  # by its last planner; `a` restarted and `b` drained there
+    world.readers[0].ejected = {"a", "b"}  # by its last instance; `a` restarted and `b` drained there
     world.round(
         [("set_weight", 1, s, 1.0) for s in "abcd"] + [("assign_table", 0, 1, 0), ("assign_table", 1, 1, 0)]
     )
     assert world.agrees()
-    assert world.readers[0].shut == set()
-    assert world.readers[0].lines == world.readers[1].lines + 2  # c and d nobody can have shut out
+    assert world.readers[0].ejected == set()
+    assert world.readers[0].lines == world.readers[1].lines + 2  # c and d nobody can have ejected
     world.round([("set_weight", 1, "a", 2.0)])
     assert world.readers[0].lines == world.readers[1].lines + 2  # and no word of it again
 
@@ -278,14 +278,14 @@
 def test_a_foreign_proxy_keeps_ejected_what_is_ejected_here():
     world = World(foreign=(0,))
     world.encoder.update_list([entry("a", "draining", 5), entry("b")], True)
-    world.readers[0].shut = {"a"}
+    world.readers[0].ejected = {"a"}
     world.round([("set_ejected", "a", True)])
     world.round([("set_weight", 1, "a", 1.0), ("set_weight", 1, "b", 1.0), ("assign_table", 0, 1, 0)])
     assert world.readers[0].picks("read") == {"b": 1.0}
     world.encoder.update_list([entry("a", "ready", 7)], False)
     world.round([("set_ejected", "a", False), ("set_weight", 1, "b", 2.0)])
     assert world.agrees()
-    assert world.readers[0].shut == set()
+    assert world.readers[0].ejected == set()
 
 
 def test_an_endpoint_that_comes_back_may_have_been_ejected():
@@ -293,7 +293,7 @@
     world.encoder.update_list([entry("a"), entry("b")], True)
     world.encoder.update_list([entry("a", "gone")], False)
     world.encoder.update_list([entry("a", started=9)], False)
-    world.readers[0].shut = {"a"}
+    world.readers[0].ejected = {"a"}
     world.round([("set_weight", 1, "a", 1.0), ("assign_table", 0, 1, 0)])
     assert world.agrees()
 
@@ -309,7 +309,7 @@
     world.encoder.clear_shared()
     world.readers[0].read(world.encoder.encode(0, 1)[0])
     assert world.readers[0].picks("read") == {"b": 1.0}
-    assert world.readers[0].shut == set()
+    assert world.readers[0].ejected == set()
 
 
 def test_long_tables_are_written_in_parts_and_too_long_ones_raise(monkeypatch):
@@ -318,8 +318,8 @@
     world.round([("set_weight", 1, f"s{k}", 1.0) for k in range(25)] + [("assign_table", 0, 1, 0)])
     assert world.agrees()
     for k in range(700):
-        world.orders.set_weight(2, f"s{k}", 1.0)
-    world.orders.assign_table(1, 2, 0)
+        world.assignments.set_weight(2, f"s{k}", 1.0)
+    world.assignments.assign_table(1, 2, 0)
     with pytest.raises(MessageTooLargeError, match="70 parts"):
         world.encoder.encode(1, 3)
 
--- a/tests/platform/test_races.py
+++ b/tests/platform/test_races.py
@@ -154,7 +154,7 @@
         world.move(new.address)
         await new.wait_watched()
         assert await middle.wait_closed() != b""
-        old.send(42, MEMBERS[0] | {"phase": "Terminating"})  # the first one is heard all the time
+        old.send(42, MEMBERS[0] | {"phase": "Terminating"})  # the first one counts all the time
         await proxy.receive_removal("e0")
         await new.write(HEAD + changes(43, MEMBERS[1] | {"phase": "Terminating"}))
         await proxy.receive_removal("e1")
@@ -226,10 +226,10 @@
     async def scenario(world, old):
         linger = bytes([1, 0, 0, 0, 0, 0, 0, 0])  # ended by a reset
         hello = b'{"msg":"hello","proxy":9,"zone":"east","weight":1.0,"fresh":true}\n'
-        for said in (b"", hello[:11], hello):
+        for data in (b"", hello[:11], hello):
             for _ in range(20):
                 with socket.create_connection(("127.0.0.1", world.port)) as killed:  # the loop does not run
-                    killed.sendall(said)
+                    killed.sendall(data)
                     killed.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
         proxy = await Client().open_proxy(world.port, 9)
         await proxy.receive_table()
--- /dev/null
+++ b/tests/platform/test_round_schedule.py
@@ -0,0 +1,20 @@
+"""When rounds run: kept apart, at once after a pause, and not later than they are due."""
+
+from swiftchute.platform.round_schedule import MIN_ROUND_INTERVAL_NS, RoundSchedule
+
+NOW = 10**18
+
+
+def test_a_requested_round_waits_for_the_interval_since_the_last_one():
+    schedule = RoundSchedule()
+    assert schedule.wait_for_round_ns(NOW) == 0
+    schedule.record_round(NOW)
+    assert schedule.wait_for_round_ns(NOW) == MIN_ROUND_INTERVAL_NS
+    assert schedule.wait_for_round_ns(NOW + 1000) == MIN_ROUND_INTERVAL_NS - 1000
+    assert schedule.wait_for_round_ns(NOW + MIN_ROUND_INTERVAL_NS + 1) == 0
+
+
+def test_a_round_that_nobody_requests_waits_until_it_is_due_and_at_least_the_interval():
+    schedule = RoundSchedule()
+    assert schedule.wait_without_request_ns(NOW + 10**9, NOW) == 10**9
+    assert schedule.wait_without_request_ns(NOW - 10**9, NOW) == MIN_ROUND_INTERVAL_NS
--- a/tests/platform/test_session_manager.py
+++ b/tests/platform/test_session_manager.py
@@ -77,7 +77,7 @@
     (word,) = errors(session)
     assert word["msg"] == "error"
     assert word["cause"]
-    world.send(session, HELLO)  # nothing more is heard
+    world.send(session, HELLO)  # nothing more is handled
     assert not world.manager.sessions_by_proxy
     assert world.events(ProxyConnected) == []
 
