--- a/benchmarks/push.py
+++ b/benchmarks/push.py
@@ -26,7 +26,7 @@
 from grpclib.const import Cardinality
 
 from swiftchute.proxy.xds_client import XdsClient
-from swiftchute.xds.server import ADS, Raw
+from swiftchute.xds.server import ADS, RawCodec
 
 WORKERS, PROCESSES = int(os.environ.get("WORKERS", "100")), 4
 SETTINGS = """
@@ -134,7 +134,7 @@
             self.done = time.monotonic_ns()
 
     async def run(self) -> None:
-        channel = Channel("127.0.0.1", self.port, codec=Raw())
+        channel = Channel("127.0.0.1", self.port, codec=RawCodec())
         method = ADS + ("DeltaAggregatedResources" if self.client.delta else "StreamAggregatedResources")
         async with channel.request(method, Cardinality.STREAM_STREAM, bytes, bytes) as stream:
             await stream.send_request()
--- a/swiftchute/daemon/service.py
+++ b/swiftchute/daemon/service.py
@@ -17,8 +17,8 @@
 from swiftchute.observability.logging import mode_fields
 from swiftchute.policy import Reconciler
 from swiftchute.safety.validator import SafetyRules
-from swiftchute.xds.frontend import Front, Out
-from swiftchute.xds.server import Shell
+from swiftchute.xds.frontend import FrontendOutput, XdsFrontend
+from swiftchute.xds.server import XdsServer
 
 S = 1_000_000_000
 ROUND = 5_000_000  # what comes in within so long makes one round, as in the bench's rounds
@@ -64,7 +64,7 @@
             config.settings, config.seed, make, now, rules, mode == "enforce", _retention(config.tables)
         )
         xds, life = config.xds, int(time.time() * 1000)
-        self.front = Front(
+        self.front = XdsFrontend(
             self.controller,
             config.settings,
             life,
@@ -79,7 +79,7 @@
         if config.dns["listen"]:
             answers = DnsFront(self.controller, config.settings, config.dns, config.seed, offset)
             self.dns = DnsShell(answers, config.settings.zone, self.clock, log)
-        self.shell = Shell(self.front, config.settings, xds, self.kick, self.clock, log)
+        self.shell = XdsServer(self.front, config.settings, xds, self.kick, self.clock, log)
         commands = Commands(self.controller, self.clock, self.kick).all()
         self.control = AdminServer(config.control, commands) if config.control else None
         self.stop, self.fault = asyncio.Event(), None
@@ -164,7 +164,7 @@
             found["dns_notifies"] = self.dns.front.secondaries.lost
         return found
 
-    def _events(self, out: Out) -> None:
+    def _events(self, out: FrontendOutput) -> None:
         now = self._past_bounds()
         if now != self.past and self.clock() >= self.tell_past:  # told at most once in ten seconds
             self.past, self.tell_past = now, self.clock() + 10 * S
--- a/swiftchute/fakes/backend.py
+++ b/swiftchute/fakes/backend.py
@@ -16,7 +16,7 @@
 from grpclib.exceptions import GRPCError
 from grpclib.server import Stream
 
-from swiftchute.xds.server import Breakable, Raw
+from swiftchute.xds.server import AbortableServer, RawCodec
 
 SERVICE = "/swiftchute.fakes.Worker/"
 RECEIPTS_MOST = 200_000
@@ -59,7 +59,7 @@
         self.facts, self.zone, self.speed = facts, zone, speed
         self.random = random.Random(seed)
         self.receipts: deque[Receipt] = deque(maxlen=RECEIPTS_MOST)
-        self.server: Breakable | None = None
+        self.server: AbortableServer | None = None
         self.address = ""
         self.started: float | None = None  # monotonic seconds of a cold start; None: warm long since
         self.mode = "well"  # "hang", "fail" (before it runs), "fail late" (after)
@@ -82,7 +82,7 @@
         """Listen, at the same address as before if it ran before."""
         before, _, port = self.address.rpartition(":")
         host = before or host
-        self.server = Breakable([self], codec=Raw())
+        self.server = AbortableServer([self], codec=RawCodec())
         await self.server.start(host, int(port or 0), reuse_address=True)
         self.address = "{}:{}".format(*self.server._server.sockets[0].getsockname()[:2])
         self.cores = asyncio.Semaphore(self.facts.cores)
--- a/swiftchute/proxy/control_client.py
+++ b/swiftchute/proxy/control_client.py
@@ -16,7 +16,7 @@
 from grpclib.exceptions import GRPCError, StreamTerminatedError
 
 from swiftchute.proxy.xds_client import XdsClient
-from swiftchute.xds.server import ADS, LRS, Raw
+from swiftchute.xds.server import ADS, LRS, RawCodec
 
 STREAM_ERRORS = (GRPCError, StreamTerminatedError, ConnectionError, OSError, asyncio.TimeoutError)
 CONNECT_TIMEOUT_S = 2.0
@@ -108,7 +108,7 @@
 
     async def _run_connection(self, host: str, port: int, stream: int) -> None:
         """One connection, until it fails or ends."""
-        channel = self._channel = Channel(host, port, codec=Raw(), config=self._configuration())
+        channel = self._channel = Channel(host, port, codec=RawCodec(), config=self._configuration())
         reports = None
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
--- a/swiftchute/xds/load_reports.py
+++ b/swiftchute/xds/load_reports.py
@@ -15,7 +15,7 @@
 from google.protobuf.message import DecodeError
 
 from swiftchute.controller.load_aggregation import DemandEntry, EndpointEntry, LoadReport
-from swiftchute.xds.messages import Violation
+from swiftchute.xds.errors import ProtocolViolationError
 from swiftchute.xds.names import operation_of
 
 MS, S = 1_000_000, 1_000_000_000
@@ -41,7 +41,9 @@
     try:
         message = LoadStatsRequest.FromString(data)
     except DecodeError:
-        raise Violation("INVALID_ARGUMENT", f"{len(data)} bytes that are no LoadStatsRequest") from None
+        raise ProtocolViolationError(
+            "INVALID_ARGUMENT", f"{len(data)} bytes that are no LoadStatsRequest"
+        ) from None
     arrived: dict[str, tuple[int, int]] = {}
     met: dict[str, tuple[int, int, int, int]] = {}
     span = 0
--- a/swiftchute/xds/messages.py
+++ b/swiftchute/xds/messages.py
@@ -16,19 +16,12 @@
 )
 from google.protobuf.message import DecodeError
 
+from swiftchute.xds.errors import ProtocolViolationError
 from swiftchute.xds.resources import Resource
 
 
-class Violation(Exception):
-    """The client is at fault: a gRPC status by name and what it did. The stream ends with it."""
-
-    def __init__(self, status: str, text: str) -> None:
-        super().__init__(text)
-        self.status, self.text = status, text
-
-
 @dataclass(frozen=True)
-class Peer:
+class ProxyNode:
     """Who a stream belongs to: `Node.id`, its zone, invocations a second it expects, and what it can do."""
 
     node: str
@@ -39,7 +32,7 @@
 
 
 @dataclass(frozen=True)
-class Request:
+class AdsRequest:
     """A request of either form; a SotW one has `names`, a delta one has `subscribe` and `unsubscribe`."""
 
     kind: str
@@ -52,7 +45,7 @@
 
 
 @dataclass(frozen=True)
-class Reply:
+class AdsResponse:
     """A response of either form; `removed` is of the delta form only."""
 
     kind: str
@@ -62,35 +55,35 @@
     removed: tuple[str, ...] = ()
 
 
-def peer(node: Node, zones: tuple[str, ...]) -> Peer:
+def peer(node: Node, zones: tuple[str, ...]) -> ProxyNode:
     """Read a node; one without id or of a zone that is not served is a `Violation`."""
     if not node.id:
-        raise Violation("INVALID_ARGUMENT", "the first request carries no node id")
+        raise ProtocolViolationError("INVALID_ARGUMENT", "the first request carries no node id")
     if len(node.id) > 256:
-        raise Violation("INVALID_ARGUMENT", f"node id of {len(node.id)} characters; 256 at most")
+        raise ProtocolViolationError("INVALID_ARGUMENT", f"node id of {len(node.id)} characters; 256 at most")
     if node.locality.zone not in zones:
-        raise Violation(
+        raise ProtocolViolationError(
             "INVALID_ARGUMENT",
             f"node {node.id}: zone {node.locality.zone[:64]!r} is none of {', '.join(zones)}",
         )
     rate = node.metadata.fields["rate"].number_value if "rate" in node.metadata.fields else 0.0
     fresh = "fresh" not in node.metadata.fields or node.metadata.fields["fresh"].bool_value
     known = rate if 0 < rate < 1e9 else None
-    return Peer(node.id, node.locality.zone, known, fresh, frozenset(node.client_features))
+    return ProxyNode(node.id, node.locality.zone, known, fresh, frozenset(node.client_features))
 
 
-def decode(data: bytes, delta: bool) -> tuple[Request, Node]:
+def decode(data: bytes, delta: bool) -> tuple[AdsRequest, Node]:
     """Bytes of a request; the node may be empty after the first on a stream."""
     message = DeltaDiscoveryRequest() if delta else DiscoveryRequest()
     try:
         message.ParseFromString(data)
     except DecodeError:
-        raise Violation(
+        raise ProtocolViolationError(
             "INVALID_ARGUMENT", f"{len(data)} bytes that are no {type(message).__name__}"
         ) from None
     error = message.error_detail.message[:500] if message.HasField("error_detail") else None
     if delta:
-        return Request(
+        return AdsRequest(
             message.type_url,
             message.response_nonce,
             error,
@@ -98,7 +91,7 @@
             unsubscribe=tuple(message.resource_names_unsubscribe),
             initial=dict(message.initial_resource_versions),
         ), message.node
-    return Request(
+    return AdsRequest(
         message.type_url, message.response_nonce, error, names=tuple(message.resource_names)
     ), message.node
 
@@ -120,7 +113,7 @@
     return made.SerializeToString()
 
 
-def encode(reply: Reply, delta: bool) -> bytes:
+def encode(reply: AdsResponse, delta: bool) -> bytes:
     """Bytes of a response. Fields of a message may come in pieces and in any order (protobuf encoding
     page)."""
     nonce = DeltaDiscoveryResponse(nonce=reply.nonce) if delta else DiscoveryResponse(nonce=reply.nonce)
--- /dev/null
+++ b/swiftchute/xds/resource_selection.py
@@ -0,0 +1,148 @@
+"""Chooses what a client should hold of a resource type: what is wanted, or what stands in for it."""
+
+from collections.abc import Collection, Iterable, Mapping
+
+from swiftchute.xds import names
+from swiftchute.xds.resources import Resource, Wanted, assignment, cluster
+from swiftchute.xds.subscription import Subscription
+
+
+class ResourceSelector:
+    """Chooses the resources of one stream; its flags say what the last choices held back."""
+
+    def __init__(self, subscriptions: Mapping[str, Subscription], delta: bool, collections: bool) -> None:
+        """Choose for the subscriptions of a stream.
+
+        Args:
+            subscriptions: By type URL.
+            delta: Whether the stream uses incremental xDS.
+            collections: Whether the client takes endpoints one by one (LEDS).
+        """
+        self.unavailable: Collection[str] = frozenset()  # endpoints that drain or are removed
+        self.withheld = False  # something wanted is not sent because it was rejected
+        self.retry_at_ns: int | None = None  # when a rejected resource may be sent again
+        self._subscriptions = subscriptions
+        self._delta = delta
+        self._collections = collections
+
+    def reset(self) -> None:
+        """Clear the flags before the choices of another step."""
+        self.withheld = False
+        self.retry_at_ns = None
+
+    def wanted_names(self, subscription: Subscription, wanted: Wanted) -> Iterable[str]:
+        """Return the names of the wanted resources that the client asked for."""
+        of_type = wanted[subscription.type_url]
+        if subscription.wildcard:
+            return of_type.keys()
+        if subscription.type_url == names.LEDS:
+            return [entry for name in subscription.names for entry in wanted.lines(name)]
+        return subscription.names & of_type.keys()
+
+    def choose(
+        self, subscription: Subscription, wanted: Wanted, keep_held: bool, now_ns: int
+    ) -> dict[str, Resource]:
+        """Return the resources of a type that the client should hold, by name.
+
+        Args:
+            subscription: State of the type.
+            wanted: Everything that the client should hold.
+            keep_held: Whether what it holds must stay until its new routes are acknowledged.
+            now_ns: Time of the choice.
+        """
+        of_type = wanted[subscription.type_url]
+        chosen = {name: of_type[name] for name in self.wanted_names(subscription, wanted)}
+        if subscription.type_url in (names.CDS, names.EDS) and of_type:
+            for name in subscription.names - chosen.keys():
+                alias = self._alias(subscription, name, wanted)
+                if alias is not None:
+                    chosen[name] = alias
+        for name in chosen.keys() & subscription.rejections.keys():
+            substitute = self._substitute(subscription, name, chosen.pop(name), now_ns)
+            if substitute is not None:
+                chosen[name] = substitute
+        if keep_held:
+            for name, resource in self._kept(subscription).items():
+                chosen.setdefault(name, resource)
+        return chosen
+
+    def without_unavailable(self, subscription: Subscription, name: str) -> Resource | None:
+        """Return the table that the client holds less the unavailable endpoints.
+
+        Everything in it was accepted before, so it is the form least likely to be rejected, and a drain must
+        not wait behind a rejection. None if there is nothing to remove, nothing would be left, or this was
+        rejected too.
+        """
+        held = subscription.held.get(name)
+        if held is None or not held.lines:
+            return None
+        entries = tuple(entry for entry in held.lines if entry[0] not in self.unavailable)
+        if not entries or len(entries) == len(held.lines):
+            return None
+        reduced = assignment(name, entries, held.level)
+        rejected = reduced.version in subscription.rejections[name].versions
+        return None if rejected else reduced
+
+    def _kept(self, subscription: Subscription) -> dict[str, Resource]:
+        """Return what is held; of entries, not those of unavailable endpoints unless a table had no other.
+
+        A client that rejects its new tables uses its old ones, perhaps of another instance: a drain must
+        reach it there, and the removal of an entry contains nothing that it could reject.
+        """
+        if subscription.type_url != names.LEDS or not self.unavailable:
+            return subscription.held
+        kept: dict[str, Resource] = {}
+        by_table: dict[str, dict[str, Resource]] = {}
+        for name, resource in subscription.held.items():
+            parts = names.line_parts(name)
+            if parts is None or parts[2] not in self.unavailable:
+                kept[name] = resource
+            by_table.setdefault(parts[0] if parts else "", {})[name] = resource
+        for held in by_table.values():
+            if not held.keys() & kept.keys():
+                kept |= held
+                self.withheld = True
+        return kept
+
+    def _alias(self, subscription: Subscription, name: str, wanted: Wanted) -> Resource | None:
+        """Return the client's own table under an old name that it still asks for, if it is a table's name.
+
+        A client that was moved, or comes from another instance, drops the old name once it holds its new
+        routes. Until then the old routes must lead somewhere, and drains must reach it.
+        """
+        table = name.partition("/")[0].partition("~")[0]
+        if subscription.type_url == names.CDS:
+            known = names.operation_of(name) in wanted[names.RDS] and names.is_table(table)
+            # a delta client keeps a cluster until it is removed
+            return cluster(name, table) if known and not self._delta else None
+        if subscription.type_url != names.EDS or self._collections or not names.is_table(name):
+            return None
+        return self._aliased_assignment(name, table, wanted)
+
+    def _aliased_assignment(self, name: str, table: str, wanted: Wanted) -> Resource | None:
+        routes = wanted[names.RDS]
+        clusters = self._subscriptions[names.CDS]
+        operations = [
+            names.operation_of(cluster_name)
+            for cluster_name in sorted(clusters.names | clusters.held.keys())
+            if cluster_name.startswith(table + "/")
+        ]
+        for route in [routes[op] for op in operations if op in routes] or routes.values():
+            for _, cluster_name in route.refs:
+                made = wanted[names.CDS][cluster_name]
+                current = wanted[names.EDS][made.refs[0][1]]
+                return assignment(name, current.lines, current.level)
+        return None
+
+    def _substitute(
+        self, subscription: Subscription, name: str, wanted: Resource, now_ns: int
+    ) -> Resource | None:
+        """Return what to send for a resource of which the client rejected a version: never the same again."""
+        rejections = subscription.rejections[name]
+        if wanted.version not in rejections.versions:
+            if now_ns >= rejections.retry_at_ns:
+                return wanted
+            self.retry_at_ns = min(self.retry_at_ns or rejections.retry_at_ns, rejections.retry_at_ns)
+        self.withheld = True
+        reduced = self.without_unavailable(subscription, name)
+        return reduced if reduced is not None else subscription.held.get(name)
--- a/swiftchute/xds/server.py
+++ b/swiftchute/xds/server.py
@@ -20,8 +20,8 @@
 
 from swiftchute.api.settings import Settings
 from swiftchute.xds import load_reports, messages
-from swiftchute.xds.frontend import Front, Out
-from swiftchute.xds.messages import Violation
+from swiftchute.xds.errors import ProtocolViolationError
+from swiftchute.xds.frontend import FrontendOutput, XdsFrontend
 
 S = 1_000_000_000
 ADS = "/envoy.service.discovery.v3.AggregatedDiscoveryService/"
@@ -29,7 +29,7 @@
 QUEUE = 64  # replies that may wait for a client's window: five types, each with a few overtaken ones
 
 
-class Raw(CodecBase):
+class RawCodec(CodecBase):
     """Messages stay bytes; the cores read and make them."""
 
     __content_subtype__ = "proto"
@@ -52,9 +52,9 @@
         return None
     size = int.from_bytes(head[1:5], "big")
     if head[0]:
-        raise Violation("UNIMPLEMENTED", "compressed messages are not taken")
+        raise ProtocolViolationError("UNIMPLEMENTED", "compressed messages are not taken")
     if size > most:
-        raise Violation("RESOURCE_EXHAUSTED", f"a message of {size} bytes; {most} at most")
+        raise ProtocolViolationError("RESOURCE_EXHAUSTED", f"a message of {size} bytes; {most} at most")
     return bytes(await stream._stream.recv_data(size))
 
 
@@ -65,7 +65,7 @@
         transport.abort()
 
 
-class Breakable(Server):
+class AbortableServer(Server):
     """A server with a bound of connections, which can be broken at once: grpclib's own close leaves
     them open."""
 
@@ -91,12 +91,12 @@
                 protocol.connection._transport.abort()
 
 
-class Shell:
+class XdsServer:
     """Serves ADS in both forms and LRS for one front; `kick` asks the planner's loop for a turn."""
 
     def __init__(
         self,
-        front: Front,
+        front: XdsFrontend,
         settings: Settings,
         plumbing: dict[str, Any],
         kick: Callable[[], None],
@@ -110,7 +110,7 @@
         self.queues: dict[int, asyncio.Queue[bytes | tuple[str, str]]] = {}
         self.deltas: dict[int, bool] = {}
         self.operations = frozenset(op.name for op in settings.operations)
-        self.server: Breakable | None = None
+        self.server: AbortableServer | None = None
         self.bytes = self.messages = 0
         self.waiting = 0  # streams that have not named their node yet
         self.reporting: dict[str, int] = {}  # by node, the number of its newest report stream
@@ -127,7 +127,9 @@
     async def start(self) -> tuple[str, int]:
         """Listen; returns the address."""
         config = Configuration(http2_connection_window_size=2**20, http2_stream_window_size=2**18)
-        self.server = Breakable([self], codec=Raw(), config=config, most=2 * self.plumbing["streams"])
+        self.server = AbortableServer(
+            [self], codec=RawCodec(), config=config, most=2 * self.plumbing["streams"]
+        )
         host, port = self.plumbing["listen"]
         await self.server.start(host, port, backlog=1024)
         return self.server._server.sockets[0].getsockname()[:2]
@@ -148,13 +150,13 @@
 
     async def _first(self, stream: Stream) -> bytes | None:
         if self.waiting >= self.plumbing["streams"]:
-            raise Violation("RESOURCE_EXHAUSTED", "too many streams without a node")
+            raise ProtocolViolationError("RESOURCE_EXHAUSTED", "too many streams without a node")
         self.waiting += 1
         try:  # a client that opens streams and says nothing holds them no longer than this
             async with asyncio.timeout(self.plumbing["read_within"] / S):
                 return await receive(stream, self.plumbing["max_message"])
         except TimeoutError:
-            raise Violation("DEADLINE_EXCEEDED", "no first request") from None
+            raise ProtocolViolationError("DEADLINE_EXCEEDED", "no first request") from None
         finally:
             self.waiting -= 1
 
@@ -177,7 +179,7 @@
                 if data is None:
                     break
                 request, _ = messages.decode(data, delta)
-        except Violation as why:
+        except ProtocolViolationError as why:
             cause = why.text
             self.log.warning("stream refused", stream=sid, status=why.status, cause=why.text)
             raise GRPCError(Status[why.status], why.text) from None
@@ -219,7 +221,7 @@
         reader.cancel()
         return end
 
-    def carry_out(self, out: Out) -> None:
+    def carry_out(self, out: FrontendOutput) -> None:
         """Queue a turn's replies and cuts."""
         for sid, reply in out.replies:
             queue = self.queues.get(sid)
@@ -250,7 +252,9 @@
             report, node = load_reports.decode(data, self.operations)
             peer, mine = messages.peer(node, self.set.zones), next(self.sids)
             if peer.node not in self.reporting and len(self.reporting) >= self.plumbing["streams"]:
-                raise Violation("RESOURCE_EXHAUSTED", f"{len(self.reporting)} report streams are open")
+                raise ProtocolViolationError(
+                    "RESOURCE_EXHAUSTED", f"{len(self.reporting)} report streams are open"
+                )
             self.reporting[peer.node] = mine
             await stream.send_message(load_reports.answer(self.set.report_interval_ns))
             while self.reporting.get(peer.node) == mine:  # a node reports on one stream, the newest
@@ -260,8 +264,8 @@
                 if data is None:
                     return
                 report, _ = load_reports.decode(data, self.operations)
-            raise Violation("ABORTED", f"node {peer.node} opened another report stream")
-        except Violation as why:
+            raise ProtocolViolationError("ABORTED", f"node {peer.node} opened another report stream")
+        except ProtocolViolationError as why:
             raise GRPCError(Status[why.status], why.text) from None
         except (StreamTerminatedError, ConnectionError, AssertionError):
             return
--- a/tests/dns/test_frontend.py
+++ b/tests/dns/test_frontend.py
@@ -36,7 +36,8 @@
 from swiftchute.dns.ttl import Lease
 from swiftchute.dns.zone_transfer import TRIES, Secondaries
 from swiftchute.safety.validator import SafetyRules
-from swiftchute.xds.messages import Peer, Violation
+from swiftchute.xds.errors import ProtocolViolationError
+from swiftchute.xds.messages import ProxyNode
 from tests.conftest import FACTS, Fixed, operation
 
 S = 1_000_000_000
@@ -535,11 +536,11 @@
 
 
 def test_a_node_that_calls_itself_a_view_is_refused(world):
-    from swiftchute.xds.frontend import Front as Xds
+    from swiftchute.xds.frontend import XdsFrontend as Xds
 
     xds = Xds(world.controller, world.controller.settings, 1, S, 1.0, 10, 7)
-    with pytest.raises(Violation, match="another front"):
-        xds.opened(1, Peer("dns/east", "east", None, True, frozenset()), True, NOW)
+    with pytest.raises(ProtocolViolationError, match="another front"):
+        xds.opened(1, ProxyNode("dns/east", "east", None, True, frozenset()), True, NOW)
 
 
 # -- transfers
--- a/tests/proxy/test_server.py
+++ b/tests/proxy/test_server.py
@@ -25,7 +25,7 @@
 from swiftchute.proxy.server import ProxyServer
 from swiftchute.proxy.settings import Idempotency, PoolLimits, ProxyLimits, RouteSettings, ServerSettings
 from swiftchute.proxy.xds_client import XdsClient
-from swiftchute.xds.server import Raw
+from swiftchute.xds.server import RawCodec
 
 S = 1_000_000_000
 SETTINGS = ServerSettings()
@@ -108,7 +108,7 @@
 
     async def __aenter__(self):
         self.at = await self.proxy.start()
-        self.channel = Channel(*self.at, codec=Raw())
+        self.channel = Channel(*self.at, codec=RawCodec())
         return self
 
     async def __aexit__(self, *_):
@@ -274,7 +274,7 @@
             timeout=20.0,
             settings=replace(SETTINGS, pool=PoolLimits(max_streams=1000, max_waiting=1000)),
         ) as world:
-            channels = [Channel(*world.at, codec=Raw()) for _ in range(20)]
+            channels = [Channel(*world.at, codec=RawCodec()) for _ in range(20)]
 
             async def one(k):
                 world_ = World.__new__(World)
@@ -450,7 +450,7 @@
 
         async def calls(at, count):
             world = World.__new__(World)
-            world.channel = Channel(*at, codec=Raw())
+            world.channel = Channel(*at, codec=RawCodec())
             try:
                 return [await world.call(body=b"%d|0|g" % k) for k in range(count)]
             finally:
--- a/tests/xds/test_server.py
+++ b/tests/xds/test_server.py
@@ -23,7 +23,7 @@
 from swiftchute.policy import Reconciler
 from swiftchute.proxy.xds_client import XdsClient
 from swiftchute.xds import names
-from swiftchute.xds.server import ADS, Raw
+from swiftchute.xds.server import ADS, RawCodec
 
 SETTINGS = Path("examples/planner.hcl").read_text(encoding="utf-8")
 
@@ -115,7 +115,7 @@
 
 async def refused(address, requests, form="Stream"):
     """Open a stream, send these bytes, and return the status it ends with."""
-    channel = Channel(*address, codec=Raw())
+    channel = Channel(*address, codec=RawCodec())
     try:
         async with channel.request(
             ADS + form + "AggregatedResources", Cardinality.STREAM_STREAM, bytes, bytes
@@ -199,7 +199,7 @@
 async def _unread(address, front):
     """A client that takes its clusters, asks for endpoints and reads no further."""
     small = Configuration(http2_stream_window_size=65_535, http2_connection_window_size=65_535)
-    channel = Channel(*address, codec=Raw(), config=small)
+    channel = Channel(*address, codec=RawCodec(), config=small)
     stuck, method = XdsClient("stuck", "north", 5.0, delta=False), ADS + "StreamAggregatedResources"
     try:
         async with channel.request(method, Cardinality.STREAM_STREAM, bytes, bytes) as stream:
--- a/tests/xds/test_stream.py
+++ b/tests/xds/test_stream.py
@@ -9,9 +9,10 @@
 from swiftchute.controller.controller import ProxyTables, TableContent
 from swiftchute.proxy.xds_client import XdsClient
 from swiftchute.xds import names
-from swiftchute.xds.messages import Request, Violation, decode, encode
+from swiftchute.xds.errors import ProtocolViolationError
+from swiftchute.xds.messages import AdsRequest, decode, encode
 from swiftchute.xds.resources import Translator, whole_weights
-from swiftchute.xds.stream import Applied, Refused, Stale, Stream
+from swiftchute.xds.stream import Acknowledged, AdsStream, Rejected, StaleRequest
 from tests.conftest import FACTS, operation
 
 S = 1_000_000_000
@@ -31,21 +32,21 @@
 
     def __init__(self, delta=False, lines=False):
         self.translator, self.now, self.seal, self.delta = Translator(SETTINGS), 0, 0, delta
-        self.stream = Stream(delta, "t", 1, lines)
+        self.stream = AdsStream(delta, "t", 1, lines)
 
     def want(self, held, shut=()):
         self.seal += 1
-        wanted = self.translator.wanted(held, shut, self.stream.lines)
-        self.stream.want(wanted, f"push-{self.seal}", self.seal, self.now)
+        wanted = self.translator.wanted(held, shut, self.stream.collections)
+        self.stream.set_wanted(wanted, f"push-{self.seal}", self.seal, self.now)
         return self.progress()
 
     def progress(self, wait=0.0):
         self.now += int(wait * S)
-        return self.stream.progress(self.now)
+        return self.stream.advance(self.now)
 
     def ask(self, kind, *given, **fields):
         fields["subscribe" if self.delta else "names"] = given
-        events = self.stream.request(Request(kind, **fields), self.now)
+        events = self.stream.on_request(AdsRequest(kind, **fields), self.now)
         replies, later = self.progress()
         return replies, events + later
 
@@ -80,7 +81,7 @@
     wire.ack(lds)
     (rds,), _ = wire.ask(names.RDS, "read", "write")
     _, events = wire.ack(rds, "read", "write")
-    assert events == [Applied(1)]
+    assert events == [Acknowledged(1)]
     wire.eds = eds
     return wire
 
@@ -108,14 +109,14 @@
     sotw.ack(cds, "0.1/read")
     (eds,), events = sotw.ask(names.EDS, "0.1")
     assert events == []
-    assert sotw.ack(eds, "0.1") == ([], [Applied(1)])
+    assert sotw.ack(eds, "0.1") == ([], [Acknowledged(1)])
 
 
 def test_only_changed_tables_go_and_a_mark_waits_for_its_ack(bound):
     (eds,), events = bound.want(holding({A: 1.0, B: 1.0, C: 0.5}))
     assert eds.kind == names.EDS
     assert events == []
-    assert bound.ack(eds, "0.1") == ([], [Applied(2)])
+    assert bound.ack(eds, "0.1") == ([], [Acknowledged(2)])
 
 
 def test_changes_during_a_reply_wait_and_go_merged(bound):
@@ -125,35 +126,35 @@
     (second,), events = bound.ack(first, "0.1")
     assert [r.lines for r in second.resources] == [((B, "east", 0.5),)]
     assert events == []
-    assert bound.ack(second, "0.1") == ([], [Applied(4)])
+    assert bound.ack(second, "0.1") == ([], [Acknowledged(4)])
 
 
 def test_an_ack_for_a_replaced_nonce_is_stale(bound):
     (eds,), _ = bound.want(holding({A: 1.0}))
     replies, events = bound.ask(names.EDS, "0.1", nonce=bound.eds.nonce)
-    assert (replies, events) == ([], [Stale(names.EDS, bound.eds.nonce)])
-    assert bound.ack(eds, "0.1")[1] == [Applied(2)]
+    assert (replies, events) == ([], [StaleRequest(names.EDS, bound.eds.nonce)])
+    assert bound.ack(eds, "0.1")[1] == [Acknowledged(2)]
     assert bound.ack(eds, "0.1") == ([], [])  # the same ACK again says nothing new
 
 
 def test_a_refused_table_is_not_sent_again_and_a_drain_goes_in_part(bound):
     (eds,), _ = bound.want(holding({A: 1.0, B: 1.0, C: 1.0}))
     replies, events = bound.ack(eds, "0.1", error="no C")
-    assert events == [Refused(names.EDS, ("0.1",), "no C", "kept")]
+    assert events == [Rejected(names.EDS, ("0.1",), "no C", "kept")]
     assert replies == []  # the old version stands
     assert bound.want(holding({A: 1.0, B: 1.0, C: 1.0})) == ([], [])  # nor unchanged, by a later push
-    bound.stream.barred = frozenset({B})
+    bound.stream.unavailable = frozenset({B})
     (part,), _ = bound.want(holding({A: 1.0, C: 1.0}))
     assert [r.lines for r in part.resources] == [((A, "east", 1.0),)]  # what it held, less the drain
     replies, events = bound.ack(part, "0.1")
-    assert not any(isinstance(e, Applied) for e in events)  # it does not hold what is wanted
+    assert not any(isinstance(e, Acknowledged) for e in events)  # it does not hold what is wanted
     assert bound.progress(wait=2.0)[0][0].resources[0].lines == ((A, "east", 1.0), (C, "east", 1.0))
 
 
 def test_a_refused_part_is_not_sent_again_either(bound):
     (eds,), _ = bound.want(holding({A: 1.0, B: 1.0, C: 1.0}))
     bound.ack(eds, "0.1", error="no")
-    bound.stream.barred = frozenset({B})
+    bound.stream.unavailable = frozenset({B})
     (part,), _ = bound.progress()
     _, events = bound.ack(part, "0.1", error="no")
     assert events[0].answer == "kept"
@@ -178,8 +179,8 @@
     wire = Wire(delta=True, lines=True)
     wire.want(holding({A: 1.0, B: 1.0, C: 1.0}))
     wire.ask(names.LEDS, names.collection("0.1", "east"))
-    reply = _refuse_line(wire, wire.stream.kinds[names.LEDS].out.nonce, B)
-    taken = {names.line_parts(n)[2] for n in wire.stream.kinds[names.LEDS].held}
+    reply = _refuse_line(wire, wire.stream.subscriptions[names.LEDS].pending.nonce, B)
+    taken = {names.line_parts(n)[2] for n in wire.stream.subscriptions[names.LEDS].held}
     assert taken == {A, C}
     assert reply is None
 
@@ -187,10 +188,10 @@
 def _refuse_line(wire, nonce, server):
     """Answer every reply of lines, refusing those that hold `server`; returns what is still out."""
     for _ in range(20):
-        out = wire.stream.kinds[names.LEDS].out
+        out = wire.stream.subscriptions[names.LEDS].pending
         if out is None:
             return None
-        bad = any(names.line_parts(n)[2] == server for n in out.sent)
+        bad = any(names.line_parts(n)[2] == server for n in out.resources)
         wire.ask(names.LEDS, nonce=out.nonce, error="no" if bad else None)
     return out
 
@@ -202,14 +203,14 @@
         given = {names.EDS: ["0.1"], names.RDS: ["read", "write"]}.get(kind, ["*"])
         wire.ask(kind, *given)
         _refuse_line(wire, "", C)
-        for k in wire.stream.kinds.values():
-            while k.out:
-                wire.ask(k.url, nonce=k.out.nonce)
+        for k in wire.stream.subscriptions.values():
+            while k.pending:
+                wire.ask(k.type_url, nonce=k.pending.nonce)
     wire.ask(names.LEDS, names.collection("0.1", "east"))
-    wire.ask(names.LEDS, nonce=wire.stream.kinds[names.LEDS].out.nonce)
-    for k in wire.stream.kinds.values():
-        while k.out:
-            wire.ask(k.url, nonce=k.out.nonce)
+    wire.ask(names.LEDS, nonce=wire.stream.subscriptions[names.LEDS].pending.nonce)
+    for k in wire.stream.subscriptions.values():
+        while k.pending:
+            wire.ask(k.type_url, nonce=k.pending.nonce)
     wire.want(holding({A: 1.0, B: 1.0, C: 1.0, D: 1.0}))
     _refuse_line(wire, "", C)
     (removal,), _ = wire.want(holding({A: 1.0, C: 2.0, D: 1.0}))
@@ -228,9 +229,9 @@
     replies, _ = wire.ask(names.EDS, "0.1", "1.7")
     wire.ack(only(replies, names.EDS))
     replies, _ = wire.ask(names.RDS, "read", "write", initial={"read": "v", "write": "v"})
-    lds = wire.stream.kinds[names.LDS].out
+    lds = wire.stream.subscriptions[names.LDS].pending
     wire.ask(names.LDS, nonce=lds.nonce)
-    rds = wire.stream.kinds[names.RDS].out
+    rds = wire.stream.subscriptions[names.RDS].pending
     replies, _ = wire.ask(names.RDS, nonce=rds.nonce)
     assert only(replies, names.CDS).removed == ("1.7/read", "1.7/write")
 
@@ -262,13 +263,13 @@
     bound.ack(eds, "0.1")
     assert {r.name for r in cds.resources} == {"0.1/read", "0.1/write", "0.3/read", "0.3/write"}
     bound.ack(cds)
-    (eds,), _ = bound.ask(names.EDS, "0.1", "0.3", nonce=bound.stream.kinds[names.EDS].nonce)
+    (eds,), _ = bound.ask(names.EDS, "0.1", "0.3", nonce=bound.stream.subscriptions[names.EDS].last_nonce)
     replies, _ = bound.ack(eds, "0.1", "0.3")
     rds = only(replies, names.RDS)
     (cds,), events = bound.ack(rds, "read", "write")
     assert {r.name for r in cds.resources} == {"0.3/read", "0.3/write"}
     assert events == []
-    assert bound.ack(cds)[1] == [Applied(2)]
+    assert bound.ack(cds)[1] == [Acknowledged(2)]
 
 
 def test_names_that_do_not_exist():
@@ -295,19 +296,19 @@
     wire = Wire(delta=True, lines=True)
     lines = {names.line_name("1.7", "east", s): "v" for s in (A, B)}
     lines[names.line_name("1.9", "east", B)] = "v"
-    wire.stream.barred = frozenset({B})
+    wire.stream.unavailable = frozenset({B})
     wire.ask(names.LEDS, initial=lines)
     (reply,), _ = wire.want(holding({C: 1.0}))
     assert reply.removed == (names.line_name("1.7", "east", B),)
 
 
 def test_too_many_names_end_the_stream(sotw):
-    with pytest.raises(Violation, match="16385 names"):
+    with pytest.raises(ProtocolViolationError, match="16385 names"):
         sotw.ask(names.EDS, *map(str, range(16_385)))
 
 
 def test_bytes_that_are_no_request():
-    with pytest.raises(Violation, match="no DiscoveryRequest"):
+    with pytest.raises(ProtocolViolationError, match="no DiscoveryRequest"):
         decode(b"\xff\xff\xff", False)
 
 
@@ -332,22 +333,22 @@
     barred, to_server, to_client = frozenset(), [], []
 
     def connect():
-        made = Stream(delta, f"s{now}", 1, lines)
+        made = AdsStream(delta, f"s{now}", 1, lines)
         to_server[:] = client.open_stream(True)
         to_client.clear()
         if held is not None:
-            made.want(translator.wanted(held, (), lines), "again", None, now)
+            made.set_wanted(translator.wanted(held, (), lines), "again", None, now)
         return made
 
     def settle(what):
         if what == "server" and to_server:
-            stream.request(decode(to_server.pop(0), delta)[0], now)
+            stream.on_request(decode(to_server.pop(0), delta)[0], now)
         elif what == "client" and to_client:
             to_server.extend(client.receive(to_client.pop(0)))
-        replies, events = stream.progress(now)
+        replies, events = stream.advance(now)
         to_client.extend(encode(r, delta) for r in replies)
         for event in events:
-            if isinstance(event, Applied) and event.seal == seal:
+            if isinstance(event, Acknowledged) and event.nonce == seal:
                 check()
 
     def check():
@@ -373,11 +374,11 @@
             held = holding(dict.fromkeys(chosen, weight), data.draw(st.sampled_from(["0.1", "0.3"])), level)
             seal += 1
             barred = frozenset(servers) - chosen
-            stream.barred = barred
-            stream.want(translator.wanted(held, (), lines), f"p{seal}", seal, now)
+            stream.unavailable = barred
+            stream.set_wanted(translator.wanted(held, (), lines), f"p{seal}", seal, now)
         elif step == "break":
             stream = connect()
-            stream.barred = barred
+            stream.unavailable = barred
         elif step in ("refuse", "take"):
             refusing = step == "refuse"
         settle(step)
@@ -386,7 +387,7 @@
     refusing = False
     if "refuse" in played:
         stream = connect()  # what was refused is not sent again unchanged on the same stream
-        stream.barred = barred
+        stream.unavailable = barred
     for _ in range(400):
         now += S
         settle("server")
