--- a/benchmarks/push.py
+++ b/benchmarks/push.py
@@ -26,7 +26,8 @@
 from grpclib.const import Cardinality
 
 from swiftchute.proxy.xds_client import XdsClient
-from swiftchute.xds.server import ADS, RawCodec
+from swiftchute.xds.grpc_transport import RawCodec
+from swiftchute.xds.server import ADS
 
 WORKERS, PROCESSES = int(os.environ.get("WORKERS", "100")), 4
 SETTINGS = """
--- a/swiftchute/daemon/service.py
+++ b/swiftchute/daemon/service.py
@@ -17,7 +17,7 @@
 from swiftchute.observability.logging import mode_fields
 from swiftchute.policy import Reconciler
 from swiftchute.safety.validator import SafetyRules
-from swiftchute.xds.frontend import FrontendOutput, XdsFrontend
+from swiftchute.xds.frontend import FrontendOptions, FrontendOutput, XdsFrontend
 from swiftchute.xds.server import XdsServer
 
 S = 1_000_000_000
@@ -63,23 +63,21 @@
         self.controller = Controller(
             config.settings, config.seed, make, now, rules, mode == "enforce", _retention(config.tables)
         )
-        xds, life = config.xds, int(time.time() * 1000)
-        self.front = XdsFrontend(
-            self.controller,
-            config.settings,
-            life,
-            xds["ack_within"],
-            xds["proxy_rate"],
-            xds["streams"],
-            config.seed,
+        xds = config.xds
+        options = FrontendOptions(
+            incarnation=int(time.time() * 1000),
+            ack_timeout_ns=xds["ack_within"],
+            default_request_rate=xds["proxy_rate"],
+            max_streams=xds["streams"],
         )
+        self.xds_frontend = XdsFrontend(self.controller, config.settings, options, config.seed)
         offset = time.time_ns() - now
         self.registry = EndpointList(config.settings.zones, offset)
         self.dns: DnsShell | None = None
         if config.dns["listen"]:
             answers = DnsFront(self.controller, config.settings, config.dns, config.seed, offset)
             self.dns = DnsShell(answers, config.settings.zone, self.clock, log)
-        self.shell = XdsServer(self.front, config.settings, xds, self.kick, self.clock, log)
+        self.xds_server = XdsServer(self.xds_frontend, config.settings, xds, self.kick, self.clock, log)
         commands = Commands(self.controller, self.clock, self.kick).all()
         self.control = AdminServer(config.control, commands) if config.control else None
         self.stop, self.fault = asyncio.Event(), None
@@ -134,8 +132,8 @@
             turn = self.controller.run_round(now)
             if self.dns is not None:
                 self.dns.turn(turn, now)
-            out = self.front.turn(turn, now)
-            self.shell.carry_out(out)
+            out = self.xds_frontend.publish(turn, now)
+            self.xds_server.send(out)
             self._events(out)
         except Exception as why:
             # a fault of the program itself, not of the module: state may be half changed, so the process ends
@@ -152,12 +150,11 @@
 
     def _past_bounds(self) -> dict[str, int]:
         """What was dropped or turned away past a bound, since the start."""
-        server = self.shell.server
         found = {
             "sums": self.controller.load_aggregator.dropped,
             "calls": self.controller.counts["calls_lost"],
             "events": self.controller.counts["events_lost"],
-            "connections": server.turned_away if server else 0,
+            "connections": self.xds_server.rejected_connections,
         }
         if self.dns is not None:
             found["dns_streams"] = self.dns.closed["streams_past_bound"]
@@ -169,7 +166,7 @@
         if now != self.past and self.clock() >= self.tell_past:  # told at most once in ten seconds
             self.past, self.tell_past = now, self.clock() + 10 * S
             self.log.warning("past a bound", **now)
-        for event, fields in out.events:
+        for event, fields in out.log_events:
             if event == "mode":
                 fields = mode_fields(fields["text"])
             (self.log.warning if event in _WARN else self.log.info)(event, **fields)
@@ -179,14 +176,14 @@
         for number in (signal.SIGTERM, signal.SIGINT) if signals else ():
             asyncio.get_running_loop().add_signal_handler(number, self.stop.set)
         try:
-            self.address = await self.shell.start()
+            self.address = await self.xds_server.start()
         except OSError as why:
             raise CannotListen(f"xds.listen: {why}") from None
         if self.dns is not None:
             try:
                 await self.dns.start()
             except OSError as why:
-                await self.shell.stop()
+                await self.xds_server.stop()
                 raise CannotListen(f"dns.listen: {why}") from None
         source = asyncio.ensure_future(self.source.run())
         self.log.info("serving", address=f"{self.address[0]}:{self.address[1]}")
@@ -210,11 +207,15 @@
             stopped.cancel()
             if self.handle is not None:
                 self.handle.cancel()
-            await self.shell.stop()
+            await self.xds_server.stop()
             if self.dns is not None:
                 await self.dns.stop()
             if self.control is not None:
                 await self.control.stop()
             gate = self.controller.publish_gate
-            counts = self.controller.counts | self.front.counts | (self.dns.counts if self.dns else {})
+            counts = (
+                self.controller.counts
+                | self.xds_frontend.counts.log_fields()
+                | (self.dns.counts if self.dns else {})
+            )
             self.log.info("stopped", counts=counts, guard=gate.counts if gate else {})
--- a/swiftchute/fakes/backend.py
+++ b/swiftchute/fakes/backend.py
@@ -16,7 +16,7 @@
 from grpclib.exceptions import GRPCError
 from grpclib.server import Stream
 
-from swiftchute.xds.server import AbortableServer, RawCodec
+from swiftchute.xds.grpc_transport import AbortableServer, RawCodec
 
 SERVICE = "/swiftchute.fakes.Worker/"
 RECEIPTS_MOST = 200_000
@@ -95,7 +95,7 @@
         if self.server is not None:
             server, self.server = self.server, None
             server._server.close()
-            server.break_all()
+            server.abort_connections()
             server.close()
 
     def mute(self) -> None:
--- a/swiftchute/proxy/control_client.py
+++ b/swiftchute/proxy/control_client.py
@@ -16,7 +16,8 @@
 from grpclib.exceptions import GRPCError, StreamTerminatedError
 
 from swiftchute.proxy.xds_client import XdsClient
-from swiftchute.xds.server import ADS, LRS, RawCodec
+from swiftchute.xds.grpc_transport import RawCodec
+from swiftchute.xds.server import ADS, LRS
 
 STREAM_ERRORS = (GRPCError, StreamTerminatedError, ConnectionError, OSError, asyncio.TimeoutError)
 CONNECT_TIMEOUT_S = 2.0
--- a/swiftchute/xds/__init__.py
+++ b/swiftchute/xds/__init__.py
@@ -1,2 +1,1 @@
-"""The xDS front (transport API v3): translation, one state machine a stream, sums of load reports, a
-gRPC shell."""
+"""The xDS frontend: transport API v3 over gRPC, in its state-of-the-world and incremental variants."""
--- a/swiftchute/xds/frontend.py
+++ b/swiftchute/xds/frontend.py
@@ -1,22 +1,22 @@
-"""The xDS front without I/O: streams by number, what each is to hold, and what a turn of the core makes of
-it.
+"""The xDS frontend without I/O: the ADS streams of one instance, by number.
 
-    front = Front(core, settings, life, ...)
-    front.opened(sid, peer, delta, now); front.request(sid, request, now); front.closed(sid, cause)
-    front.report(node, report, now)
-    out = front.turn(core.turn(now), now)
-    out.replies, out.cuts, out.events
+    frontend = XdsFrontend(controller, settings, options, seed)
+    frontend.open_stream(stream_id, node, delta, now)
+    frontend.on_request(stream_id, request, now)
+    frontend.close_stream(stream_id, cause)
+    frontend.on_load_report(node, report, now)
+    output = frontend.publish(controller.run_round(now), now)
 
-A stream that opens joins its node, one that ends lets it leave; a node is on one stream at a time. What a
-node should hold is the core's; how far its stream is with it is `stream.Stream`'s.
+A stream that opens connects its proxy, one that ends disconnects it; a proxy is on one stream at a time. What
+a proxy should hold is the controller's; how far its stream is with it is `AdsStream`'s.
 """
 
 import random
 from dataclasses import dataclass, field
-from typing import Any
+from typing import NamedTuple
 
 from swiftchute.api.settings import Settings
-from swiftchute.controller.controller import Controller, RoundOutput
+from swiftchute.controller.controller import Controller, LogEvent, RoundOutput
 from swiftchute.controller.load_aggregation import LoadReport
 from swiftchute.xds import names
 from swiftchute.xds.errors import ProtocolViolationError
@@ -24,169 +24,235 @@
 from swiftchute.xds.resources import Translator
 from swiftchute.xds.stream import Acknowledged, AdsStream, Rejected, StaleRequest, StreamEvent
 
-S = 1_000_000_000
-CHECK = 1 * S  # streams are looked over for answers that do not come at most so often
+SECOND_NS = 1_000_000_000
+CHECK_INTERVAL_NS = 1 * SECOND_NS  # between checks of all streams for retries and time-outs
+MAX_LOGGED_NAMES = 8
+
+
+class StreamTermination(NamedTuple):
+    """A stream that has to be ended, with a gRPC status by name."""
+
+    stream_id: int
+    status: str
+    text: str
 
 
 @dataclass
 class FrontendOutput:
-    """Replies by stream, streams to end with a gRPC status, and events for the log, the core's among them."""
+    """What a round asks of the transport."""
+
+    responses: list[tuple[int, AdsResponse]] = field(default_factory=list)  # with their streams' numbers
+    terminations: list[StreamTermination] = field(default_factory=list)
+    log_events: list[LogEvent] = field(default_factory=list)  # the controller's among them
 
-    replies: list[tuple[int, AdsResponse]] = field(default_factory=list)
-    cuts: list[tuple[int, str, str]] = field(default_factory=list)
-    events: list[tuple[str, dict[str, Any]]] = field(default_factory=list)
+
+@dataclass(frozen=True)
+class FrontendOptions:
+    """Limits and identity of a frontend."""
+
+    incarnation: int  # tells its versions and nonces from those of earlier ones
+    ack_timeout_ns: int  # a stream that answers nothing for so long is ended
+    default_request_rate: float  # of a proxy that gives none, requests per second
+    max_streams: int
+
+
+@dataclass
+class FrontendCounts:
+    """Events since the start."""
+
+    acknowledged: int = 0
+    stale: int = 0
+    rejected: int = 0
+    terminated: int = 0
+
+    def log_fields(self) -> dict[str, int]:
+        """Return the counts by the names that they have in the log."""
+        return {
+            "applied": self.acknowledged,
+            "stale": self.stale,
+            "refused": self.rejected,
+            "cut": self.terminated,
+        }
+
+
+class _OpenStream(NamedTuple):
+    node: ProxyNode
+    stream: AdsStream
 
 
 class XdsFrontend:
-    """All streams of one planner's life; `life` tells it from earlier ones in versions and nonces."""
+    """All ADS streams of one incarnation."""
 
     def __init__(
-        self,
-        controller: Controller,
-        settings: Settings,
-        life: int,
-        ack_within: int,
-        proxy_rate: float,
-        streams: int,
-        seed: int,
+        self, controller: Controller, settings: Settings, options: FrontendOptions, seed: int
     ) -> None:
-        """`proxy_rate` stands for a rate that a node does not tell; `streams` may be open at once."""
-        self.controller, self.set, self.life = controller, settings, life
-        self.ack_within, self.proxy_rate, self.most = ack_within, proxy_rate, streams
-        self.random = random.Random(seed)
-        self.translator = Translator(settings)
-        self.streams: dict[int, tuple[ProxyNode, AdsStream]] = {}
-        self.sids: dict[str, int] = {}
-        self.touched: set[int] = set()
-        self.barred = controller.unavailable_endpoints
-        self.pushes = 0
-        self.checked = 0
-        self.cuts: list[tuple[int, str, str]] = []
-        self.counts = dict.fromkeys(("applied", "stale", "refused", "cut"), 0)
-
-    # -- in
-
-    def opened(self, sid: int, peer: ProxyNode, delta: bool, now: int) -> None:
-        """A stream's first request named its node: it is joined. Raises `Violation` if it may not be."""
-        old = self.sids.get(peer.node)
-        if old is None and len(self.streams) >= self.most:
-            raise ProtocolViolationError(
-                "RESOURCE_EXHAUSTED", f"{self.most} streams are open, the most allowed"
-            )
-        if old is None and peer.node in self.controller.proxies:
-            raise ProtocolViolationError("ALREADY_EXISTS", f"{peer.node} is a proxy of another front")
-        if old is not None:  # it dialled again before its broken stream was noticed, or it is a double
-            self._cut(old, "ABORTED", f"node {peer.node} opened another stream")
-        collections = delta and names.LINES_FEATURE in peer.features
-        stream = AdsStream(delta, f"{self.life:x}.{sid}", self.random.getrandbits(32), collections)
-        stream.unavailable = self.controller.unavailable_endpoints
-        self.streams[sid], self.sids[peer.node] = (peer, stream), sid
-        self.controller.on_proxy_connected(peer.node, peer.zone, peer.rate or self.proxy_rate, peer.fresh)
-        self.controller.log_event(
-            "proxy joined", proxy=peer.node, zone=peer.zone, delta=delta, lines=collections
+        """Create a frontend without streams; `seed` is that of the jitter of retries."""
+        self.counts = FrontendCounts()
+        self._controller = controller
+        self._instance = settings.instance
+        self._options = options
+        self._random = random.Random(seed)
+        self._translator = Translator(settings)
+        self._streams: dict[int, _OpenStream] = {}
+        self._stream_ids: dict[str, int] = {}  # by proxy
+        self._changed: set[int] = set()  # streams that may have something to send
+        self._unavailable = controller.unavailable_endpoints
+        self._publication_count = 0
+        self._checked_at_ns = 0
+        self._terminations: list[StreamTermination] = []
+
+    @property
+    def stream_count(self) -> int:
+        """How many streams are open."""
+        return len(self._streams)
+
+    def is_connected(self, proxy: str) -> bool:
+        """Whether a proxy has a stream."""
+        return proxy in self._stream_ids
+
+    def open_stream(self, stream_id: int, node: ProxyNode, delta: bool, now_ns: int) -> None:
+        """Connect the proxy that a stream's first request named.
+
+        Raises:
+            ProtocolViolationError: It may not be connected.
+        """
+        previous = self._stream_ids.get(node.node)
+        if previous is None:
+            self._check_new_proxy(node.node)
+        else:  # it dialled again before its broken stream was noticed, or it is a duplicate
+            self._terminate(previous, "ABORTED", f"node {node.node} opened another stream")
+        collections = delta and names.LINES_FEATURE in node.features
+        token = f"{self._options.incarnation:x}.{stream_id}"
+        stream = AdsStream(delta, token, self._random.getrandbits(32), collections)
+        stream.unavailable = self._controller.unavailable_endpoints
+        self._streams[stream_id] = _OpenStream(node, stream)
+        self._stream_ids[node.node] = stream_id
+        rate = node.request_rate or self._options.default_request_rate
+        self._controller.on_proxy_connected(node.node, node.zone, rate, node.fresh)
+        self._controller.log_event(
+            "proxy joined", proxy=node.node, zone=node.zone, delta=delta, lines=collections
         )
-        if self.controller.assignments.ejected:
-            self._want(sid, None, now)
+        if self._controller.assignments.ejected:
+            self._set_wanted(stream_id, None, now_ns)
 
-    def request(self, sid: int, request: AdsRequest, now: int) -> None:
-        """A request on an open stream; one that must end is cut."""
-        if sid not in self.streams:
+    def _check_new_proxy(self, proxy: str) -> None:
+        limit = self._options.max_streams
+        if len(self._streams) >= limit:
+            raise ProtocolViolationError("RESOURCE_EXHAUSTED", f"{limit} streams are open, the most allowed")
+        if proxy in self._controller.proxies:
+            raise ProtocolViolationError("ALREADY_EXISTS", f"{proxy} is a proxy of another front")
+
+    def on_request(self, stream_id: int, request: AdsRequest, now_ns: int) -> None:
+        """Handle a request on an open stream; a stream whose client violates the protocol is ended."""
+        if stream_id not in self._streams:
             return
-        peer, stream = self.streams[sid]
+        node, stream = self._streams[stream_id]
         try:
-            self._tell(peer, stream.on_request(request, now), now)
-        except ProtocolViolationError as why:
-            self._cut(sid, why.status, why.text)
+            self._handle(node, stream.on_request(request, now_ns), now_ns)
+        except ProtocolViolationError as error:
+            self._terminate(stream_id, error.status, error.text)
             return
-        self.touched.add(sid)
+        self._changed.add(stream_id)
 
-    def closed(self, sid: int, cause: str) -> None:
-        """A stream broke or was ended."""
-        if sid not in self.streams:
+    def close_stream(self, stream_id: int, cause: str) -> None:
+        """Disconnect the proxy of a stream that broke or was ended."""
+        if stream_id not in self._streams:
             return
-        peer, _ = self.streams.pop(sid)
-        del self.sids[peer.node]
-        self.touched.discard(sid)
-        self.controller.on_proxy_disconnected(peer.node)
-        self.controller.log_event("proxy left", proxy=peer.node, cause=cause)
-
-    def report(self, node: str, report: LoadReport, now: int) -> None:
-        """A load report of a node."""
-        self.controller.on_load_report(node, report, now)
-
-    def _cut(self, sid: int, status: str, text: str) -> None:
-        self.counts["cut"] += 1
-        self.cuts.append((sid, status, text))
-        self.closed(sid, text)
-
-    # -- out
-
-    def turn(self, turn: RoundOutput, now: int) -> FrontendOutput:
-        """Carry out a turn of the core: push, and see how far each stream is."""
-        if self.controller.unavailable_endpoints is not self.barred:
-            self.barred = self.controller.unavailable_endpoints
-            for sid, (_, stream) in self.streams.items():
-                stream.unavailable = self.barred
-                if stream.unanswered_since_ns is not None:  # what it goes by may not be what it was last sent
-                    self.touched.add(sid)
-        for node in turn.overflowed_proxies:
-            if node in self.sids:
-                self._cut(self.sids[node], "RESOURCE_EXHAUSTED", "the planner's channel is full")
-        for node, seal in turn.pushes:
-            if node in self.sids:
-                self.pushes += 1
-                self._want(self.sids[node], seal, now)
-        if now - self.checked >= CHECK:
-            self.checked = now
-            self._look_over(now)
-        out = FrontendOutput(events=turn.log_events)
-        for sid in sorted(self.touched):
-            peer, stream = self.streams[sid]
-            replies, events = stream.advance(now)
-            out.replies += [(sid, reply) for reply in replies]
-            self._tell(peer, events, now)
-            if stream.unanswered_since_ns is None and stream.wanted is not None:
-                self.controller.on_fully_acknowledged(peer.node, now)
-        self.touched.clear()
-        out.cuts, self.cuts = self.cuts, []
-        return out
-
-    def _want(self, sid: int, seal: int | None, now: int) -> None:
-        peer, stream = self.streams[sid]
-        wanted = self.translator.wanted(
-            self.controller.tables_of(peer.node), self.controller.assignments.ejected, stream.collections
-        )
-        stream.set_wanted(wanted, f"{self.set.instance}/{self.life}/{self.pushes}", seal, now)
-        self.touched.add(sid)
-
-    def _look_over(self, now: int) -> None:
-        """Wake streams whose refused resources may be tried again; cut off those that answer nothing."""
-        for sid, (peer, stream) in list(self.streams.items()):
-            if stream.retry_at_ns is not None and now >= stream.retry_at_ns:
-                self.touched.add(sid)
-            oldest = stream.oldest_pending_ns()
-            if oldest is not None and now - oldest > self.ack_within:
-                self.controller.log_event(
-                    "proxy silent", proxy=peer.node, seconds=round((now - oldest) / S, 1)
-                )
-                text = f"nothing acknowledged for {self.ack_within / S:g} s"
-                self._cut(sid, "DEADLINE_EXCEEDED", text)
-
-    def _tell(self, peer: ProxyNode, events: list[StreamEvent], now: int) -> None:
+        node, _ = self._streams.pop(stream_id)
+        del self._stream_ids[node.node]
+        self._changed.discard(stream_id)
+        self._controller.on_proxy_disconnected(node.node)
+        self._controller.log_event("proxy left", proxy=node.node, cause=cause)
+
+    def on_load_report(self, proxy: str, report: LoadReport, now_ns: int) -> None:
+        """Handle a load report of a proxy."""
+        self._controller.on_load_report(proxy, report, now_ns)
+
+    def publish(self, round_output: RoundOutput, now_ns: int) -> FrontendOutput:
+        """Carry out a round of the controller and advance the streams that it concerns."""
+        self._update_unavailable()
+        for proxy in round_output.overflowed_proxies:
+            if proxy in self._stream_ids:
+                text = "the planner's channel is full"
+                self._terminate(self._stream_ids[proxy], "RESOURCE_EXHAUSTED", text)
+        for proxy, nonce in round_output.pushes:
+            if proxy in self._stream_ids:
+                self._publication_count += 1
+                self._set_wanted(self._stream_ids[proxy], nonce, now_ns)
+        if now_ns - self._checked_at_ns >= CHECK_INTERVAL_NS:
+            self._checked_at_ns = now_ns
+            self._check_timeouts(now_ns)
+        output = FrontendOutput(log_events=round_output.log_events)
+        for stream_id in sorted(self._changed):
+            self._advance(stream_id, output, now_ns)
+        self._changed.clear()
+        output.terminations, self._terminations = self._terminations, []
+        return output
+
+    def _update_unavailable(self) -> None:
+        """Tell streams which endpoints are unavailable; what a client uses may not be what it was sent."""
+        if self._controller.unavailable_endpoints is self._unavailable:
+            return
+        self._unavailable = self._controller.unavailable_endpoints
+        for stream_id, (_, stream) in self._streams.items():
+            stream.unavailable = self._unavailable
+            if stream.unanswered_since_ns is not None:
+                self._changed.add(stream_id)
+
+    def _advance(self, stream_id: int, output: FrontendOutput, now_ns: int) -> None:
+        node, stream = self._streams[stream_id]
+        responses, events = stream.advance(now_ns)
+        output.responses += [(stream_id, response) for response in responses]
+        self._handle(node, events, now_ns)
+        if stream.unanswered_since_ns is None and stream.wanted is not None:
+            self._controller.on_fully_acknowledged(node.node, now_ns)
+
+    def _set_wanted(self, stream_id: int, nonce: int | None, now_ns: int) -> None:
+        node, stream = self._streams[stream_id]
+        tables = self._controller.tables_of(node.node)
+        ejected = self._controller.assignments.ejected
+        wanted = self._translator.wanted(tables, ejected, stream.collections)
+        version = f"{self._instance}/{self._options.incarnation}/{self._publication_count}"
+        stream.set_wanted(wanted, version, nonce, now_ns)
+        self._changed.add(stream_id)
+
+    def _check_timeouts(self, now_ns: int) -> None:
+        """Advance streams with a retry that is due, and end those that do not acknowledge in time."""
+        timeout_ns = self._options.ack_timeout_ns
+        for stream_id, (node, stream) in list(self._streams.items()):
+            if stream.retry_at_ns is not None and now_ns >= stream.retry_at_ns:
+                self._changed.add(stream_id)
+            oldest_ns = stream.oldest_pending_ns()
+            if oldest_ns is not None and now_ns - oldest_ns > timeout_ns:
+                seconds = round((now_ns - oldest_ns) / SECOND_NS, 1)
+                self._controller.log_event("proxy silent", proxy=node.node, seconds=seconds)
+                text = f"nothing acknowledged for {timeout_ns / SECOND_NS:g} s"
+                self._terminate(stream_id, "DEADLINE_EXCEEDED", text)
+
+    def _terminate(self, stream_id: int, status: str, text: str) -> None:
+        self.counts.terminated += 1
+        self._terminations.append(StreamTermination(stream_id, status, text))
+        self.close_stream(stream_id, text)
+
+    def _handle(self, node: ProxyNode, events: list[StreamEvent], now_ns: int) -> None:
         for event in events:
-            if isinstance(event, Acknowledged):
-                self.counts["applied"] += 1
-                self.controller.on_acknowledged(peer.node, event.nonce, now)
-            elif isinstance(event, StaleRequest):
-                self.counts["stale"] += 1
-            elif isinstance(event, Rejected):
-                self.counts["refused"] += 1
-                self.controller.on_tables_rejected(peer.node, names.tables_of(event.names), now)
-                self.controller.log_event(
-                    "table refused",
-                    proxy=peer.node,
-                    type=names.SHORT[event.kind],
-                    names=list(event.names)[:8],
-                    detail=event.detail,
-                    answer=event.answer,
-                )
+            match event:
+                case Acknowledged(nonce):
+                    self.counts.acknowledged += 1
+                    self._controller.on_acknowledged(node.node, nonce, now_ns)
+                case StaleRequest():
+                    self.counts.stale += 1
+                case Rejected():
+                    self.counts.rejected += 1
+                    self._on_rejected(node, event, now_ns)
+
+    def _on_rejected(self, node: ProxyNode, event: Rejected, now_ns: int) -> None:
+        self._controller.on_tables_rejected(node.node, names.tables_of(event.names), now_ns)
+        self._controller.log_event(
+            "table refused",
+            proxy=node.node,
+            type=names.SHORT[event.kind],
+            names=list(event.names)[:MAX_LOGGED_NAMES],
+            detail=event.detail,
+            answer=event.answer,
+        )
--- /dev/null
+++ b/swiftchute/xds/grpc_transport.py
@@ -0,0 +1,96 @@
+"""Additions to grpclib: raw messages, bounds on their size and on connections, and aborting them."""
+
+import asyncio
+import weakref
+from typing import Any, cast
+
+from grpclib.encoding.base import CodecBase
+from grpclib.protocol import H2Protocol
+from grpclib.server import Server, Stream
+
+from swiftchute.xds.errors import ProtocolViolationError
+
+HEADER_BYTES = 5  # of a gRPC message: a compression flag and four bytes of length
+DEFAULT_MAX_CONNECTIONS = 10_000
+
+
+class RawCodec(CodecBase):
+    """Leaves messages as bytes; state machines without I/O decode and encode them."""
+
+    __content_subtype__ = "proto"
+
+    def encode(self, message: bytes, message_type: Any) -> bytes:
+        """Return the message as it is."""
+        return message
+
+    def decode(self, data: bytes, message_type: Any) -> bytes:
+        """Return the message as it is."""
+        return bytes(data)
+
+
+async def receive(stream: Stream, max_bytes: int) -> bytes | None:
+    """Return the next message of a stream, or None at its end.
+
+    grpclib bounds no message, so the header is read here.
+
+    Raises:
+        ProtocolViolationError: The message is too large or compressed; it is not read.
+    """
+    if stream._stream is None:
+        return None
+    header = await stream._stream.recv_data(HEADER_BYTES)
+    if not header:
+        return None
+    length = int.from_bytes(header[1:HEADER_BYTES], "big")
+    if header[0]:
+        raise ProtocolViolationError("UNIMPLEMENTED", "compressed messages are not taken")
+    if length > max_bytes:
+        text = f"a message of {length} bytes; {max_bytes} at most"
+        raise ProtocolViolationError("RESOURCE_EXHAUSTED", text)
+    return bytes(await stream._stream.recv_data(length))
+
+
+class _RejectedConnection(asyncio.Protocol):
+    """Closes a connection past the limit unread."""
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Close it."""
+        cast(asyncio.Transport, transport).abort()
+
+
+class AbortableServer(Server):
+    """A server with a limit of connections that can be aborted; grpclib's own close leaves them open."""
+
+    def __init__(
+        self, *arguments: Any, max_connections: int = DEFAULT_MAX_CONNECTIONS, **options: Any
+    ) -> None:
+        """Create a server; arguments and options are those of grpclib's server."""
+        super().__init__(*arguments, **options)
+        self.rejected_connections = 0
+        self._protocols: weakref.WeakSet[Any] = weakref.WeakSet()
+        self._max_connections = max_connections
+
+    @property
+    def address(self) -> tuple[str, int]:
+        """Where the started server listens."""
+        listener = cast(asyncio.Server, self._server)
+        return listener.sockets[0].getsockname()[:2]
+
+    def _protocol_factory(self) -> H2Protocol:
+        if sum(1 for protocol in self._protocols if _is_open(protocol)) >= self._max_connections:
+            self.rejected_connections += 1
+            return cast(H2Protocol, _RejectedConnection())
+        protocol: Any = super()._protocol_factory()
+        protocol.connection = None  # until it is made
+        self._protocols.add(protocol)
+        return protocol
+
+    def abort_connections(self) -> None:
+        """Abort all open connections, as the death of a process would."""
+        for protocol in self._protocols:
+            if protocol.connection is not None and not protocol.connection.is_closing():
+                protocol.connection._transport.abort()
+
+
+def _is_open(protocol: Any) -> bool:
+    return protocol.connection is None or not protocol.connection.is_closing()
--- a/swiftchute/xds/load_reports.py
+++ b/swiftchute/xds/load_reports.py
@@ -1,7 +1,7 @@
 """Load reports (LRS) read into sums, without I/O.
 
     report, node = decode(data, operations)
-    data = answer(period)
+    data = encode_response(interval_ns)
 
 Source: envoy/config/endpoint/v3/load_report.proto. A client reports by cluster and locality. Tables are laid
 out so that a cluster is one operation and a locality one server, so both sums come from any client; one that
@@ -24,10 +24,10 @@
 COUNT_MOST = 10**9  # and so are its counts
 
 
-def answer(period: int) -> bytes:
-    """The response that asks a client for all clusters, every `period` ns, by endpoint where it can."""
+def encode_response(interval_ns: int) -> bytes:
+    """The response that asks a client for all clusters, every `interval_ns`, by endpoint where it can."""
     made = LoadStatsResponse(send_all_clusters=True, report_endpoint_granularity=True)
-    made.load_reporting_interval.FromNanoseconds(period)
+    made.load_reporting_interval.FromNanoseconds(interval_ns)
     return made.SerializeToString()
 
 
--- a/swiftchute/xds/messages.py
+++ b/swiftchute/xds/messages.py
@@ -26,7 +26,7 @@
 
     node: str
     zone: str
-    rate: float | None
+    request_rate: float | None  # requests per second that it expects
     fresh: bool
     features: frozenset[str]
 
@@ -55,7 +55,7 @@
     removed: tuple[str, ...] = ()
 
 
-def peer(node: Node, zones: tuple[str, ...]) -> ProxyNode:
+def parse_node(node: Node, zones: tuple[str, ...]) -> ProxyNode:
     """Read a node; one without id or of a zone that is not served is a `Violation`."""
     if not node.id:
         raise ProtocolViolationError("INVALID_ARGUMENT", "the first request carries no node id")
@@ -114,7 +114,9 @@
 
 
 def encode(reply: AdsResponse, delta: bool) -> bytes:
-    """Bytes of a response. Fields of a message may come in pieces and in any order (protobuf encoding
-    page)."""
+    """Return the bytes of a response.
+
+    Fields of a message may come in pieces and in any order (protobuf encoding page).
+    """
     nonce = DeltaDiscoveryResponse(nonce=reply.nonce) if delta else DiscoveryResponse(nonce=reply.nonce)
     return _body(reply.kind, delta, reply.version, reply.resources, reply.removed) + nonce.SerializeToString()
--- a/swiftchute/xds/names.py
+++ b/swiftchute/xds/names.py
@@ -26,8 +26,7 @@
 
 
 def is_table(name: str) -> bool:
-    """Whether an EDS name has the form of a table's: of this planner, of an earlier life or of
-    another planner."""
+    """Whether an EDS name is that of a table, of this or another instance or incarnation."""
     planner, dot, rest = name.partition("~")[0].partition(".")
     return bool(dot) and planner.isdecimal() and rest.isdecimal()
 
@@ -55,7 +54,10 @@
 def line_parts(name: str) -> tuple[str, str, str] | None:
     """(table, zone, server) of a line's name, or None."""
     parts = name.removeprefix(_COLLECTION).split("/", 2)
-    return tuple(parts) if name.startswith(_COLLECTION) and len(parts) == 3 else None
+    if not name.startswith(_COLLECTION) or len(parts) != 3:
+        return None
+    table, zone, endpoint = parts
+    return table, zone, endpoint
 
 
 def tables_of(refused: Iterable[str]) -> frozenset[str]:
--- a/swiftchute/xds/resources.py
+++ b/swiftchute/xds/resources.py
@@ -57,8 +57,9 @@
 WEIGHT_SUM = 2**32 - 1  # the weights of a priority may not add up to more (endpoint_components.proto)
 MILLION = 1_000_000
 LEVEL_CATEGORY = "level"
-# further tries as conditions (route_components.proto, retry_on): 1 is only for tries that provably never ran
-_TRIES = {
+# retry policies as conditions and counts (route_components.proto, retry_on): 1 retries only attempts that
+# provably never ran
+_RETRIES = {
     0: ("", 0),
     1: ("refused-stream,connect-failure", 1),
     2: ("5xx,reset,connect-failure,unavailable", 1),
@@ -140,11 +141,11 @@
                 lb_endpoints=[_endpoint(server, weight)],
             )
         )
-    _level(made, level)
+    _set_admission_rate(made, level)
     return _resource(names.EDS, name, made, lines=lines, level=level)
 
 
-def _level(made: ClusterLoadAssignment, level: float) -> None:
+def _set_admission_rate(made: ClusterLoadAssignment, level: float) -> None:
     if level < 1:
         share = FractionalPercent(numerator=round((1 - max(level, 0)) * MILLION), denominator="MILLION")
         made.policy.drop_overloads.add(category=LEVEL_CATEGORY, drop_percentage=share)
@@ -165,12 +166,12 @@
 
 
 @lru_cache(maxsize=65_536)
-def line(name: str, server: str, weight: int) -> Resource:
+def entry(name: str, server: str, weight: int) -> Resource:
     """One line of a table, for clients that take them one by one."""
     return _resource(names.LEDS, name, _endpoint(server, weight))
 
 
-def collections(name: str, lines: tuple[TableEntry, ...], level: float) -> Resource:
+def collection_assignment(name: str, lines: tuple[TableEntry, ...], level: float) -> Resource:
     """A table whose lines come one by one: a locality a zone, with a glob collection of lines."""
     made, refs = ClusterLoadAssignment(cluster_name=name), []
     table = name.partition("~")[0]
@@ -185,12 +186,12 @@
                 leds_cluster_locality_config=by_line,
             )
         )
-    _level(made, level)
+    _set_admission_rate(made, level)
     return _resource(names.EDS, name, made, refs, level=level)
 
 
 @lru_cache(maxsize=64)
-def withdrawn(servers: frozenset[str]) -> Resource:
+def ejections(servers: frozenset[str]) -> Resource:
     """The servers shut out for proxies that are not bound, each DRAINING: a table that only takes away."""
     made = ClusterLoadAssignment(cluster_name=names.WITHDRAWN)
     made.endpoints.append(LocalityLbEndpoints(lb_endpoints=[_endpoint(s, 1, True) for s in sorted(servers)]))
@@ -209,13 +210,13 @@
     """Builds resources for one planner; keeps what it built of a table until the table's next change."""
 
     def __init__(self, settings: Settings) -> None:
-        """`settings` name the operations, their time-outs and this planner's number."""
-        self.set = settings
-        self.listeners = {op.name: self._listener(op.name) for op in settings.operations}
-        self.places = {op.name: place for place, op in enumerate(settings.operations)}
-        self.tables: dict[tuple[str, bool, bool], tuple[TableContent, dict[str, dict[str, Resource]]]] = {}
-        self.built: dict[tuple[object, frozenset[str], bool], tuple[ProxyTables, Wanted]] = {}
-        self.routes: dict[tuple[str, str, int], Resource] = {}
+        """Start without resources; operations and their time-outs come from the settings."""
+        self._settings = settings
+        self._listeners = {op.name: self._listener(op.name) for op in settings.operations}
+        self._operation_index = {op.name: index for index, op in enumerate(settings.operations)}
+        self._tables: dict[tuple[str, bool, bool], tuple[TableContent, dict[str, dict[str, Resource]]]] = {}
+        self._wanted: dict[tuple[object, frozenset[str], bool], tuple[ProxyTables, Wanted]] = {}
+        self._routes: dict[tuple[str, str, int], Resource] = {}
 
     def _listener(self, name: str) -> Resource:
         manager = HttpConnectionManager(
@@ -228,88 +229,105 @@
 
     def _route(self, op: Operation, cluster: str, tries: int) -> Resource:
         key = (op.name, cluster, tries)
-        if key not in self.routes:
-            conditions, count = _TRIES[tries]
+        if key not in self._routes:
             action = RouteAction(cluster=cluster, timeout=_seconds(op.timeout_ns))
-            if count:
-                per_try = (
-                    _seconds(int(self.set.attempt_timeout_objectives * op.latency_objective_ns))
-                    if tries > 1
-                    else None
-                )
-                action.retry_policy.CopyFrom(
-                    RetryPolicy(
-                        retry_on=conditions, num_retries=UInt32Value(value=count), per_try_timeout=per_try
-                    )
-                )
+            self._set_retry_policy(action, op, tries)
             host = VirtualHost(
                 name=op.name, domains=["*"], routes=[Route(match=RouteMatch(prefix=""), route=action)]
             )
             made = RouteConfiguration(name=op.name, virtual_hosts=[host])
-            self.routes[key] = _resource(names.RDS, op.name, made, [(names.CDS, cluster)])
-        return self.routes[key]
+            self._routes[key] = _resource(names.RDS, op.name, made, [(names.CDS, cluster)])
+        return self._routes[key]
+
+    def _set_retry_policy(self, action: RouteAction, op: Operation, retry_policy: int) -> None:
+        conditions, count = _RETRIES[retry_policy]
+        if not count:
+            return
+        timeout_ns = int(self._settings.attempt_timeout_objectives * op.latency_objective_ns)
+        action.retry_policy.CopyFrom(
+            RetryPolicy(
+                retry_on=conditions,
+                num_retries=UInt32Value(value=count),
+                per_try_timeout=_seconds(timeout_ns) if retry_policy > 1 else None,
+            )
+        )
 
     def table(
-        self, table: str, content: TableContent, lines: bool, behind: bool = False
+        self, table: str, content: TableContent, collections: bool, baseline: bool = False
     ) -> dict[str, dict[str, Resource]]:
-        """The EDS (and, line by line, LEDS) resources of a table; the same objects until it changes.
-        `behind`: of the proxies that a canary keeps at what was before."""
-        kept = self.tables.get((table, lines, behind))
-        if kept is not None and kept[0] is content:
-            return kept[1]
-        by: dict[str, dict[str, Resource]] = {names.EDS: {}, names.LEDS: {}}
-        for place, (level, _) in enumerate(content.admission):
-            name = self._service(table, content, place)
-            if name not in by[names.EDS]:
-                make = collections if lines else assignment
-                by[names.EDS][name] = make(name, content.entries, level)
-        if lines:
-            for (server, zone, _), weight in zip(
-                content.entries, whole_weights(content.entries), strict=True
-            ):
-                name = names.line_name(table, zone, server)
-                by[names.LEDS][name] = line(name, server, weight)
-        self.tables[table, lines, behind] = (content, by)
-        return by
-
-    def _service(self, table: str, content: TableContent, place: int) -> str:
-        """The EDS name an operation uses: one of its own where its level differs from the first
-        operation's."""
-        own = content.admission[place][0] != content.admission[0][0]
-        return f"{table}~{self.set.operations[place].name}" if own else table
-
-    def wanted(self, holding: ProxyTables, shut: Collection[str], lines: bool) -> Wanted:
-        """All that a proxy should have: `shut` servers only, if it is bound to nothing; `lines`: line by
-        line.
-
-        The same object for the same holding, so that a push to a group is worked out once.
+        """Return the EDS (and LEDS) resources of a table; the same objects until it changes.
+
+        Args:
+            table: Name of the table.
+            content: Its content.
+            collections: Whether endpoints are resources of their own.
+            baseline: Whether it is for proxies that a canary keeps at the version before.
         """
-        if not holding.tables_by_operation:
-            made = Wanted()
-            made[names.EDS][names.WITHDRAWN] = withdrawn(frozenset(shut))
-            return made
-        key = (holding.tables_by_operation, holding.baseline_tables, lines)
-        kept = self.built.get(key)
-        if kept is not None and kept[0] is holding:
-            return kept[1]
-        made = Wanted()
-        made[names.EDS][names.WITHDRAWN] = withdrawn(frozenset())
-        for operation, table in holding.tables_by_operation:
-            content, place = holding.contents[table], self.places[operation]
-            held = names.cluster_name(table, operation)
-            made[names.CDS][held] = cluster(held, self._service(table, content, place))
-            built = self.table(table, content, lines, table in holding.baseline_tables)
-            for kind in (names.EDS, names.LEDS):
-                made[kind] |= built[kind]
-            made[names.LDS][operation] = self.listeners[operation]
-            made[names.RDS][operation] = self._route(
-                self.set.operations[place], held, content.admission[place][1]
-            )
-        if kept is not None:  # types in which nothing changed stay the same object, so streams pass them over
-            made.update({kind: old for kind, old in kept[1].items() if old == made[kind]})
-        self.built[key] = (holding, made)
+        cached = self._tables.get((table, collections, baseline))
+        if cached is not None and cached[0] is content:
+            return cached[1]
+        made: dict[str, dict[str, Resource]] = {names.EDS: {}, names.LEDS: {}}
+        make = collection_assignment if collections else assignment
+        for index, (level, _) in enumerate(content.admission):
+            name = self._service_name(table, content, index)
+            if name not in made[names.EDS]:
+                made[names.EDS][name] = make(name, content.entries, level)
+        if collections:
+            weights = whole_weights(content.entries)
+            for (endpoint, zone, _), weight in zip(content.entries, weights, strict=True):
+                name = names.line_name(table, zone, endpoint)
+                made[names.LEDS][name] = entry(name, endpoint, weight)
+        self._tables[table, collections, baseline] = (content, made)
+        return made
+
+    def _service_name(self, table: str, content: TableContent, index: int) -> str:
+        """Return the EDS name of an operation: one of its own where its admission rate is."""
+        own = content.admission[index][0] != content.admission[0][0]
+        return f"{table}~{self._settings.operations[index].name}" if own else table
+
+    def wanted(self, tables: ProxyTables, ejected: Collection[str], collections: bool) -> Wanted:
+        """Return everything that a proxy should hold; the same object for the same tables.
+
+        Args:
+            tables: Tables of the proxy; without any it is sent the ejected endpoints alone.
+            ejected: Endpoints that no proxy may use.
+            collections: Whether endpoints are resources of their own.
+        """
+        if not tables.tables_by_operation:
+            return _only_ejections(frozenset(ejected))
+        key = (tables.tables_by_operation, tables.baseline_tables, collections)
+        cached = self._wanted.get(key)
+        if cached is not None and cached[0] is tables:
+            return cached[1]
+        made = _only_ejections(frozenset())
+        for operation, table in tables.tables_by_operation:
+            self._add_operation(made, tables, operation, table, collections)
+        if cached is not None:
+            # types in which nothing changed stay the same object, so that streams skip them
+            made.update({kind: old for kind, old in cached[1].items() if old == made[kind]})
+        self._wanted[key] = (tables, made)
         return made
 
+    def _add_operation(
+        self, wanted: Wanted, tables: ProxyTables, operation: str, table: str, collections: bool
+    ) -> None:
+        content, index = tables.contents[table], self._operation_index[operation]
+        cluster_name = names.cluster_name(table, operation)
+        wanted[names.CDS][cluster_name] = cluster(cluster_name, self._service_name(table, content, index))
+        built = self.table(table, content, collections, table in tables.baseline_tables)
+        for kind in (names.EDS, names.LEDS):
+            wanted[kind] |= built[kind]
+        wanted[names.LDS][operation] = self._listeners[operation]
+        retry_policy = content.admission[index][1]
+        route = self._route(self._settings.operations[index], cluster_name, retry_policy)
+        wanted[names.RDS][operation] = route
+
+
+def _only_ejections(ejected: frozenset[str]) -> Wanted:
+    wanted = Wanted()
+    wanted[names.EDS][names.WITHDRAWN] = ejections(ejected)
+    return wanted
+
 
 def _pack(message: Message) -> Packed:
     packed = Packed()
--- a/swiftchute/xds/server.py
+++ b/swiftchute/xds/server.py
@@ -1,274 +1,269 @@
-"""The gRPC shell of the xDS front: bytes between sockets and a planner's core. It decides nothing.
+"""The gRPC server of the xDS frontend: bytes between sockets and the frontend's state machines.
 
-grpclib speaks HTTP/2 by asyncio protocol classes. A stream has one writer, which waits on its client's
-flow-control window alone; what is queued for it is bounded by the state machine (one reply a type), and a
-client that does not read for `read_within` is cut off.
+A stream has one writer, which waits on its client's flow-control window alone. What is queued for it is
+bounded by the state machine (one response a type), and a client that does not read in time is disconnected.
 """
 
 import asyncio
 import contextlib
 import itertools
-import weakref
-from collections.abc import Callable
-from typing import Any
+from collections.abc import Callable, Mapping
+from typing import Any, NamedTuple
 
 from grpclib.config import Configuration
 from grpclib.const import Cardinality, Handler, Status
-from grpclib.encoding.base import CodecBase
 from grpclib.exceptions import GRPCError, StreamTerminatedError
-from grpclib.server import Server, Stream
+from grpclib.server import Stream
 
 from swiftchute.api.settings import Settings
 from swiftchute.xds import load_reports, messages
 from swiftchute.xds.errors import ProtocolViolationError
 from swiftchute.xds.frontend import FrontendOutput, XdsFrontend
+from swiftchute.xds.grpc_transport import AbortableServer, RawCodec, receive
 
-S = 1_000_000_000
+SECOND_NS = 1_000_000_000
 ADS = "/envoy.service.discovery.v3.AggregatedDiscoveryService/"
 LRS = "/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats"
-QUEUE = 64  # replies that may wait for a client's window: five types, each with a few overtaken ones
+MAX_QUEUED_RESPONSES = 64  # for a client's window: five types, each with a few replaced ones
+STOP_TIMEOUT_S = 2
+CONNECTION_WINDOW_BYTES = 2**20
+STREAM_WINDOW_BYTES = 2**18
+LISTEN_BACKLOG = 1024
 
 
-class RawCodec(CodecBase):
-    """Messages stay bytes; the cores read and make them."""
+class _Termination(NamedTuple):
+    """The gRPC status by name with which a stream ends."""
 
-    __content_subtype__ = "proto"
+    status: str
+    text: str
 
-    def encode(self, message: bytes, message_type: Any) -> bytes:
-        """As it is."""
-        return message
 
-    def decode(self, data: bytes, message_type: Any) -> bytes:
-        """As it is."""
-        return bytes(data)
+class _OpenStream(NamedTuple):
+    """What the writer of a stream sends, in order."""
 
-
-async def receive(stream: Stream, most: int) -> bytes | None:
-    """The next message, or None at the end; one over `most` bytes is refused before it is read."""
-    if stream._stream is None:  # grpclib has no limit of its own; the length prefix is read here
-        return None
-    head = await stream._stream.recv_data(5)
-    if not head:
-        return None
-    size = int.from_bytes(head[1:5], "big")
-    if head[0]:
-        raise ProtocolViolationError("UNIMPLEMENTED", "compressed messages are not taken")
-    if size > most:
-        raise ProtocolViolationError("RESOURCE_EXHAUSTED", f"a message of {size} bytes; {most} at most")
-    return bytes(await stream._stream.recv_data(size))
-
-
-class _Closed(asyncio.Protocol):
-    """What a connection past the bound gets."""
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        transport.abort()
-
-
-class AbortableServer(Server):
-    """A server with a bound of connections, which can be broken at once: grpclib's own close leaves
-    them open."""
-
-    def __init__(self, *arguments: Any, most: int = 10_000, **named: Any) -> None:
-        """As its parent; past `most` connections a new one is closed unread."""
-        super().__init__(*arguments, **named)
-        self.made: weakref.WeakSet = weakref.WeakSet()
-        self.most, self.turned_away = most, 0
-
-    def _protocol_factory(self) -> asyncio.BaseProtocol:
-        if sum(1 for p in self.made if p.connection is None or not p.connection.is_closing()) >= self.most:
-            self.turned_away += 1
-            return _Closed()
-        protocol = super()._protocol_factory()
-        protocol.connection = None
-        self.made.add(protocol)
-        return protocol
-
-    def break_all(self) -> None:
-        """Break what is open, as a process's death breaks it."""
-        for protocol in self.made:
-            if protocol.connection is not None and not protocol.connection.is_closing():
-                protocol.connection._transport.abort()
+    queue: "asyncio.Queue[bytes | _Termination]"
+    delta: bool
 
 
 class XdsServer:
-    """Serves ADS in both forms and LRS for one front; `kick` asks the planner's loop for a turn."""
+    """Serves ADS in both variants and LRS for one frontend."""
 
     def __init__(
         self,
-        front: XdsFrontend,
+        frontend: XdsFrontend,
         settings: Settings,
-        plumbing: dict[str, Any],
-        kick: Callable[[], None],
+        options: Mapping[str, Any],
+        request_round: Callable[[], None],
         clock: Callable[[], int],
         log: Any,
     ) -> None:
-        """`plumbing` is the `xds` block of the settings."""
-        self.front, self.set, self.plumbing = front, settings, plumbing
-        self.kick, self.clock, self.log = kick, clock, log
-        self.sids = itertools.count(1)
-        self.queues: dict[int, asyncio.Queue[bytes | tuple[str, str]]] = {}
-        self.deltas: dict[int, bool] = {}
-        self.operations = frozenset(op.name for op in settings.operations)
-        self.server: AbortableServer | None = None
-        self.bytes = self.messages = 0
-        self.waiting = 0  # streams that have not named their node yet
-        self.reporting: dict[str, int] = {}  # by node, the number of its newest report stream
+        """Create a server that does not listen yet.
+
+        Args:
+            frontend: The state machines.
+            settings: Zones, operations and the interval of load reports.
+            options: The `xds` block of the settings file.
+            request_round: Asks for a round of the controller.
+            clock: Returns the time in nanoseconds.
+            log: Where refused streams are logged.
+        """
+        self.sent_bytes = 0
+        self.sent_messages = 0
+        self._frontend = frontend
+        self._settings = settings
+        self._operations = frozenset(operation.name for operation in settings.operations)
+        self._address: tuple[str, int] = options["listen"]
+        self._max_streams: int = options["streams"]
+        self._max_message_bytes: int = options["max_message"]
+        self._read_timeout_s = options["read_within"] / SECOND_NS
+        self._request_round = request_round
+        self._clock = clock
+        self._log = log
+        self._stream_ids = itertools.count(1)
+        self._streams: dict[int, _OpenStream] = {}
+        self._server: AbortableServer | None = None
+        self._unidentified_streams = 0  # that have not named their node
+        self._report_streams: dict[str, int] = {}  # by node, the newest
+
+    @property
+    def rejected_connections(self) -> int:
+        """Connections past the limit, since the start."""
+        return self._server.rejected_connections if self._server else 0
 
     def __mapping__(self) -> dict[str, Handler]:
-        """The handlers that grpclib serves."""
+        """Return the handlers that grpclib serves."""
         both = Cardinality.STREAM_STREAM
         return {
-            ADS + "StreamAggregatedResources": Handler(self._sotw, both, bytes, bytes),
-            ADS + "DeltaAggregatedResources": Handler(self._delta, both, bytes, bytes),
-            LRS: Handler(self._loads, both, bytes, bytes),
+            ADS + "StreamAggregatedResources": Handler(self._serve_sotw, both, bytes, bytes),
+            ADS + "DeltaAggregatedResources": Handler(self._serve_delta, both, bytes, bytes),
+            LRS: Handler(self._serve_load_reports, both, bytes, bytes),
         }
 
     async def start(self) -> tuple[str, int]:
-        """Listen; returns the address."""
-        config = Configuration(http2_connection_window_size=2**20, http2_stream_window_size=2**18)
-        self.server = AbortableServer(
-            [self], codec=RawCodec(), config=config, most=2 * self.plumbing["streams"]
+        """Listen and return the address; raises OSError if that is not possible."""
+        config = Configuration(
+            http2_connection_window_size=CONNECTION_WINDOW_BYTES,
+            http2_stream_window_size=STREAM_WINDOW_BYTES,
+        )
+        self._server = AbortableServer(
+            [self], codec=RawCodec(), config=config, max_connections=2 * self._max_streams
         )
-        host, port = self.plumbing["listen"]
-        await self.server.start(host, port, backlog=1024)
-        return self.server._server.sockets[0].getsockname()[:2]
+        host, port = self._address
+        await self._server.start(host, port, backlog=LISTEN_BACKLOG)
+        return self._server.address
 
     async def stop(self) -> None:
         """Stop listening and end all streams."""
-        if self.server is not None:
-            self.server.close()
-            with contextlib.suppress(asyncio.TimeoutError):
-                await asyncio.wait_for(self.server.wait_closed(), 2)
-            self.server.break_all()  # a client would open its next stream on a connection nobody serves
+        if self._server is None:
+            return
+        self._server.close()
+        with contextlib.suppress(asyncio.TimeoutError):
+            await asyncio.wait_for(self._server.wait_closed(), STOP_TIMEOUT_S)
+        # a client would open its next stream on a connection that nobody serves
+        self._server.abort_connections()
+
+    def send(self, output: FrontendOutput) -> None:
+        """Queue the responses and terminations of a round."""
+        for stream_id, response in output.responses:
+            stream = self._streams.get(stream_id)
+            if stream is None:
+                continue
+            data = messages.encode(response, stream.delta)
+            self.sent_bytes += len(data)
+            self.sent_messages += 1
+            self._enqueue(stream, data)
+        for termination in output.terminations:
+            stream = self._streams.get(termination.stream_id)
+            if stream is not None:
+                self._enqueue(stream, _Termination(termination.status, termination.text))
+
+    @staticmethod
+    def _enqueue(stream: _OpenStream, item: bytes | _Termination) -> None:
+        """Queue an item; past the limit the stream is ended with the reason."""
+        queue = stream.queue
+        if queue.full():
+            while not queue.empty():
+                queue.get_nowait()
+            item = _Termination("RESOURCE_EXHAUSTED", f"{MAX_QUEUED_RESPONSES} replies unread")
+        queue.put_nowait(item)
 
-    async def _sotw(self, stream: Stream) -> None:
-        await self._serve(stream, False)
+    async def _serve_sotw(self, stream: Stream) -> None:
+        await self._serve_ads(stream, False)
 
-    async def _delta(self, stream: Stream) -> None:
-        await self._serve(stream, True)
+    async def _serve_delta(self, stream: Stream) -> None:
+        await self._serve_ads(stream, True)
 
-    async def _first(self, stream: Stream) -> bytes | None:
-        if self.waiting >= self.plumbing["streams"]:
+    async def _receive_first(self, stream: Stream) -> bytes | None:
+        """Return the first message of a stream; silent streams are bounded in number and time."""
+        if self._unidentified_streams >= self._max_streams:
             raise ProtocolViolationError("RESOURCE_EXHAUSTED", "too many streams without a node")
-        self.waiting += 1
-        try:  # a client that opens streams and says nothing holds them no longer than this
-            async with asyncio.timeout(self.plumbing["read_within"] / S):
-                return await receive(stream, self.plumbing["max_message"])
+        self._unidentified_streams += 1
+        try:
+            async with asyncio.timeout(self._read_timeout_s):
+                return await receive(stream, self._max_message_bytes)
         except TimeoutError:
             raise ProtocolViolationError("DEADLINE_EXCEEDED", "no first request") from None
         finally:
-            self.waiting -= 1
+            self._unidentified_streams -= 1
 
-    async def _serve(self, stream: Stream, delta: bool) -> None:
-        sid, most = next(self.sids), self.plumbing["max_message"]
-        cause, writer = "the stream ended", None
+    async def _serve_ads(self, stream: Stream, delta: bool) -> None:
+        stream_id = next(self._stream_ids)
+        cause = "the stream ended"
+        writer: asyncio.Task[_Termination] | None = None
         try:
-            data = await self._first(stream)
+            data = await self._receive_first(stream)
             if data is None:
                 return
-            request, node = messages.decode(data, delta)
-            self.front.opened(sid, messages.peer(node, self.set.zones), delta, self.clock())
-            self.queues[sid] = asyncio.Queue(QUEUE)
-            self.deltas[sid] = delta
-            writer = asyncio.ensure_future(self._write(sid, stream, asyncio.current_task()))
-            while True:
-                self.front.request(sid, request, self.clock())
-                self.kick()
-                data = await receive(stream, most)
-                if data is None:
-                    break
+            writer = self._open(stream_id, stream, data, delta)
+            while data is not None:
                 request, _ = messages.decode(data, delta)
-        except ProtocolViolationError as why:
-            cause = why.text
-            self.log.warning("stream refused", stream=sid, status=why.status, cause=why.text)
-            raise GRPCError(Status[why.status], why.text) from None
-        except (StreamTerminatedError, ConnectionError, AssertionError) as why:
-            cause = f"the stream broke: {why or type(why).__name__}"
+                self._frontend.on_request(stream_id, request, self._clock())
+                self._request_round()
+                data = await receive(stream, self._max_message_bytes)
+        except ProtocolViolationError as error:
+            cause = error.text
+            self._log.warning("stream refused", stream=stream_id, status=error.status, cause=error.text)
+            raise GRPCError(Status[error.status], error.text) from None
+        except (StreamTerminatedError, ConnectionError, AssertionError) as error:
+            cause = f"the stream broke: {error or type(error).__name__}"
         except asyncio.CancelledError:
-            ended = writer is not None and writer.done() and not writer.cancelled()
-            failed = writer.result() if ended else None
-            cause = failed[1] if failed else "the connection closed"
-            if failed:
-                raise GRPCError(Status[failed[0]], failed[1]) from None
+            termination = _result(writer)
+            cause = termination.text if termination else "the connection closed"
+            if termination:
+                raise GRPCError(Status[termination.status], termination.text) from None
             raise
         finally:
             if writer is not None:
                 writer.cancel()
-            self.queues.pop(sid, None)
-            self.deltas.pop(sid, None)
-            self.front.closed(sid, cause)
-            self.kick()
-
-    async def _write(self, sid: int, stream: Stream, reader: Any) -> tuple[str, str]:
-        """Write what is queued; returns the status the stream ends with, and stops its reader."""
-        queue = self.queues[sid]
-        end = ("UNAVAILABLE", "the stream broke")
+            self._streams.pop(stream_id, None)
+            self._frontend.close_stream(stream_id, cause)
+            self._request_round()
+
+    def _open(self, stream_id: int, stream: Stream, data: bytes, delta: bool) -> "asyncio.Task[_Termination]":
+        """Connect the proxy of a stream's first request and start the stream's writer."""
+        _, node = messages.decode(data, delta)
+        proxy = messages.parse_node(node, self._settings.zones)
+        self._frontend.open_stream(stream_id, proxy, delta, self._clock())
+        opened = self._streams[stream_id] = _OpenStream(asyncio.Queue(MAX_QUEUED_RESPONSES), delta)
+        return asyncio.ensure_future(self._write(stream_id, opened, stream, asyncio.current_task()))
+
+    async def _write(self, stream_id: int, opened: _OpenStream, stream: Stream, reader: Any) -> _Termination:
+        """Write what is queued; return the status that the stream ends with and stop its reader."""
+        end = _Termination("UNAVAILABLE", "the stream broke")
         try:
             while True:
-                item = await queue.get()
-                if isinstance(item, tuple):
+                item = await opened.queue.get()
+                if isinstance(item, _Termination):
                     end = item
                     break
-                async with asyncio.timeout(self.plumbing["read_within"] / S):
+                async with asyncio.timeout(self._read_timeout_s):
                     await stream.send_message(item)
         except TimeoutError:
-            end = ("DEADLINE_EXCEEDED", f"nothing read for {self.plumbing['read_within'] / S:g} s")
-            self.log.warning("proxy does not read", stream=sid, cause=end[1])
-        except (StreamTerminatedError, ConnectionError, RuntimeError) as why:
-            # uvloop says by RuntimeError that a transport is closed; the reader ends by the same loss
-            end = ("UNAVAILABLE", f"the stream broke: {why}")
+            end = _Termination("DEADLINE_EXCEEDED", f"nothing read for {self._read_timeout_s:g} s")
+            self._log.warning("proxy does not read", stream=stream_id, cause=end.text)
+        except (StreamTerminatedError, ConnectionError, RuntimeError) as error:
+            # uvloop reports a closed transport by RuntimeError; the reader ends by the same loss
+            end = _Termination("UNAVAILABLE", f"the stream broke: {error}")
         reader.cancel()
         return end
 
-    def carry_out(self, out: FrontendOutput) -> None:
-        """Queue a turn's replies and cuts."""
-        for sid, reply in out.replies:
-            queue = self.queues.get(sid)
-            if queue is None:
-                continue
-            data = messages.encode(reply, self.deltas[sid])
-            self.bytes += len(data)
-            self.messages += 1
-            self._put(sid, queue, data)
-        for sid, status, text in out.cuts:
-            queue = self.queues.get(sid)
-            if queue is not None:
-                self._put(sid, queue, (status, text))
-
-    def _put(self, sid: int, queue: Any, item: Any) -> None:
-        if queue.full():  # past its bound the stream is cut off with a reason
-            while not queue.empty():
-                queue.get_nowait()
-            item = ("RESOURCE_EXHAUSTED", f"{QUEUE} replies unread")
-        queue.put_nowait(item)
-
-    async def _loads(self, stream: Stream) -> None:
-        peer, mine = None, 0
+    async def _serve_load_reports(self, stream: Stream) -> None:
+        node, stream_id = None, 0
         try:
-            data = await self._first(stream)
+            data = await self._receive_first(stream)
             if data is None:
                 return
-            report, node = load_reports.decode(data, self.operations)
-            peer, mine = messages.peer(node, self.set.zones), next(self.sids)
-            if peer.node not in self.reporting and len(self.reporting) >= self.plumbing["streams"]:
-                raise ProtocolViolationError(
-                    "RESOURCE_EXHAUSTED", f"{len(self.reporting)} report streams are open"
-                )
-            self.reporting[peer.node] = mine
-            await stream.send_message(load_reports.answer(self.set.report_interval_ns))
-            while self.reporting.get(peer.node) == mine:  # a node reports on one stream, the newest
-                self.front.report(peer.node, report, self.clock())
-                self.kick()
-                data = await receive(stream, self.plumbing["max_message"])
+            report, sender = load_reports.decode(data, self._operations)
+            node = messages.parse_node(sender, self._settings.zones).node
+            stream_id = next(self._stream_ids)
+            self._open_report_stream(node, stream_id)
+            await stream.send_message(load_reports.encode_response(self._settings.report_interval_ns))
+            while self._report_streams.get(node) == stream_id:
+                self._frontend.on_load_report(node, report, self._clock())
+                self._request_round()
+                data = await receive(stream, self._max_message_bytes)
                 if data is None:
                     return
-                report, _ = load_reports.decode(data, self.operations)
-            raise ProtocolViolationError("ABORTED", f"node {peer.node} opened another report stream")
-        except ProtocolViolationError as why:
-            raise GRPCError(Status[why.status], why.text) from None
+                report, _ = load_reports.decode(data, self._operations)
+            raise ProtocolViolationError("ABORTED", f"node {node} opened another report stream")
+        except ProtocolViolationError as error:
+            raise GRPCError(Status[error.status], error.text) from None
         except (StreamTerminatedError, ConnectionError, AssertionError):
             return
         finally:
-            if peer is not None and self.reporting.get(peer.node) == mine:
-                del self.reporting[peer.node]
+            if node is not None and self._report_streams.get(node) == stream_id:
+                del self._report_streams[node]
+
+    def _open_report_stream(self, node: str, stream_id: int) -> None:
+        """Let a node report on its newest stream alone."""
+        if node not in self._report_streams and len(self._report_streams) >= self._max_streams:
+            text = f"{len(self._report_streams)} report streams are open"
+            raise ProtocolViolationError("RESOURCE_EXHAUSTED", text)
+        self._report_streams[node] = stream_id
+
+
+def _result(writer: "asyncio.Task[_Termination] | None") -> _Termination | None:
+    """Return the status that a writer ended its stream with, if it did."""
+    if writer is None or not writer.done() or writer.cancelled():
+        return None
+    return writer.result()
--- a/tests/dns/test_frontend.py
+++ b/tests/dns/test_frontend.py
@@ -536,11 +536,12 @@
 
 
 def test_a_node_that_calls_itself_a_view_is_refused(world):
-    from swiftchute.xds.frontend import XdsFrontend as Xds
+    from swiftchute.xds.frontend import FrontendOptions, XdsFrontend
 
-    xds = Xds(world.controller, world.controller.settings, 1, S, 1.0, 10, 7)
+    options = FrontendOptions(1, S, 1.0, 10)
+    xds = XdsFrontend(world.controller, world.controller.settings, options, 7)
     with pytest.raises(ProtocolViolationError, match="another front"):
-        xds.opened(1, ProxyNode("dns/east", "east", None, True, frozenset()), True, NOW)
+        xds.open_stream(1, ProxyNode("dns/east", "east", None, True, frozenset()), True, NOW)
 
 
 # -- transfers
--- a/tests/proxy/test_server.py
+++ b/tests/proxy/test_server.py
@@ -25,7 +25,7 @@
 from swiftchute.proxy.server import ProxyServer
 from swiftchute.proxy.settings import Idempotency, PoolLimits, ProxyLimits, RouteSettings, ServerSettings
 from swiftchute.proxy.xds_client import XdsClient
-from swiftchute.xds.server import RawCodec
+from swiftchute.xds.grpc_transport import RawCodec
 
 S = 1_000_000_000
 SETTINGS = ServerSettings()
--- a/tests/xds/test_server.py
+++ b/tests/xds/test_server.py
@@ -23,7 +23,8 @@
 from swiftchute.policy import Reconciler
 from swiftchute.proxy.xds_client import XdsClient
 from swiftchute.xds import names
-from swiftchute.xds.server import ADS, RawCodec
+from swiftchute.xds.grpc_transport import RawCodec
+from swiftchute.xds.server import ADS
 
 SETTINGS = Path("examples/planner.hcl").read_text(encoding="utf-8")
 
@@ -187,7 +188,7 @@
         good = Gateway(XdsClient("good", "north", 5.0, delta=False), [address], 1)
         good.start()
         with pytest.raises(GRPCError, match="nothing read for 1 s"):
-            await _unread(address, place.service.front)
+            await _unread(address, place.service.xds_frontend)
         assert good.connected_to
         await until(lambda: good.client.tables and len(good.client.table("lot-estimate").weights) == 2000)
         await good.stop()
@@ -209,9 +210,9 @@
             while not (stuck.resources[names.CDS] and stuck.resources[names.EDS]):
                 for answer in stuck.receive(await stream.recv_message()):
                     await stream.send_message(answer)
-            await until(lambda: "stuck" in front.sids)
+            await until(lambda: front.is_connected("stuck"))
             began = time.monotonic()
-            await until(lambda: "stuck" not in front.sids, 5)
+            await until(lambda: not front.is_connected("stuck"), 5)
             assert time.monotonic() - began > 0.5
             await stream.cancel()
     finally:
@@ -336,7 +337,7 @@
             except ConnectionResetError:
                 said = b""
             assert said == b""  # closed without a word
-        assert place.service.shell.server.turned_away == 2
+        assert place.service.xds_server.rejected_connections == 2
         assert all(g.connected_to for g in gateways)
         for _, writer in idle:
             writer.close()
