--- a/swiftchute/policy/assignment.py
+++ b/swiftchute/policy/assignment.py
@@ -1,6 +1,5 @@
 """Assignment of proxies to the tables of a subset."""
 
-from swiftchute.api.endpoints import EndpointState
 from swiftchute.api.events import ProxyId
 from swiftchute.policy.egress_budget import DRAIN_NOTICE_THRESHOLD, PUSH_THRESHOLD, EgressBudget
 from swiftchute.policy.load_stats import request_rate
@@ -19,7 +18,7 @@
     if not waiting:
         return
     loads = {zone: subset_loads(state, zone) for zone in state.subset_counts}
-    draining = any(endpoint.state != EndpointState.READY for endpoint in state.endpoints.values())
+    draining = any(not endpoint.is_ready for endpoint in state.endpoints.values())
     migrating = {name: state.proxies[name].subset is not None for name in waiting}
     for name in sorted(waiting, key=lambda p: (migrating[p], -request_rate(state.proxies[p]), p)):
         threshold = DRAIN_NOTICE_THRESHOLD if draining and not migrating[name] else PUSH_THRESHOLD
--- a/swiftchute/policy/desired_tables.py
+++ b/swiftchute/policy/desired_tables.py
@@ -1,6 +1,5 @@
 """Desired tables: the entries that each table should have by health, warm-up, spillover and admission."""
 
-from swiftchute.api.endpoints import EndpointState
 from swiftchute.policy.publishing import is_urgent_drop
 from swiftchute.policy.slow_start import endpoint_weight, is_warming_up, limit_warming_endpoints
 from swiftchute.policy.state import ADMISSION_KEY, Endpoint, EndpointTable, PolicyState
@@ -47,8 +46,9 @@
     """
     if table.zone_local:
         return {}
+    by_zone = _spillover_fractions(state, table.zone)
     fractions = {
-        name: 1.0 if warming_only else _spillover_fraction(state, table.zone, endpoint.zone)
+        name: 1.0 if warming_only else by_zone.get(endpoint.zone, 0.0)
         for name, endpoint in ready.items()
         if endpoint.zone != table.zone
     }
@@ -62,9 +62,13 @@
     return warm or (entries if warming_only else {})
 
 
-def _spillover_fraction(state: PolicyState, proxy_zone: str, endpoint_zone: str) -> float:
-    pair = state.zone_pairs.get((proxy_zone, endpoint_zone))
-    return pair.spillover_fraction if pair is not None else 0.0
+def _spillover_fractions(state: PolicyState, zone: str) -> dict[str, float]:
+    """Return the part of the endpoints' weight that a zone's tables carry, by zone of the endpoints."""
+    return {
+        endpoint_zone: pair.spillover_fraction
+        for (proxy_zone, endpoint_zone), pair in state.zone_pairs.items()
+        if proxy_zone == zone
+    }
 
 
 def _own_part(
@@ -98,7 +102,7 @@
     table.desired = {name: weight for name, weight in before.items() if name in entries}
     # by what was published: an entry may wait for its removal when its endpoint begins to drain
     table.urgent |= any(
-        state.endpoints[name].state != EndpointState.READY for name in table.published.keys() - entries.keys()
+        not state.endpoints[name].is_ready for name in table.published.keys() - entries.keys()
     )
     for name, weight in entries.items():
         old = table.desired.get(name)
--- a/swiftchute/policy/draining.py
+++ b/swiftchute/policy/draining.py
@@ -35,7 +35,7 @@
         """
         unknown_tables = _any_proxy_never_assigned(state)
         for name, endpoint in state.endpoints.items():
-            eject = endpoint.state != EndpointState.READY
+            eject = not endpoint.is_ready
             if eject == (name in self.ejected) or (eject and not unknown_tables):
                 continue
             proxies = _affected_proxies(state, name)
--- a/swiftchute/policy/endpoint_list.py
+++ b/swiftchute/policy/endpoint_list.py
@@ -84,6 +84,6 @@
 def _update_endpoint(endpoint: Endpoint, record: EndpointRecord, removal_is_binding: bool) -> None:
     """Update state and weight; a removal that does not bind only makes a ready endpoint suspected."""
     removed = record.state == EndpointState.REMOVED and not removal_is_binding
-    endpoint.suspected_removed = removed and endpoint.state == EndpointState.READY
-    endpoint.state = EndpointState.READY if endpoint.suspected_removed else record.state
+    endpoint.suspected_removed = removed and endpoint.is_ready
+    endpoint.set_state(EndpointState.READY if endpoint.suspected_removed else record.state)
     endpoint.listed_weight = record.weight
--- a/swiftchute/policy/load_stats.py
+++ b/swiftchute/policy/load_stats.py
@@ -64,9 +64,9 @@
 def request_rate(proxy: Proxy) -> float:
     """Return the requests per second that reached a proxy; before any report, what it announced."""
     rates = [
-        sum(sample.requests for sample in samples)
+        sum(requests for requests, _ in samples)
         * NS_PER_S
-        / max(sum(sample.window_ns for sample in samples), 1)
+        / max(sum(window_ns for _, window_ns in samples), 1)
         for samples in proxy.demand.values()
     ]
     return sum(rates) if rates else proxy.expected_request_rate
@@ -89,36 +89,30 @@
     Reports from behind an unhealthy network between zones say nothing about the endpoint: they do not count.
     """
     oldest_ns = state.now_ns - MAX_SAMPLE_AGE_NS
-    return _sum_up(
-        state,
-        (
-            sample
-            for sample in endpoint.samples
-            if sample.next_report_ns >= oldest_ns
-            and not is_suspended(state, sample.proxy_zone, endpoint.zone)
-        ),
-    )
+    samples = [sample for sample in endpoint.samples if sample.next_report_ns >= oldest_ns]
+    ignored = [zone for zone in state.settings.zones if is_suspended(state, zone, endpoint.zone)]
+    if ignored:
+        samples = [sample for sample in samples if sample.proxy_zone not in ignored]
+    return _sum_up(state, samples)
 
 
 def _zone_stats(state: PolicyState, endpoint: Endpoint, proxy_zone: str) -> RecentStats:
     """Sum up the latest reports of an endpoint by the proxies of one zone."""
     oldest_ns = state.now_ns - MAX_LOAD_RATIO_SAMPLE_AGE_NS
-    return _sum_up(
-        state,
-        (
-            sample
-            for sample in endpoint.samples
-            if sample.proxy_zone == proxy_zone and sample.next_report_ns >= oldest_ns
-        ),
-    )
+    samples = [
+        sample
+        for sample in endpoint.samples
+        if sample.proxy_zone == proxy_zone and sample.next_report_ns >= oldest_ns
+    ]
+    return _sum_up(state, samples)
 
 
 def _sum_up(state: PolicyState, samples: Iterable[LoadSample]) -> RecentStats:
     attempts = failures = latency_ns = 0
-    for sample in samples:
-        attempts += sample.attempts
-        failures += sample.failures
-        latency_ns += (sample.attempts - sample.failures) * sample.mean_latency_ns
+    for _, sample_attempts, sample_failures, mean_latency_ns, _, _ in samples:
+        attempts += sample_attempts
+        failures += sample_failures
+        latency_ns += (sample_attempts - sample_failures) * mean_latency_ns
     successes = max(attempts - failures, MIN_SUCCESSES)
     return RecentStats(attempts, failures, (latency_ns + failures * state.latency_objective_ns) / successes)
 
--- a/swiftchute/policy/outlier_detection.py
+++ b/swiftchute/policy/outlier_detection.py
@@ -52,7 +52,7 @@
         self, state: PolicyState, name: str, endpoint: Endpoint, stats: RecentStats, usual_cost_ns: float
     ) -> None:
         if endpoint.suspected_removed and stats.failures > REMOVAL_FAILURE_FRACTION * stats.attempts:
-            endpoint.state = EndpointState.REMOVED
+            endpoint.set_state(EndpointState.REMOVED)
         if stats.attempts < MIN_ATTEMPTS:
             _recover_unobserved(endpoint)
             return
--- a/swiftchute/policy/state.py
+++ b/swiftchute/policy/state.py
@@ -56,13 +56,15 @@
         health_weight: Correction of the listed weight by outlier detection.
         suspected_removed: Missing from a list whose removals do not bind; its failures decide.
         zone: Zone in which it is.
-        state: What the endpoint list says, as far as it is believed.
+        state: What the endpoint list says, as far as it is believed; changed by `set_state`.
+        is_ready: It may receive requests.
         listed_weight: Weight by the endpoint list.
         started_ns: Time of its last start, 0 if unknown.
     """
 
     __slots__ = (
         "health_weight",
+        "is_ready",
         "listed_weight",
         "order",
         "samples",
@@ -81,10 +83,15 @@
         self.health_weight = 1.0
         self.suspected_removed = False
         self.zone = record.zone
-        self.state = record.state
+        self.set_state(record.state)
         self.listed_weight = record.weight
         self.started_ns = record.started_ns
 
+    def set_state(self, state: EndpointState | str) -> None:
+        """Note another state."""
+        self.state = state
+        self.is_ready = state == EndpointState.READY
+
 
 class Proxy:
     """A connected proxy.
@@ -241,7 +248,7 @@
 
     def ready_endpoints(self) -> dict[str, Endpoint]:
         """Return the endpoints that may receive requests, by name."""
-        return {name: e for name, e in self.endpoints.items() if e.state == EndpointState.READY}
+        return {name: endpoint for name, endpoint in self.endpoints.items() if endpoint.is_ready}
 
     def all_tables(self) -> Iterator[EndpointTable]:
         """Iterate over the tables of all subsets, in the order of their creation."""
