--- a/benchmarks/taps.py
+++ b/benchmarks/taps.py
@@ -21,7 +21,7 @@
 from swiftchute.discovery.endpoint_list import EndpointListChange
 from swiftchute.policy import Reconciler
 from swiftchute.safety.validator import LATE, SafetyRules
-from swiftchute.simulator.host import Host
+from swiftchute.simulator.host import SimulatorHost
 
 S = 1_000_000_000
 
@@ -123,13 +123,13 @@
     """One recording: what was found, and how many replies differed from the recorded ones."""
     Played.made = []
     # as the module's adapter is seeded: the maker is given settings and seed alone
-    host, differ, asked = Host(Played, sys.stderr), 0, None
+    host, differ, asked = SimulatorHost(Played, sys.stderr), 0, None
     with open(path, "rb") as tap:
         for number, text in enumerate(tap, 1):
             if text[:2] in (b">>", b"<<"):
                 way = text[:2]
             elif way == b">>":
-                asked = host.batch(text, number)
+                asked = host.answer(text, number)
             elif json.loads(asked) != json.loads(text):
                 differ += 1
     return Played.made, differ
--- a/swiftchute/platform/settings_schema.py
+++ b/swiftchute/platform/settings_schema.py
@@ -134,7 +134,7 @@
     for field, names in (("classes", operations), ("dcs", checked.dcs)):
         if len(set(names)) < len(names):
             raise SettingsError(f"{path}: settings: {field}: a name stands twice")
-    settings = codec.settings(data)
+    settings = codec.decode_settings(data)
     # Counts are whole numbers, and what the policy divides by is not 0.
     return replace(
         settings,
--- a/swiftchute/simulator/__init__.py
+++ b/swiftchute/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter between the bench's wire and the decision module: it translates and decides nothing."""
+"""The adapter between the simulator's wire and the policy: it translates and decides nothing."""
--- a/swiftchute/simulator/codec.py
+++ b/swiftchute/simulator/codec.py
@@ -1,9 +1,15 @@
-"""The wire's names and units on one side, the words of `swiftchute.interface` on the other."""
+"""The simulator's wire: the one module that knows its names and units.
 
+A line of input is a batch: a time and, for each instance, the events since the last batch. A line of output
+is the reply: for each instance the actions that its policy decided. Both are JSON. Times are microseconds on
+the wire and nanoseconds in `swiftchute.api`.
+"""
+
+import json
 from collections.abc import Callable
-from typing import Any
+from typing import Any, NamedTuple
 
-from swiftchute.api.endpoints import EndpointRecord
+from swiftchute.api.endpoints import EndpointRecord, ListScope
 from swiftchute.api.events import (
     DemandReport,
     EndpointListUpdate,
@@ -22,15 +28,22 @@
 )
 from swiftchute.api.settings import Operation, Settings
 
-US = 1000  # the wire counts microseconds, the module nanoseconds
-ALL_TABLES = 65535
-
-_REPEATS = {"free": "idempotent", "guarded": "fingerprinted", "single_shot": "side-effecting"}
-_SCOPES = {"incr": "changes", "total": "whole", "warm_copy": "held", "lost": "lost"}
-_WEIGHTS = {"off": "none", "nominal": "nominal", "rough": "rough", "live": "live"}
-_LOAD_BY = {"inline": "answers", "on_probe": "probe", "off": "none"}
-_ADMISSION = {"fraction": "share", "per_second": "rate", "off": "none"}
-_LOADS = {
+NS_PER_US = 1000
+ALL_TABLES = 65535  # number that stands for all tables of an instance
+ALL_PEERS = "*"
+START, STOP, FAULT = "HELLO", "EXIT", "FAULT"
+
+_IDEMPOTENCY = {"free": "idempotent", "guarded": "fingerprinted", "single_shot": "side-effecting"}
+_LIST_SCOPES = {
+    "incr": ListScope.DELTA,
+    "total": ListScope.SNAPSHOT,
+    "warm_copy": ListScope.CACHED,
+    "lost": ListScope.UNAVAILABLE,
+}
+_WEIGHT_SOURCES = {"off": "none", "nominal": "nominal", "rough": "rough", "live": "live"}
+_LOAD_SOURCES = {"inline": "answers", "on_probe": "probe", "off": "none"}
+_ADMISSION_MODES = {"fraction": "share", "per_second": "rate", "off": "none"}
+_LOAD_FIGURES = {
     "rif": "in_hand",
     "q": "queued",
     "busy": "busy",
@@ -38,167 +51,345 @@
     "rate": "served_rate",
     "fail_rate": "error_rate",
 }
-_ENDINGS = {"success": "answered", "failure": "errored", "overloaded": "rate-limited"}
+_PROBE_OUTCOMES = {"success": "answered", "failure": "errored", "overloaded": "rate-limited"}
+
+WireObject = dict[str, Any]
+
+
+class InstanceEvents(NamedTuple):
+    """What a batch holds for one instance: events as the wire has them."""
+
+    instance: int
+    events: list[Any]
+
+
+class Batch(NamedTuple):
+    """A decoded line of input; its events are still as the wire has them."""
+
+    now_ns: int
+    serial: int
+    groups: list[InstanceEvents]
+
+
+class InstanceStart(NamedTuple):
+    """The start of an instance."""
+
+    settings: Settings
+    seed: int
+
+
+def decode_batch(value: WireObject) -> Batch:
+    """Read a batch; raises KeyError or TypeError where a field is missing or of the wrong type."""
+    now_ns, serial = value["now_us"] * NS_PER_US, value["serial"]
+    return Batch(
+        now_ns, serial, [InstanceEvents(group["planner_id"], group["in"]) for group in value["groups"]]
+    )
+
+
+def encode_reply(serial: int, actions: list[tuple[int, list[WireObject]]]) -> str:
+    """Write the reply to a batch, with the actions of each instance that has any."""
+    groups = [{"planner_id": instance, "outbox": outbox} for instance, outbox in actions]
+    return json.dumps({"serial": serial, "groups": groups}, separators=(",", ":"))
+
+
+def decode_start(fields: WireObject) -> InstanceStart:
+    """Read the start of an instance; raises KeyError where a field is missing."""
+    return InstanceStart(decode_settings(fields["profile_data"]), fields["init_seed"])
+
+
+def decode_settings(data: WireObject) -> Settings:
+    """Read the settings of an instance.
+
+    Args:
+        data: The wire's description of the deployment; unknown keys are ignored.
 
+    Returns:
+        The settings.
 
-def settings(data: dict[str, Any]) -> Settings:
-    """Read the settings of a start; keys this program does not know are ignored."""
-    facts, rules, permits, stats = data["specifics"], data["rules"], data["permissions"], data["stats"]
-    prices = data["prices"]
-    local, writes = facts.get("stays_local") or [], facts.get("class_writes") or []
-    ask = rules.get("ask_within_us")
+    Raises:
+        KeyError: A key is missing, or a value is none of those that the wire allows.
+    """
+    specifics, prices = data["specifics"], data["prices"]
     return Settings(
-        operations=tuple(
-            Operation(
-                name=c["name"],
-                latency_objective_ns=c["slo_us"] * US,
-                timeout_ns=c["deadline_us"] * US,
-                value=c["credit"],
-                late_value_fraction=c.get("late_value") or 0.0,
-                idempotency=_REPEATS[c["semantics"]],
-                deduplication_scope=c.get("group") or "all",
-                deduplication_window_ns=(c.get("window_us") or 0) * US,
-                zone_local=bool(k < len(local) and local[k]),
-                writes=bool(k < len(writes) and writes[k]),
-            )
-            for k, c in enumerate(data["classes"])
-        ),
+        operations=_decode_operations(data["classes"], specifics),
         zones=tuple(data["dcs"]),
         zone=data["zone"],
         instance=data["ordinal"],
         instance_count=data["group_size"],
-        list_needs_subscription=data["registry_mode"] == "subscribe",
-        weight_source=_WEIGHTS.get(data["weight_source"], data["weight_source"]),
-        load_figures=tuple(_LOADS.get(name, name) for name in stats.get("fields") or ()),
-        load_source=_LOAD_BY.get(stats["via"], stats["via"]),
-        may_probe=bool(permits["probes"]),
-        may_message_peers=bool(permits["peer_messages"]),
-        list_request_interval_ns=None if ask is None else ask * US,
-        drain_grace_ns=rules["drain_grace_us"] * US,
-        removal_is_binding=not rules.get("removal_not_binding"),
-        start_capacity_fraction=rules["start_capacity"],
-        max_warmup_ns=rules["warm_within_us"] * US,
-        overload_multiple=rules["fall_multiple"],
-        overload_window_ns=rules["fall_us"] * US,
-        max_no_endpoint_ns=facts["empty_for_us"] * US,
-        proxy_count=facts["agents"],
-        key_range_count=facts["ranges"],
-        single_owner=bool(facts["single_writer"]),
-        admission_mode=_ADMISSION.get(facts["admission"], facts["admission"]),
-        default_retry_policy=facts["base_mode"],
-        attempt_timeout_objectives=facts["per_try"],
-        ejection_failures=facts["fails_to_eject"],
-        subset_size=facts["initial_set"],
-        report_interval_ns=facts["interval_us"] * US,
-        report_rate_entries_per_s=facts["reports_per_s"],
-        egress_rate_entries_per_s=facts["egress_per_s"],
-        egress_queue_limit_entries=facts["queue_cap"],
-        message_overhead_entries=facts["per_message"],
-        message_quota=facts["update_cap"],
-        message_quota_window_ns=facts["update_window_us"] * US,
-        mean_push_delay_ns=facts["push_delay_us"] * US,
-        max_push_delay_ns=facts["late_most_us"] * US,
         cross_zone_price=prices.get("cross_zone") or 0.0,
         probe_price=prices.get("probe") or 0.0,
-        entry_price=facts.get("line_fee") or 0.0,
+        entry_price=specifics.get("line_fee") or 0.0,
+        **_information_fields(data),
+        **_rule_fields(data["rules"]),
+        **_proxy_fields(specifics),
+        **_channel_fields(specifics),
     )
 
 
-def _load(fields: dict[str, Any]) -> dict[str, float] | None:
-    report = fields.get("usage")
-    return report and {_LOADS.get(name, name): value for name, value in report.items()}
+def _decode_operations(classes: list[WireObject], specifics: WireObject) -> tuple[Operation, ...]:
+    zone_local, writes = specifics.get("stays_local") or [], specifics.get("class_writes") or []
+    return tuple(
+        Operation(
+            name=fields["name"],
+            latency_objective_ns=fields["slo_us"] * NS_PER_US,
+            timeout_ns=fields["deadline_us"] * NS_PER_US,
+            value=fields["credit"],
+            late_value_fraction=fields.get("late_value") or 0.0,
+            idempotency=_IDEMPOTENCY[fields["semantics"]],
+            deduplication_scope=fields.get("group") or "all",
+            deduplication_window_ns=(fields.get("window_us") or 0) * NS_PER_US,
+            zone_local=bool(index < len(zone_local) and zone_local[index]),
+            writes=bool(index < len(writes) and writes[index]),
+        )
+        for index, fields in enumerate(classes)
+    )
 
 
-def _endpoint(e: dict[str, Any]) -> EndpointRecord:
-    start = (e.get("last_start_us") or 0) * US
-    return EndpointRecord(e["server"], e["az"], e["model"], e["pack"], e["health"], e["share"], start)
+def _information_fields(data: WireObject) -> dict[str, Any]:
+    """Return the settings on what an instance learns, and what it may ask for."""
+    permissions, stats = data["permissions"], data["stats"]
+    weight_source, load_source = data["weight_source"], stats["via"]
+    list_interval_us = data["rules"].get("ask_within_us")
+    return {
+        "list_needs_subscription": data["registry_mode"] == "subscribe",
+        "weight_source": _WEIGHT_SOURCES.get(weight_source, weight_source),
+        "load_figures": tuple(_LOAD_FIGURES.get(name, name) for name in stats.get("fields") or ()),
+        "load_source": _LOAD_SOURCES.get(load_source, load_source),
+        "may_probe": bool(permissions["probes"]),
+        "may_message_peers": bool(permissions["peer_messages"]),
+        "list_request_interval_ns": None if list_interval_us is None else list_interval_us * NS_PER_US,
+    }
+
+
+def _rule_fields(rules: WireObject) -> dict[str, Any]:
+    """Return the settings on draining, removal and warm-up of endpoints."""
+    return {
+        "drain_grace_ns": rules["drain_grace_us"] * NS_PER_US,
+        "removal_is_binding": not rules.get("removal_not_binding"),
+        "start_capacity_fraction": rules["start_capacity"],
+        "max_warmup_ns": rules["warm_within_us"] * NS_PER_US,
+        "overload_multiple": rules["fall_multiple"],
+        "overload_window_ns": rules["fall_us"] * NS_PER_US,
+    }
+
+
+def _proxy_fields(specifics: WireObject) -> dict[str, Any]:
+    """Return the settings on proxies and key ranges."""
+    admission = specifics["admission"]
+    return {
+        "max_no_endpoint_ns": specifics["empty_for_us"] * NS_PER_US,
+        "proxy_count": specifics["agents"],
+        "key_range_count": specifics["ranges"],
+        "single_owner": bool(specifics["single_writer"]),
+        "admission_mode": _ADMISSION_MODES.get(admission, admission),
+        "default_retry_policy": specifics["base_mode"],
+        "attempt_timeout_objectives": specifics["per_try"],
+        "ejection_failures": specifics["fails_to_eject"],
+        "subset_size": specifics["initial_set"],
+    }
+
+
+def _channel_fields(specifics: WireObject) -> dict[str, Any]:
+    """Return the settings on load reports and on the channel to the proxies."""
+    return {
+        "report_interval_ns": specifics["interval_us"] * NS_PER_US,
+        "report_rate_entries_per_s": specifics["reports_per_s"],
+        "egress_rate_entries_per_s": specifics["egress_per_s"],
+        "egress_queue_limit_entries": specifics["queue_cap"],
+        "message_overhead_entries": specifics["per_message"],
+        "message_quota": specifics["update_cap"],
+        "message_quota_window_ns": specifics["update_window_us"] * NS_PER_US,
+        "mean_push_delay_ns": specifics["push_delay_us"] * NS_PER_US,
+        "max_push_delay_ns": specifics["late_most_us"] * NS_PER_US,
+    }
+
+
+def decode_event(name: str, fields: WireObject) -> Event:
+    """Read one event.
+
+    Args:
+        name: The wire's name of the event.
+        fields: Its fields.
+
+    Returns:
+        The event.
+
+    Raises:
+        KeyError: The name is unknown, or a field is missing.
+        TypeError: A field is of the wrong type.
+        ValueError: A field has a wrong value.
+    """
+    return _EVENT_DECODERS[name](fields)
+
+
+def _endpoint_list_update(fields: WireObject) -> EndpointListUpdate:
+    records = [_endpoint_record(item) for item in fields.get("items") or ()]
+    return EndpointListUpdate(_LIST_SCOPES[fields["scope"]], records)
+
+
+def _endpoint_record(fields: WireObject) -> EndpointRecord:
+    return EndpointRecord(
+        fields["server"],
+        fields["az"],
+        fields["model"],
+        fields["pack"],
+        fields["health"],
+        fields["share"],
+        (fields.get("last_start_us") or 0) * NS_PER_US,
+    )
 
 
-def _load_report(f: dict[str, Any]) -> EndpointLoadReport:
-    latency, window = f["took_us"] * US, f["over_us"] * US
-    return EndpointLoadReport(f["az"], f["server"], f["many"], f["failed"], latency, window, _load(f))
+def _endpoint_load_report(fields: WireObject) -> EndpointLoadReport:
+    return EndpointLoadReport(
+        fields["az"],
+        fields["server"],
+        fields["many"],
+        fields["failed"],
+        fields["took_us"] * NS_PER_US,
+        fields["over_us"] * NS_PER_US,
+        _load_figures(fields),
+    )
 
 
-def _demand_report(f: dict[str, Any]) -> DemandReport:
-    return DemandReport(f["client_lb"], f["cls"], f["many"], f["failed"], f["over_us"] * US)
+def _load_figures(fields: WireObject) -> dict[str, float] | None:
+    usage = fields.get("usage")
+    return usage and {_LOAD_FIGURES.get(name, name): value for name, value in usage.items()}
 
 
-def _key_range_demand(f: dict[str, Any]) -> KeyRangeDemandReport:
-    return KeyRangeDemandReport(f["set_id"], f["cls"], f["many"], f["failed"], f["over_us"] * US)
+def _proxy_connected(fields: WireObject) -> ProxyConnected:
+    return ProxyConnected(fields["client_lb"], fields["az"], fields["share"], fields["yes"])
 
 
-def _probe_completed(f: dict[str, Any]) -> ProbeCompleted:
-    outcome = _ENDINGS.get(f["ending"], f["ending"])
-    return ProbeCompleted(f["server"], outcome, f["took_us"] * US, _load(f))
+def _proxy_disconnected(fields: WireObject) -> ProxyDisconnected:
+    return ProxyDisconnected(fields["client_lb"])
 
 
-_EVENTS: dict[str, Callable[[dict[str, Any]], Event]] = {
-    "FLEET": lambda f: EndpointListUpdate(_SCOPES[f["scope"]], [_endpoint(e) for e in f.get("items") or ()]),
-    "ATTACHED": lambda f: ProxyConnected(f["client_lb"], f["az"], f["share"], f["yes"]),
-    "DROPPED_OFF": lambda f: ProxyDisconnected(f["client_lb"]),
-    "DIGEST": _load_report,
-    "USAGE": _demand_report,
-    "INSTALLED": lambda f: PushAcknowledged(f["client_lb"], f["serial"], f["took_us"] * US),
-    "WAKE": lambda f: TimerFired(f["cookie"]),
-    "PROBE_RESULT": _probe_completed,
-    "NEIGHBOUR_SAYS": lambda f: PeerMessageReceived(f["src_peer"], bytes.fromhex(f["payload"])),
-    "TENURE": lambda f: KeyRangeAssigned(f["set_id"]) if f["yes"] else KeyRangeRevoked(f["set_id"]),
-    "STORED_LINE": lambda f: KeyRangeEntryRestored(f["set_id"], f["server"], f["share"]),
-    "KEY_LOAD": _key_range_demand,
-}
+def _demand_report(fields: WireObject) -> DemandReport:
+    window_ns = fields["over_us"] * NS_PER_US
+    return DemandReport(fields["client_lb"], fields["cls"], fields["many"], fields["failed"], window_ns)
 
 
-def event(name: str, fields: dict[str, Any]) -> Event:
-    """Translate one event of the wire; an unknown name raises KeyError."""
-    return _EVENTS[name](fields)
+def _push_acknowledged(fields: WireObject) -> PushAcknowledged:
+    return PushAcknowledged(fields["client_lb"], fields["serial"], fields["took_us"] * NS_PER_US)
 
 
-class Outbox:
-    """The writer of one instance's round: each verb becomes one action of the reply."""
+def _timer_fired(fields: WireObject) -> TimerFired:
+    return TimerFired(fields["cookie"])
 
-    def __init__(self) -> None:
-        """Start empty."""
-        self.actions: list[dict[str, Any]] = []
 
-    def _put(self, name: str, **fields: Any) -> None:
-        self.actions.append({name: fields})
+def _probe_completed(fields: WireObject) -> ProbeCompleted:
+    outcome = _PROBE_OUTCOMES.get(fields["ending"], fields["ending"])
+    return ProbeCompleted(fields["server"], outcome, fields["took_us"] * NS_PER_US, _load_figures(fields))
 
-    def set_weight(self, table: int, server: str, weight: float) -> None:
-        self._put("UPSERT", set_id=table, server=server, share=weight)
 
-    def clear_table(self, table: int) -> None:
-        self._put("EMPTY", set_id=table)
+def _peer_message_received(fields: WireObject) -> PeerMessageReceived:
+    return PeerMessageReceived(fields["src_peer"], bytes.fromhex(fields["payload"]))
+
 
-    def assign_table(self, proxy: int, table: int, mask: int) -> None:
-        self._put("HAND_TABLE", client_lb=proxy, set_id=table, lanes=mask)
+def _key_range_ownership(fields: WireObject) -> KeyRangeAssigned | KeyRangeRevoked:
+    return KeyRangeAssigned(fields["set_id"]) if fields["yes"] else KeyRangeRevoked(fields["set_id"])
 
-    def set_admission(self, table: int | None, mask: int, level: float, tries: int) -> None:
-        set_id = ALL_TABLES if table is None else table
-        self._put("LEVEL", set_id=set_id, lanes=mask, let_in=level, retry_mode=tries)
 
-    def set_ejected(self, server: str, out: bool) -> None:
-        self._put("PULL", server=server, yes=out)
+def _key_range_entry_restored(fields: WireObject) -> KeyRangeEntryRestored:
+    return KeyRangeEntryRestored(fields["set_id"], fields["server"], fields["share"])
 
-    def request_ack(self, seal: int, everyone: bool) -> None:
-        self._put("SEAL", serial=seal, yes=everyone)
 
-    def probe(self, server: str) -> None:
-        self._put("PING", server=server)
+def _key_range_demand_report(fields: WireObject) -> KeyRangeDemandReport:
+    window_ns = fields["over_us"] * NS_PER_US
+    return KeyRangeDemandReport(fields["set_id"], fields["cls"], fields["many"], fields["failed"], window_ns)
 
-    def subscribe(self, on: bool) -> None:
-        self._put("STREAM_CHANGES", yes=on)
+
+_EVENT_DECODERS: dict[str, Callable[[WireObject], Event]] = {
+    "FLEET": _endpoint_list_update,
+    "ATTACHED": _proxy_connected,
+    "DROPPED_OFF": _proxy_disconnected,
+    "DIGEST": _endpoint_load_report,
+    "USAGE": _demand_report,
+    "INSTALLED": _push_acknowledged,
+    "WAKE": _timer_fired,
+    "PROBE_RESULT": _probe_completed,
+    "NEIGHBOUR_SAYS": _peer_message_received,
+    "TENURE": _key_range_ownership,
+    "STORED_LINE": _key_range_entry_restored,
+    "KEY_LOAD": _key_range_demand_report,
+}
+
+
+class ActionEncoder:
+    """The command sink of one instance's round: each command becomes one action of the reply.
+
+    It implements `swiftchute.api.commands.CommandSink`.
+
+    Attributes:
+        actions: The actions in order.
+    """
+
+    def __init__(self) -> None:
+        """Create an encoder without any action."""
+        self.actions: list[WireObject] = []
+
+    def set_weight(self, table: int, endpoint: str, weight: float) -> None:
+        """Set the weight of an endpoint in a table; 0 removes the entry."""
+        self.actions.append({"UPSERT": {"set_id": table, "server": endpoint, "share": weight}})
+
+    def clear_table(self, table: int) -> None:
+        """Remove all entries and admission rates of a table."""
+        self.actions.append({"EMPTY": {"set_id": table}})
+
+    def assign_table(self, proxy: int, table: int, operation_mask: int) -> None:
+        """Make a proxy use a table for the operations of the mask."""
+        self.actions.append({"HAND_TABLE": {"client_lb": proxy, "set_id": table, "lanes": operation_mask}})
+
+    def set_admission(
+        self, table: int | None, operation_mask: int, admission_rate: float, retry_policy: int
+    ) -> None:
+        """Set the share of requests to admit and the retry policy, in one table or (None) in all."""
+        fields = {
+            "set_id": ALL_TABLES if table is None else table,
+            "lanes": operation_mask,
+            "let_in": admission_rate,
+            "retry_mode": retry_policy,
+        }
+        self.actions.append({"LEVEL": fields})
+
+    def set_ejected(self, endpoint: str, ejected: bool) -> None:
+        """Eject an endpoint from the tables of all connected proxies, or restore it."""
+        self.actions.append({"PULL": {"server": endpoint, "yes": ejected}})
+
+    def request_ack(self, nonce: int, everyone: bool) -> None:
+        """Ask for an acknowledgement of this round, from the proxies written to or from everyone."""
+        self.actions.append({"SEAL": {"serial": nonce, "yes": everyone}})
+
+    def probe(self, endpoint: str) -> None:
+        """Start a health check of an endpoint."""
+        self.actions.append({"PING": {"server": endpoint}})
+
+    def subscribe(self, enabled: bool) -> None:
+        """Open or close the subscription to the endpoint list."""
+        self.actions.append({"STREAM_CHANGES": {"yes": enabled}})
 
     def fetch_list(self) -> None:
-        self._put("GET_LIST")
+        """Request the whole endpoint list once."""
+        self.actions.append({"GET_LIST": {}})
 
-    def start_timer(self, wait: int, token: int) -> None:
-        self._put("TIMER", from_now_us=-(-wait // US), cookie=token)
+    def start_timer(self, delay_ns: int, timer_id: int) -> None:
+        """Deliver `TimerFired` after a delay, rounded up to the wire's unit."""
+        self.actions.append({"TIMER": {"from_now_us": -(-delay_ns // NS_PER_US), "cookie": timer_id}})
 
-    def send_to_peer(self, peer: int | None, data: bytes) -> None:
-        self._put("POST", whom="*" if peer is None else peer, payload=data.hex())
+    def send_to_peer(self, peer: int | None, payload: bytes) -> None:
+        """Send bytes to one peer, or to all (None)."""
+        whom = ALL_PEERS if peer is None else peer
+        self.actions.append({"POST": {"whom": whom, "payload": payload.hex()}})
 
     def log(self, text: str) -> None:
-        self._put("RECORD", msg=text)
+        """Write a line for the operators."""
+        self.actions.append({"RECORD": {"msg": text}})
+
+    def report_fault(self, text: str) -> None:
+        """Report an exception of the policy."""
+        self.actions.append({FAULT: {"msg": text}})
 
-    def fault(self, text: str) -> None:
-        self._put("FAULT", msg=text)
+    @property
+    def ends_with_fault(self) -> bool:
+        """Whether the last action reports an exception."""
+        return bool(self.actions) and FAULT in self.actions[-1]
--- a/swiftchute/simulator/host.py
+++ b/swiftchute/simulator/host.py
@@ -1,4 +1,4 @@
-"""The loop: one line in, one line out; one isolated instance a planner."""
+"""The host of the simulator's wire: one line in, one line out, with an isolated policy for each instance."""
 
 import json
 import traceback
@@ -9,94 +9,143 @@
 from swiftchute.api.events import Event
 from swiftchute.api.settings import Settings
 from swiftchute.simulator import codec
+from swiftchute.simulator.errors import WireInputError
 
-Maker = Callable[[Settings, int], Policy]
+PolicyFactory = Callable[[Settings, int], Policy]
 
+EXIT_OK = 0
+EXIT_BAD_INPUT = 2
 
-class BadInput(Exception):
-    """Input that is not of the wire; its text says what and where."""
 
+class SimulatorHost:
+    """Holds the policy instances and runs each with the events that a batch has for it.
 
-class Host:
-    """Keeps the instances and drives each with what a batch holds for it."""
+    Attributes:
+        instances: Running policies by instance number.
+    """
 
-    def __init__(self, make: Maker, errors: TextIO) -> None:
-        """Instances are built by `make` when their start comes in."""
-        self.make, self.errors = make, errors
+    def __init__(self, policy_factory: PolicyFactory, error_output: TextIO) -> None:
+        """Create a host without any instance.
+
+        Args:
+            policy_factory: Creates a policy from its settings and seed.
+            error_output: Receives the tracebacks of exceptions in policies.
+        """
+        self._policy_factory = policy_factory
+        self._error_output = error_output
         self.instances: dict[int, Policy] = {}
 
-    def batch(self, text: bytes, number: int) -> str:
-        """Answer one line of input with one line of output."""
-        try:
-            value = json.loads(text)
-        except ValueError as why:
-            raise BadInput(f"line {number}: not JSON: {why}") from None
-        try:
-            now, serial = value["now_us"] * codec.US, value["serial"]
-            groups = [(g["planner_id"], g["in"]) for g in value["groups"]]
-        except (KeyError, TypeError) as why:
-            raise BadInput(f"line {number}: not a batch: {why!r} missing or of the wrong type") from None
+    def answer(self, line: bytes, number: int) -> str:
+        """Process a batch.
+
+        Args:
+            line: One line of input.
+            number: Its number, for error messages.
+
+        Returns:
+            The line of output.
+
+        Raises:
+            WireInputError: The line is not a batch, or an event in it is unknown or malformed.
+        """
+        location = f"line {number}"
+        batch = _parse_batch(line, location)
         replies = []
-        for planner, events in groups:
-            out = codec.Outbox()
-            self._turn(planner, events, now, out, f"line {number}, planner {planner}")
-            if out.actions:
-                replies.append({"planner_id": planner, "outbox": out.actions})
-        return json.dumps({"serial": serial, "groups": replies}, separators=(",", ":"))
-
-    def _turn(self, planner: int, events: Any, now: int, out: codec.Outbox, where: str) -> None:
-        """Split a group at its starts and ends; what lies between goes to the instance as one round."""
-        calls: list[Event] = []
-        for place, event in enumerate(events):
-            spot = f"{where}, event {place + 1}"
-            try:
-                ((name, fields),) = event.items()
-            except (AttributeError, ValueError):
-                raise BadInput(f"{spot}: not an event") from None
+        for instance, events in batch.groups:
+            encoder = codec.ActionEncoder()
+            self._run_instance(instance, events, batch.now_ns, encoder, f"{location}, planner {instance}")
+            if encoder.actions:
+                replies.append((instance, encoder.actions))
+        return codec.encode_reply(batch.serial, replies)
+
+    def _run_instance(
+        self, instance: int, wire_events: Any, now_ns: int, encoder: codec.ActionEncoder, location: str
+    ) -> None:
+        """Process an instance's starts and stops; the events after the last one become one round."""
+        events: list[Event] = []
+        for index, wire_event in enumerate(wire_events):
+            event_location = f"{location}, event {index + 1}"
+            name, fields = _parse_event(wire_event, event_location)
             try:
-                if name == "HELLO":
-                    given, seed = codec.settings(fields["profile_data"]), fields["init_seed"]
-                    calls = []
-                    self._guarded(out, lambda g=given, s=seed: self._start(planner, g, s))
-                elif name == "EXIT":
-                    self.instances.pop(planner, None)
-                    calls, out.actions = [], []
-                elif planner not in self.instances and not self._failed(out):
-                    raise BadInput(f"{spot}: {name} for a planner that was not started")
+                if name == codec.START:
+                    start = codec.decode_start(fields)
+                    events = []
+                    self._start(instance, start, encoder)
+                elif name == codec.STOP:
+                    self.instances.pop(instance, None)
+                    events, encoder.actions = [], []
+                elif instance not in self.instances and not encoder.ends_with_fault:
+                    raise WireInputError(event_location, f"{name} for a planner that was not started")
                 else:
-                    calls.append(codec.event(name, fields))
-            except (KeyError, TypeError, ValueError, AttributeError) as why:
-                raise BadInput(f"{spot}: {name}: unknown, or a field is missing or wrong: {why!r}") from None
-        instance = self.instances.get(planner)
-        if instance is not None:
-            self._guarded(out, lambda: instance.reconcile(now, calls, out))
-
-    def _start(self, planner: int, given: Settings, seed: int) -> None:
-        self.instances[planner] = self.make(given, seed)
-
-    @staticmethod
-    def _failed(out: codec.Outbox) -> bool:
-        return bool(out.actions) and "FAULT" in out.actions[-1]
-
-    def _guarded(self, out: codec.Outbox, act: Callable[[], None]) -> None:
-        """An exception of the decision code becomes the instance's fault, never silence."""
+                    events.append(codec.decode_event(name, fields))
+            except (KeyError, TypeError, ValueError, AttributeError) as error:
+                cause = f"{name}: unknown, or a field is missing or wrong: {error!r}"
+                raise WireInputError(event_location, cause) from None
+        policy = self.instances.get(instance)
+        if policy is not None:
+            self._reconcile(policy, now_ns, events, encoder)
+
+    def _start(self, instance: int, start: codec.InstanceStart, encoder: codec.ActionEncoder) -> None:
+        """Start an instance anew; an exception becomes its fault."""
         try:
-            act()
-        except Exception as why:
-            traceback.print_exc(file=self.errors)
-            out.fault(f"{type(why).__name__}: {why}")
+            self.instances[instance] = self._policy_factory(start.settings, start.seed)
+        except Exception as error:
+            self._report_fault(error, encoder)
 
+    def _reconcile(
+        self, policy: Policy, now_ns: int, events: list[Event], encoder: codec.ActionEncoder
+    ) -> None:
+        """Run one round of a policy; an exception becomes the fault of its instance, never silence."""
+        try:
+            policy.reconcile(now_ns, events, encoder)
+        except Exception as error:
+            self._report_fault(error, encoder)
+
+    def _report_fault(self, error: Exception, encoder: codec.ActionEncoder) -> None:
+        traceback.print_exception(error, file=self._error_output)
+        encoder.report_fault(f"{type(error).__name__}: {error}")
+
+
+def serve(requests: BinaryIO, replies: TextIO, error_output: TextIO, policy_factory: PolicyFactory) -> int:
+    """Answer batches until the input ends, or until a line is not understood.
+
+    Args:
+        requests: Lines of input; empty ones are skipped.
+        replies: Receives one line for each batch.
+        error_output: Receives error messages and tracebacks.
+        policy_factory: Creates a policy from its settings and seed.
 
-def serve(source: BinaryIO, replies: TextIO, errors: TextIO, make: Maker) -> int:
-    """Run until the input ends; returns the exit code."""
-    host = Host(make, errors)
-    for number, text in enumerate(source, 1):
-        if not text.strip():
+    Returns:
+        The exit code of the process.
+    """
+    host = SimulatorHost(policy_factory, error_output)
+    for number, line in enumerate(requests, 1):
+        if not line.strip():
             continue
         try:
-            answer = host.batch(text, number)
-        except BadInput as why:
-            print(f"swiftchute.simulator: {why}", file=errors)
-            return 2
-        print(answer, file=replies, flush=True)
-    return 0
+            reply = host.answer(line, number)
+        except WireInputError as error:
+            print(f"swiftchute.simulator: {error}", file=error_output)
+            return EXIT_BAD_INPUT
+        print(reply, file=replies, flush=True)
+    return EXIT_OK
+
+
+def _parse_batch(line: bytes, location: str) -> codec.Batch:
+    try:
+        value = json.loads(line)
+    except ValueError as error:
+        raise WireInputError(location, f"not JSON: {error}") from None
+    try:
+        return codec.decode_batch(value)
+    except (KeyError, TypeError) as error:
+        raise WireInputError(location, f"not a batch: {error!r} missing or of the wrong type") from None
+
+
+def _parse_event(wire_event: Any, location: str) -> tuple[str, Any]:
+    """Return name and fields of an event."""
+    try:
+        ((name, fields),) = wire_event.items()
+    except (AttributeError, ValueError):
+        raise WireInputError(location, "not an event") from None
+    return name, fields
