--- a/benchmarks/taps.py
+++ b/benchmarks/taps.py
@@ -79,9 +79,9 @@
                 case EndpointListUpdate(scope, endpoints):
                     controller.on_list_update(EndpointListChange(scope, tuple(endpoints), ()))
                 case _:
-                    controller.pending_events.append(event)
+                    controller.runner.pending_events.append(event)
         if not calls:
-            controller.pending_events.append(DemandReport(None, "", 0, 0, 1))
+            controller.runner.pending_events.append(DemandReport(None, "", 0, 0, 1))
         self._turn(now)
 
     def _turn(self, now):
@@ -91,7 +91,7 @@
         turn = controller.run_round(now)
         for proxy, _ in turn.pushes:  # as if each were acknowledged at once
             controller.on_fully_acknowledged(proxy, now)
-        controller.timers = []  # the recording wakes it
+        controller.runner.timers = []  # the recording wakes it
         moved = sum(t.revision for t in controller.assignments.tables.values()) != sums
         self.pushes += moved
         raised = {
--- a/swiftchute/controller/assignments.py
+++ b/swiftchute/controller/assignments.py
@@ -118,6 +118,34 @@
         retry_policy = own[1] if operation in by_operation else common[1]
         return min(own[0], common[0]), retry_policy
 
+    def table_name(self, table: int) -> str:
+        """Return the name by which proxies know a table; it differs from those of other instances."""
+        return f"{self.settings.instance}.{table}"
+
+    def table_number(self, name: str) -> int | None:
+        """Return the number of a table by its name; None if there is no such table."""
+        return next((number for number in self.tables if self.table_name(number) == name), None)
+
+    def usable_weights(self, table: int) -> dict[str, float]:
+        """Return the weights of a table without ejected endpoints."""
+        return {
+            endpoint: weight
+            for endpoint, weight in self.tables[table].weights.items()
+            if endpoint not in self.ejected
+        }
+
+    def operations_of(self, table: int) -> list[int]:
+        """Return the indices of the operations that proxies are assigned to a table for."""
+        assignments = (self.proxies[proxy] for proxy in self.proxies_by_table.get(table, ()))
+        return sorted(
+            {
+                operation
+                for assignment in assignments
+                for operation, number in assignment.table_by_operation.items()
+                if number == table
+            }
+        )
+
     def set_weight(self, table: int, endpoint: str, weight: float) -> None:
         """Set the weight of an endpoint in a table; 0 removes the entry."""
         if not 0 <= weight < float("inf"):
--- /dev/null
+++ b/swiftchute/controller/canary_rollout.py
@@ -0,0 +1,156 @@
+"""Large changes of a table reach a part of its proxies first; load reports decide whether they go on.
+
+`swiftchute.versions.canary` judges the reports. This module tells it of changes, proxies and reports, keeps
+the baseline content that the other proxies hold meanwhile, and carries its outcomes out.
+"""
+
+from collections.abc import Callable
+from typing import Any
+
+from swiftchute.controller.change_causes import IMMEDIATE_CAUSES, ChangeCause
+from swiftchute.controller.endpoint_directory import EndpointDirectory
+from swiftchute.controller.load_aggregation import LoadReport
+from swiftchute.controller.policy_runner import PolicyRunner
+from swiftchute.controller.table_contents import TableContent, encode_table, sorted_entries
+from swiftchute.safety.observed_traffic import ObservedTraffic
+from swiftchute.versions import encoding
+from swiftchute.versions.canary import CanaryTrials
+from swiftchute.versions.history import VersionHistory
+from swiftchute.versions.pinning import PinnedVersions
+
+Republish = Callable[[int, ChangeCause, int], None]  # table number, cause, now
+RollBack = Callable[[str, str, bool, int], bool]  # table name, version, with admission, now
+
+
+class CanaryRollout:
+    """Canaries of all tables."""
+
+    def __init__(
+        self,
+        trials: CanaryTrials,
+        runner: PolicyRunner,
+        directory: EndpointDirectory,
+        history: VersionHistory,
+        pins: PinnedVersions,
+        republish: Republish,
+        roll_back: RollBack,
+    ) -> None:
+        """Start without canaries; `republish` and `roll_back` carry outcomes out."""
+        self.trials, self.runner, self.directory = trials, runner, directory
+        self.history, self.pins = history, pins
+        self.republish, self.roll_back = republish, roll_back
+        self.observed_traffic = ObservedTraffic()
+        self.baselines: dict[int, TableContent] = {}  # by table, for proxies outside its canary
+
+    def reset(self, observed_traffic: ObservedTraffic) -> None:
+        """End all canaries: the policy crashed, and its tables are gone."""
+        self.observed_traffic = observed_traffic
+        for name in list(self.trials.open):
+            self.trials.close(name)
+        self.baselines.clear()
+
+    def holds_baseline(self, number: int, proxy: Any) -> bool:
+        """Return whether a proxy holds the content of before the canary of a table."""
+        name = self.runner.assignments.table_name(number)
+        return number in self.baselines and not self.trials.first(name, proxy)
+
+    def on_content_changed(self, number: int, old: TableContent | None, new: TableContent) -> None:
+        """Start, continue or end the canary of a table that has a new content."""
+        if not self.trials.limits.part:
+            return
+        name = self.runner.assignments.table_name(number)
+        change = self.history.current(name)
+        if old is None or change is None or change.cause in IMMEDIATE_CAUSES or name in self.pins.by:
+            self.trials.close(name)
+        elif old.entries != new.entries:
+            self._offer(number, name, old, new)
+        self._update_baseline(number, name, new)
+
+    def on_load_report(self, proxy: Any, report: LoadReport, now: int) -> None:
+        """Count the report of a proxy for the canaries of its tables."""
+        assignments, operations = self.runner.assignments, self.runner.settings.operations
+        table_by_operation = assignments.proxies[proxy].table_by_operation
+        for number in set(table_by_operation.values()):
+            names = {operations[index].name for index, table in table_by_operation.items() if table == number}
+            demand = [entry for entry in report.demand if entry[0] in names]
+            totals = (
+                sum(requests for _, requests, _ in demand),
+                sum(failures for _, _, failures in demand),
+                sum(latency_sum_ns for _, _, _, latency_sum_ns, _ in report.endpoints),
+                sum(latency_count for _, _, _, _, latency_count in report.endpoints),
+            )
+            self.trials.heard(proxy, assignments.table_name(number), totals, now - report.window_ns)
+
+    def check(self, now: int) -> None:
+        """Update the proxies and baselines of open canaries, and carry out those that are over."""
+        starts = self.directory.start_times(self.runner.assignments.ejected)
+        for name in list(self.trials.open):
+            self._check_open(name, starts, now)
+        for name, outcome in self.trials.over(now):
+            number = self.runner.assignments.table_number(name)
+            went = "back" if outcome.back else "on"
+            self.runner.log_event("canary over", table=name, went=went, cause=outcome.why)
+            if number is None:
+                continue
+            if outcome.back and self.roll_back(name, outcome.before.hex(), False, now):
+                continue
+            self.republish(number, ChangeCause.CANARY, now)
+
+    def _check_open(self, name: str, starts: dict[str, int], now: int) -> None:
+        """Republish a table whose canary has other proxies, or whose baseline lost endpoints."""
+        assignments = self.runner.assignments
+        number = assignments.table_number(name)
+        if number is None or not assignments.proxies_by_table.get(number):
+            self.trials.close(name)
+            return
+        chosen_anew = self.trials.choose(name, self._request_rates(number))
+        baseline = self.baselines.get(number)
+        held = {entry.endpoint for entry in baseline.entries} if baseline is not None else set()
+        weights = self.trials.rest(name, starts)
+        if weights is None:
+            self.republish(number, ChangeCause.CANARY, now)
+        elif chosen_anew or weights.keys() != held:
+            self.republish(number, ChangeCause.LIST, now)
+
+    def _offer(self, number: int, name: str, old: TableContent, new: TableContent) -> None:
+        """Let the trials decide whether a change of weights is tried by some proxies first."""
+        before, after = (
+            {entry.endpoint: entry.weight for entry in content.entries} for content in (old, new)
+        )
+        was_open = name in self.trials.open
+        now = self.runner.last_round_ns
+        rates = self._request_rates(number)
+        is_open = self.trials.change(
+            name,
+            before,
+            after,
+            (old.version, new.version),
+            rates,
+            self.directory.start_times(self.runner.assignments.ejected),
+            self.directory.warming_up(now),
+            now,
+        )
+        if is_open and not was_open:
+            proxies, version = len(self.trials.open[name].first), new.version.hex()[:12]
+            self.runner.log_event("canary", table=name, version=version, proxies=proxies, of=len(rates))
+
+    def _update_baseline(self, number: int, name: str, new: TableContent) -> None:
+        """Keep what proxies outside the canary hold: the weights of before, the admission of now."""
+        weights = self.trials.rest(name, self.directory.start_times(self.runner.assignments.ejected))
+        if weights is None:
+            self.baselines.pop(number, None)
+            return
+        entries = sorted_entries(weights, self.directory)
+        table = encode_table(entries, new.admission, self.runner)
+        self.history.note(f"{name}/rest", table, self.runner.last_round_ns, ChangeCause.CANARY)
+        self.baselines[number] = TableContent(entries, new.admission, encoding.name(table))
+
+    def _request_rates(self, number: int) -> dict[Any, float]:
+        """Return the proxies of a table with their requests per second."""
+        names = [operation.name for operation in self.runner.settings.operations]
+        now = self.runner.last_round_ns
+        return {
+            proxy: self.observed_traffic.demand((proxy,), names, now)
+            or self.runner.proxies[proxy].request_rate
+            for proxy in self.runner.assignments.proxies_by_table.get(number, ())
+        }
--- a/swiftchute/controller/controller.py
+++ b/swiftchute/controller/controller.py
@@ -1,16 +1,14 @@
-"""One planner without I/O: what fronts and sources tell it in, pushes and log events out.
-
-    core = Core(settings, seed, make=Planner)
-    core.joined(proxy, zone, rate, fresh); core.left(proxy); core.applied(proxy, seal, now)
-    core.heard(proxy, zone, report, now); core.listed(news)
-    turn = core.turn(now)       # call after any of these, and at core.due
-    turn.pushes                 # (proxy, seal): these proxies are to hold core.held(proxy) now
-    turn.refused, turn.events
-
-It keeps the clock's rounds: the module is called once a turn with all that came in. Every decision about
-servers, weights, levels, times and who is bound where is the module's. Fronts (xDS, others to come) hold no
-tables of their own: they serve `held(proxy)` and `content(table)`. What is decided here is plumbing: what of
-the module's orders has left the channel, and what becomes of a module that fails.
+"""One controller without I/O: events of frontends and discovery in, messages to proxies and log events out.
+
+    controller = Controller(settings, seed, Reconciler)
+    controller.on_proxy_connected(proxy, zone, request_rate, fresh)
+    controller.on_list_update(change)
+    output = controller.run_round(now)      # after any event, and at `controller.next_deadline_ns`
+    output.pushes                           # these proxies should hold `controller.tables_of(proxy)` now
+
+The policy decides about endpoints, weights, admission and assignments. The controller runs it, has its tables
+reviewed by the safety rules, keeps their versions, and paces what is sent. Frontends keep no tables of their
+own: they serve `tables_of(proxy)`.
 """
 
 from collections.abc import Collection
@@ -19,101 +17,48 @@
 
 from swiftchute.api.events import PushAcknowledged
 from swiftchute.api.settings import Settings
-from swiftchute.controller.assignments import RoundResult
+from swiftchute.controller.acknowledgements import NonceTracker
+from swiftchute.controller.assignments import Assignments, RoundResult
+from swiftchute.controller.canary_rollout import CanaryRollout
+from swiftchute.controller.change_causes import ChangeCause
 from swiftchute.controller.egress_queue import EgressQueue
+from swiftchute.controller.endpoint_directory import EndpointDirectory
 from swiftchute.controller.load_aggregation import LoadAggregator, LoadReport
 from swiftchute.controller.log_events import LogEvent
-from swiftchute.controller.policy_runner import (
-    IDLE_ROUND_INTERVAL_NS,
-    NS_PER_S,
-    ConnectedProxy,
-    PolicyFactory,
-    PolicyRunner,
-)
+from swiftchute.controller.policy_runner import ConnectedProxy, PolicyFactory, PolicyRunner
+from swiftchute.controller.safety_review import SafetyReview
+from swiftchute.controller.table_contents import ProxyTables, TableContent, TableContents
+from swiftchute.controller.version_control import RetentionSettings, VersionControl
 from swiftchute.discovery.endpoint_list import EndpointListChange
-from swiftchute.safety.observed_traffic import ObservedTraffic, peak_by_kind
+from swiftchute.safety.observed_traffic import ObservedTraffic
 from swiftchute.safety.publish_gate import PublishGate
-from swiftchute.safety.validator import EndpointStatus, Observations, Proposal, SafetyRules
-from swiftchute.versions import encoding
+from swiftchute.safety.validator import SafetyRules
 from swiftchute.versions.canary import CanaryLimits, CanaryTrials
 from swiftchute.versions.delivery import DeliveryTracker
-from swiftchute.versions.history import UnknownVersionError, VersionChange, VersionHistory
-from swiftchute.versions.pinning import (
-    MAX_PIN_NS,
-    MIN_PIN_NS,
-    Pin,
-    PinError,
-    PinnedVersions,
-    RejectionTracker,
-)
-
-SEALS_KEPT = 4096  # marks whose time of order is remembered
-FACTS_MOST = 200_000  # servers remembered, those gone among them: past it the gone are forgotten
-
-TableEntry = tuple[str, str, float]  # server, its zone, weight
-
-
-@dataclass(frozen=True)
-class TableContent:
-    """What a table holds: its lines, and by operation of the settings the level and the way of
-    further tries."""
-
-    entries: tuple[TableEntry, ...]
-    admission: tuple[tuple[float, int], ...]
-    version: bytes = field(default=b"", compare=False)  # the name of its canonical form
+from swiftchute.versions.history import VersionChange, VersionHistory
+from swiftchute.versions.pinning import PinnedVersions, RejectionTracker
 
-
-@dataclass(frozen=True)
-class ProxyTables:
-    """What a proxy should hold: by operation the name of its table, and the tables' contents by name."""
-
-    tables_by_operation: tuple[tuple[str, str], ...] = ()
-    contents: dict[str, TableContent] = field(default_factory=dict, compare=False)
-    baseline_tables: frozenset[str] = frozenset()  # tables whose newest content others try first
+MAX_LOGGED_WEIGHTS = 8  # invalid weights that one log event shows
 
 
 class Push(NamedTuple):
-    """A message to a proxy: it is to hold `tables_of(proxy)`, and to answer for the nonce."""
+    """A message to a proxy: it should hold `tables_of(proxy)` and acknowledge the nonce."""
 
     proxy: Any
     nonce: int | None
 
 
-@dataclass
+@dataclass(slots=True)
 class RoundOutput:
-    """What a turn asks of the fronts."""
+    """What the frontends are to do after a round."""
 
     pushes: list[Push] = field(default_factory=list)
-    overflowed_proxies: list[Any] = field(
-        default_factory=list
-    )  # proxies for whose message the channel had no room
+    overflowed_proxies: list[Any] = field(default_factory=list)  # their messages exceed the egress queue
     log_events: list[LogEvent] = field(default_factory=list)
 
 
-@dataclass
-class _Joined(ConnectedProxy):
-    seal: int | None = None  # the newest mark ordered and not pushed yet
-    carried: ProxyTables | None = None  # what it held of a module that failed
-
-
-@dataclass(frozen=True)
-class RetentionSettings:
-    """How much history is kept, and when a version that proxies reject is taken back."""
-
-    max_versions: int = 1000
-    max_age_ns: int = 3600 * NS_PER_S
-    rejected_fraction: float = 0.3
-    max_rollbacks: int = 3
-    rollback_window_ns: int = 600 * NS_PER_S
-    rollback_duration_ns: int = 300 * NS_PER_S
-    canary_fraction: float = 0.0
-    canary_duration_ns: int = 5 * NS_PER_S
-    max_canary_duration_ns: int = 30 * NS_PER_S
-    min_canary_change: float = 0.25
-
-
-class Controller(PolicyRunner):
-    """The state of one planner's life."""
+class Controller:
+    """The state of one instance for one incarnation of the process."""
 
     def __init__(
         self,
@@ -125,594 +70,339 @@
         enforce: bool = True,
         retention: RetentionSettings | None = None,
     ) -> None:
-        """Start the first policy; without `safety_rules` tables are published as commanded."""
-        super().__init__(
-            settings, seed, policy_factory, now, ignore_invalid_weights=safety_rules is not None and enforce
+        """Start the first policy; without `safety_rules` tables are published as commanded.
+
+        Without `enforce` what breaks the safety rules is logged and published all the same.
+        """
+        self.settings, self.safety_rules, self.enforce = settings, safety_rules, enforce
+        retention = retention or RetentionSettings()
+        self.runner = PolicyRunner(
+            settings,
+            seed,
+            policy_factory,
+            now,
+            ignore_invalid_weights=safety_rules is not None and enforce,
+            crash_observer=self,
         )
-        self.safety_rules, self.enforce = safety_rules, enforce
-        retention = self.retention = retention or RetentionSettings()
+        self.directory = EndpointDirectory(settings.max_warmup_ns, settings.removal_is_binding)
+        self.load_aggregator = LoadAggregator(settings.report_rate_entries_per_s, settings.report_interval_ns)
         self.history = VersionHistory(str(settings.instance), retention.max_versions, retention.max_age_ns)
         self.deliveries, self.pins = DeliveryTracker(self.history), PinnedVersions()
         self.rejections = RejectionTracker(
             retention.rejected_fraction, retention.max_rollbacks, retention.rollback_window_ns
         )
-        limits = CanaryLimits(
-            retention.canary_fraction,
-            retention.canary_duration_ns,
-            retention.max_canary_duration_ns,
-            retention.min_canary_change,
+        self.canaries = CanaryTrials(
+            CanaryLimits(
+                retention.canary_fraction,
+                retention.canary_duration_ns,
+                retention.max_canary_duration_ns,
+                retention.min_canary_change,
+            )
+        )
+        self.version_control = VersionControl(
+            retention.rollback_duration_ns,
+            self.pins,
+            self.rejections,
+            self.canaries,
+            self.runner,
+            self.directory,
+            self.history,
+            self._republish,
+        )
+        self.canary_rollout = CanaryRollout(
+            self.canaries,
+            self.runner,
+            self.directory,
+            self.history,
+            self.pins,
+            self._republish,
+            self.version_control.roll_back,
         )
-        self.canaries = CanaryTrials(limits)
-        self.rests: dict[int, TableContent] = {}  # of tables on trial, what proxies behind hold
-        self.load_aggregator = LoadAggregator(settings.report_rate_entries_per_s, settings.report_interval_ns)
-        self.known_endpoints: dict[
-            str, EndpointStatus
-        ] = {}  # what the list says, or last said, of each server
         self.last_review_ns = now
-        self.news = self.judged = 0  # lists that brought something, and those that the module was told of
-        self.unavailable_endpoints: frozenset[str] = (
-            frozenset()
-        )  # servers listed as draining, or gone where gone binds
+        self.reviewed_change_count = 0  # changes of the endpoint list that a round of the policy has seen
         self.push_count = 0
-        self.out = RoundOutput()
+        self.tables_of_crashed_policy: dict[Any, ProxyTables] = {}  # by proxies that still hold them
+        self.output = RoundOutput()
         self._reset()
 
-    @property
-    def counts(self) -> dict[str, int]:
-        """Totals since the start, by the names they have in the log."""
-        return super().counts | {"pushes": self.push_count}
-
-    def _connected_proxy(self, zone: str, request_rate: float) -> _Joined:
-        return _Joined(zone, request_rate)
-
     def _reset(self) -> None:
-        super()._reset()
-        s = self.settings
-        self.publish_gate = (
-            PublishGate(s, self.safety_rules, self.enforce, self.random.getrandbits(32))
-            if self.safety_rules
-            else None
-        )
-        for proxy in list(self.deliveries.by):  # those of a module that failed are bound to nothing
+        """Make the state that belongs to one policy incarnation."""
+        settings = self.settings
+        for proxy in list(self.deliveries.by):  # those of a crashed policy are unassigned
             self.deliveries.left(proxy)
         self.observed_traffic = ObservedTraffic()
-        self.marks: dict[Any, int] = {}  # by proxy, the newest mark of a round that was held back
-        self.why: dict[int, str] = {}  # by table, the cause of its next version
+        self.nonces = NonceTracker()
         self.egress_queue = EgressQueue(
-            s.egress_rate_entries_per_s,
-            s.egress_queue_limit_entries,
-            s.message_overhead_entries,
-            s.message_quota,
-            s.message_quota_window_ns,
+            settings.egress_rate_entries_per_s,
+            settings.egress_queue_limit_entries,
+            settings.message_overhead_entries,
+            settings.message_quota,
+            settings.message_quota_window_ns,
         )
-        self.contents: dict[int, tuple[int, TableContent]] = {}
-        self.holdings: dict[Any, ProxyTables] = {}
-        for name in list(self.canaries.open):
-            self.canaries.close(name)
-        self.rests.clear()
-        self.ordered: dict[int, int] = {}
+        self.publish_gate: PublishGate | None = None
+        self.safety_review: SafetyReview | None = None
+        if self.safety_rules is not None:
+            seed = self.runner.random.getrandbits(32)
+            self.publish_gate = PublishGate(settings, self.safety_rules, self.enforce, seed)
+            self.safety_review = SafetyReview(
+                self.publish_gate,
+                self.observed_traffic,
+                self.egress_queue,
+                self.runner,
+                self.directory,
+                self.deliveries,
+                self.version_control,
+            )
+        self.canary_rollout.reset(self.observed_traffic)
+        self.contents = TableContents(
+            self.runner, self.directory, self.history, self.pins, self.canary_rollout, self.publish_gate
+        )
+
+    @property
+    def proxies(self) -> dict[Any, ConnectedProxy]:
+        """The connected proxies."""
+        return self.runner.proxies
+
+    @property
+    def assignments(self) -> Assignments:
+        """Tables, assignments and ejections as the policy commanded them."""
+        return self.runner.assignments
+
+    @property
+    def unavailable_endpoints(self) -> frozenset[str]:
+        """Endpoints that must not be used, whatever tables say; the same object until the list changes."""
+        return self.directory.unavailable
 
-    # -- in
+    @property
+    def counts(self) -> dict[str, int]:
+        """Totals since the start, by the names they have in the log."""
+        return self.runner.counts | {"pushes": self.push_count}
+
+    @property
+    def next_deadline_ns(self) -> int:
+        """When the next round is due, if no event comes in before."""
+        deadlines = (
+            self.runner.next_deadline_ns,
+            self.egress_queue.next_deadline_ns,
+            self.load_aggregator.next_deadline_ns,
+            self.pins.due,
+            self.canaries.due,
+            self.publish_gate.due if self.publish_gate is not None else None,
+        )
+        return min(deadline for deadline in deadlines if deadline is not None)
+
+    def log_event(self, name: str, /, **fields: Any) -> None:
+        """Add an event for the log."""
+        self.runner.log_event(name, **fields)
+
+    def on_proxy_connected(self, proxy: Any, zone: str, request_rate: float, fresh: bool) -> None:
+        """A proxy takes the messages of this instance from now on; it is unassigned."""
+        self.runner.on_proxy_connected(proxy, zone, request_rate, fresh)
+        self.nonces.unsent.pop(proxy, None)
+        self.tables_of_crashed_policy.pop(proxy, None)
 
     def on_proxy_disconnected(self, proxy: Any) -> bool:
-        """Its stream broke: what waits for it is lost. False if it had not joined."""
-        if not super().on_proxy_disconnected(proxy):
+        """The session of a proxy ended, queued messages are lost; return False if it was not connected."""
+        if not self.runner.on_proxy_disconnected(proxy):
             return False
         self.egress_queue.on_proxy_disconnected(proxy)
         self.deliveries.left(proxy)
         self.canaries.left(proxy)
-        self.marks.pop(proxy, None)
+        self.nonces.on_proxy_disconnected(proxy)
+        self.tables_of_crashed_policy.pop(proxy, None)
         self.load_aggregator.on_proxy_disconnected(proxy)
         return True
 
-    def on_acknowledged(self, proxy: Any, seal: int, now: int) -> None:
-        """A proxy has acknowledged all that belongs to a mark and to those before it."""
-        self.enqueue(PushAcknowledged(proxy, seal, now - self.ordered.get(seal, now)))
+    def on_acknowledged(self, proxy: Any, nonce: int, now: int) -> None:
+        """A proxy has acknowledged all that was sent with a nonce and before it."""
+        self.runner.enqueue(PushAcknowledged(proxy, nonce, self.nonces.latency_ns(nonce, now)))
 
     def on_fully_acknowledged(self, proxy: Any, now: int) -> None:
-        """A proxy holds all that was pushed to it."""
+        """A proxy has acknowledged all that was sent to it."""
         self.deliveries.settled(proxy)
         if self.canaries.open and proxy in self.deliveries.by:
-            held = self.deliveries.by[proxy][-1].contents
-            self.canaries.settled(proxy, {name: made.version for name, made in held.items()}, now)
-        if proxy in self.marks and self.proxies[proxy].seal is None:
-            self.on_acknowledged(proxy, self.marks.pop(proxy), now)
+            contents = self.deliveries.by[proxy][-1].contents
+            versions = {name: content.version for name, content in contents.items()}
+            self.canaries.settled(proxy, versions, now)
+        if self.nonces.can_answer_for(proxy):
+            self.on_acknowledged(proxy, self.nonces.withheld.pop(proxy), now)
 
     def on_load_report(self, proxy: Any, report: LoadReport, now: int) -> None:
-        """A load report of a proxy; one that is not joined is not heard."""
-        joined = self.proxies.get(proxy)
-        if joined is not None:
-            self.load_aggregator.add(proxy, joined.zone, report, self.known_endpoints, now)
-            if self.canaries.open:
-                self._tried(proxy, report, now)
-
-    def on_list_update(self, news: EndpointListChange) -> None:
-        """A good list brought these entries."""
-        self.news += 1
-        barred = set(self.unavailable_endpoints)
-        for entry in news.entries:
-            server, zone, state = entry.endpoint, entry.zone, entry.state
-            self.known_endpoints[server] = EndpointStatus(
-                zone, state, entry.started_ns, entry.weight, entry.kind
-            )
-            if (
-                len(self.known_endpoints) > FACTS_MOST
-            ):  # those gone are forgotten; to the guard they are gone still
-                self.known_endpoints = {n: f for n, f in self.known_endpoints.items() if f.state != "gone"}
-            binds = state == "draining" or (state == "gone" and self.settings.removal_is_binding)
-            (barred.add if binds else barred.discard)(server)
-        if len(barred) > FACTS_MOST:
-            barred &= self.known_endpoints.keys()
-        self.unavailable_endpoints = frozenset(barred)
-        self.on_endpoint_list(news.scope, news.entries)
-
-    # -- a turn
+        """Add the load report of a proxy; that of one that is not connected is ignored."""
+        connected = self.proxies.get(proxy)
+        if connected is None:
+            return
+        self.load_aggregator.add(proxy, connected.zone, report, self.directory.statuses, now)
+        if self.canaries.open:
+            self.canary_rollout.on_load_report(proxy, report, now)
 
-    @property
-    def next_deadline_ns(self) -> int:
-        """When the next turn is due."""
-        more = (
-            self.egress_queue.next_deadline_ns, self.load_aggregator.next_deadline_ns,
-            self.pins.due, self.canaries.due,
-            self.publish_gate.due if self.publish_gate else None,
-        )  # fmt: skip
-        return min([super().next_deadline_ns, *(t for t in more if t is not None)])
+    def on_list_update(self, change: EndpointListChange) -> None:
+        """Discovery delivered an endpoint list or changes to it."""
+        self.directory.apply(change)
+        self.runner.on_endpoint_list(change.scope, change.entries)
+
+    def on_tables_rejected(self, proxy: Any, names: Collection[str], now: int) -> None:
+        """A proxy rejects what was sent of these tables; what too many reject is rolled back."""
+        self.version_control.on_tables_rejected(proxy, names, now)
 
     def run_round(self, now: int) -> RoundOutput:
-        """Call the module if anything came in, and return what may go to proxies now."""
-        self._check_timeouts(now)
-        for call in self.load_aggregator.pop_due(now):
-            self.enqueue(call)
-        if self.pending_events and self.policy is not None:
-            self._reconcile(now)
-        self._end_pins(now)
+        """Call the policy if there are events for it; return what may be sent to proxies now."""
+        self.runner.check_timeouts(now)
+        for event in self.load_aggregator.pop_due(now):
+            self.runner.enqueue(event)
+        self._reconcile(now)
+        self.version_control.end_expired_pins(now)
         if self.canaries.open:
-            self._look_at_trials(now)
-        if self.publish_gate and self._to_review(now):
+            self.canary_rollout.check(now)
+        if self.safety_review is not None and self.safety_review.is_due(self.last_review_ns, now):
             self._review((), now)
-        for proxy, _ in self.egress_queue.pop_sent(now):
-            joined = self.proxies.get(proxy)
-            if joined is not None:
-                seal, joined.seal = joined.seal, None
-                self.push_count += 1
-                self.deliveries.pushed(proxy, self.tables_of(proxy))
-                self.out.pushes.append(Push(proxy, seal))
-        out, self.out = self.out, RoundOutput()
-        out.log_events = self.drain_log_events()
-        return out
-
-    def _to_review(self, now: int) -> bool:
-        """Warmth and demand move without orders, and so does the list: a drain that the module passes over
-        may not wait for the next second."""
-        assert self.publish_gate is not None
-        due = self.publish_gate.due
-        return (
-            now - self.last_review_ns >= IDLE_ROUND_INTERVAL_NS
-            or self.publish_gate.news != self.news
-            or (due is not None and now >= due)
-        )
-
-    def _reconcile(self, now: int) -> RoundResult | None:
-        for call in self.pending_events if self.publish_gate else ():
-            self.observed_traffic.told(call, now)
-        done = super()._reconcile(now)
-        if done is not None:
-            self._apply(done, now)
-        return done
-
-    def _apply(self, done: RoundResult, now: int) -> None:
-        if done.changed_entries_by_table or done.ejections_changed:
-            self.holdings.clear()
-        for number in done.changed_entries_by_table if self.news != self.judged else ():
-            self.why.setdefault(number, "list")
-        self.judged = self.news
-        if done.invalid_weights:
-            self.log_event(
-                "order mended", rule="bad weight", lines=[list(b) for b in done.invalid_weights[:8]]
-            )
-        if self.publish_gate and (
-            done.changed_entries_by_table or done.ejections_changed or done.proxy_assigned
-        ):
-            self._review(done.changed_entries_by_table, now)
-            self._hold(done, now)
-        if done.nonce is not None:
-            self.ordered[done.nonce] = now
-            while len(self.ordered) > SEALS_KEPT:
-                del self.ordered[next(iter(self.ordered))]
-            for proxy in done.entries_by_proxy:
-                self.proxies[proxy].seal = done.nonce
-                self.marks.pop(proxy, None)  # the newer mark answers for it
-        self._put(done.entries_by_proxy, now)
-
-    def _put(self, lines: dict[Any, int], now: int) -> None:
-        """Queue messages; whose finds no room is let go, and the log told."""
-        refused = self.egress_queue.enqueue(lines, now)
-        if refused:
-            self.out.overflowed_proxies += refused
-            many, limit = self.egress_queue.queued_entries, self.egress_queue.limit_entries
-            self.log_event("channel full", proxies=len(refused), lines=many, limit=limit)
-
-    # -- what a proxy should hold
+        self._send(now)
+        output, self.output = self.output, RoundOutput()
+        output.log_events = self.runner.drain_log_events()
+        return output
 
     def table_content(self, number: int) -> TableContent:
-        """What a table holds for its proxies; the same object until the table changes."""
-        table = self.assignments.tables[number]
-        kept = self.contents.get(number)
-        if kept is None or kept[0] != table.revision:
-            levels = [
-                self.assignments.admission(number, place) for place in range(len(self.settings.operations))
-            ]
-            open_ = {s: w for s, w in table.weights.items() if s not in self.assignments.ejected}
-            if self.publish_gate and number in self.publish_gate.allowed:
-                open_, most = self.publish_gate.allowed[number]
-                levels = [(min(level, most), tries) for level, tries in levels]
-            elif (pinned := self._pinned(number)) is not None:
-                open_ = pinned
-            held = self.pins.levels(self.table_name(number))
-            if held:
-                levels = [
-                    held.get(op.name, row) for op, row in zip(self.settings.operations, levels, strict=True)
-                ]
-            lines = tuple((s, self._zone(s), w) for s, w in sorted(open_.items()))
-            rows = [(op.name, *row) for op, row in zip(self.settings.operations, levels, strict=True)]
-            made = encoding.table(rows, lines)
-            old = kept[1] if kept is not None else None
-            version = self._note(number, made)
-            kept = self.contents[number] = (table.revision, TableContent(lines, tuple(levels), version))
-            if self.retention.canary_fraction:
-                self._try(number, old, kept[1])
-        return kept[1]
-
-    # -- canaries
-
-    def warming_endpoints(self, now: int) -> frozenset[str]:
-        """Ready servers that have started so lately that they are not warm yet; fronts ask here too."""
-        since = now - self.settings.max_warmup_ns
-        facts = self.known_endpoints.items()
-        return frozenset(n for n, f in facts if f.started > since and f.started and f.state == "ready")
-
-    def _starts(self) -> dict[str, int]:
-        """When each open server started."""
-        shut = self.assignments.ejected
-        return {n: f.started for n, f in self.known_endpoints.items() if f.state == "ready" and n not in shut}
-
-    def _demands(self, number: int) -> dict[Any, float]:
-        """The proxies on a table, with their invocations a second."""
-        named = [op.name for op in self.settings.operations]
-        on = self.assignments.proxies_by_table.get(number, ())
-        return {
-            p: self.observed_traffic.demand((p,), named, self.last_round_ns) or self.proxies[p].request_rate
-            for p in on
-        }
-
-    def _try(self, number: int, old: TableContent | None, new: TableContent) -> None:
-        """A table's content changed: whether some proxies try it first, and what others hold meanwhile."""
-        name = self.table_name(number)
-        change = self.history.current(name)
-        at_once = change is None or change.cause in ("guard", "rollback", "pin") or name in self.pins.by
-        if old is None or at_once:
-            self.canaries.close(name)
-        elif old.entries != new.entries:
-            before, after = ({n: w for n, _, w in made.entries} for made in (old, new))
-            tried = name in self.canaries.open
-            starts = self._starts()
-            cold, versions = self.warming_endpoints(self.last_round_ns), (old.version, new.version)
-            on = self._demands(number)
-            if (
-                self.canaries.change(name, before, after, versions, on, starts, cold, self.last_round_ns)
-                and not tried
-            ):
-                few, version = len(self.canaries.open[name].first), new.version.hex()[:12]
-                self.log_event("canary", table=name, version=version, proxies=few, of=len(on))
-        rest = self.canaries.rest(name, self._starts())
-        if rest is None:
-            self.rests.pop(number, None)
-            return
-        lines = tuple((s, self._zone(s), w) for s, w in sorted(rest.items()))
-        rows = [(op.name, *row) for op, row in zip(self.settings.operations, new.admission, strict=True)]
-        made = encoding.table(rows, lines)
-        self.history.note(f"{name}/rest", made, self.last_round_ns, "canary")
-        self.rests[number] = TableContent(lines, new.admission, encoding.name(made))
-
-    def _tried(self, proxy: Any, report: LoadReport, now: int) -> None:
-        """A report of a proxy, for the trials of the tables that it is on."""
-        bound = self.assignments.proxies[proxy].table_by_operation
-        for number in set(bound.values()):
-            ops = {self.settings.operations[place].name for place, table in bound.items() if table == number}
-            rows = [row for row in report.demand if row[0] in ops]
-            took, timed = (sum(row[k] for row in report.endpoints) for k in (3, 4))
-            figures = (sum(r[1] for r in rows), sum(r[2] for r in rows), took, timed)
-            self.canaries.heard(proxy, self.table_name(number), figures, now - report.window_ns)
-
-    def _look_at_trials(self, now: int) -> None:
-        """Trials that are over go on or back; lines of those behind lose servers that closed."""
-        starts = self._starts()
-        for name in list(self.canaries.open):
-            number = self._named(name)
-            if number is None or not self.assignments.proxies_by_table.get(number):
-                self.canaries.close(name)
-                continue
-            chosen = self.canaries.choose(name, self._demands(number))
-            was = {s for s, _, _ in self.rests[number].entries} if number in self.rests else set()
-            rest = self.canaries.rest(name, starts)
-            if chosen or rest is None or rest.keys() != was:
-                self._again(number, "list" if rest is not None else "canary", now)
-        for name, end in self.canaries.over(now):
-            number = self._named(name)
-            what = "back" if end.back else "on"
-            self.log_event("canary over", table=name, went=what, cause=end.why)
-            if number is None:
-                continue
-            if end.back and self._take_back(name, end.before.hex(), False, now):
-                continue
-            self._again(number, "canary", now)
+        """Return what a table holds as published; the same object until the table changes."""
+        return self.contents.content(number)
 
-    def _take_back(self, name: str, version: str, levels: bool, now: int) -> bool:
-        """Hold a table at an earlier version by no order of staff, within the limit on how often."""
-        if not self.rejections.back_again(now):
-            self.log_event("not taken back", table=name, cause=f"{self.rejections.most} times within"
-                       f" {self.rejections.within / NS_PER_S:g} s is the most")  # fmt: skip
-            return False
-        try:
-            self.pin(name, version, self.retention.rollback_duration_ns, levels, "rollback", now)
-        except (PinError, UnknownVersionError) as why:
-            self.log_event("not taken back", table=name, cause=str(why))
-            return False
-        return True
+    def tables_of(self, proxy: Any) -> ProxyTables:
+        """Return what a proxy should hold; proxies with the same tables share the object."""
+        if not self.assignments.proxies[proxy].table_by_operation:
+            return self._remaining_tables(proxy)
+        self.tables_of_crashed_policy.pop(proxy, None)
+        return self.contents.tables_of(proxy)
 
-    def _note(self, number: int, made: encoding.Table) -> bytes:
-        """Keep a version, with its cause: an order's is what it changed. Returns its name."""
-        name = self.table_name(number)
-        before, cause = self.history.newest(name), self.why.pop(number, "")
-        if before is None:
-            cause = "start"
-        elif cause in ("", "list") and before.lines == made.lines:
-            cause = "level"
-        self.history.note(name, made, self.last_round_ns, cause or "health")
-        newest = self.history.current(name)
-        assert newest is not None
-        return newest.version
-
-    def _pinned(self, number: int) -> dict[str, float] | None:
-        """The lines that a table is held at, those of open servers."""
-        return self.pins.lines(self.table_name(number), self._ready()) if self.pins.by else None
-
-    def _ready(self) -> frozenset[str]:
-        return frozenset(n for n, f in self.known_endpoints.items() if f.state == "ready")
-
-    def _zone(self, server: str) -> str:
-        return self.known_endpoints[server].zone if server in self.known_endpoints else ""
-
-    def _review(self, touched: Collection[int], now: int, urgent: Collection[int] = ()) -> None:
-        """Let the guard see all tables; what it changes by itself goes out by the channel like an order."""
-        assert self.publish_gate is not None
-        self.last_review_ns = now
-        warm = self.publish_gate.warm(self.known_endpoints, now)
-        cold = frozenset(
-            n for n, f in self.known_endpoints.items() if f.started and f.state == "ready" and not warm(n)
-        )
-        proposed = {number: self._proposal(number, cold, now) for number in self.assignments.tables}
-        used = self.observed_traffic.used(self.known_endpoints, warm, now)
-        known = Observations(
-            peak_by_kind(used),
-            used,
-            () if self.settings.removal_is_binding else self.observed_traffic.answering(now),
-            self.observed_traffic.ill(self.known_endpoints, now),
-            min(len(self.proxies) / max(self.settings.proxy_count, 1), 1.0),
-        )
-        lines: dict[Any, int] = {}
-        for number in self.publish_gate.review(
-            proposed, touched, self.known_endpoints, known, now, self.news, urgent
-        ):
-            self.why.setdefault(number, "guard")
-            self.assignments.tables[number].revision += 1
-            self.holdings.clear()
-            for proxy in self.assignments.proxies_by_table.get(number, ()):
-                lines[proxy] = lines.get(proxy, 0) + len(self.publish_gate.allowed[number][0])
-        self._put(lines, now)
-        for event, fields in self.publish_gate.events():
-            self.log_event(event, **fields)
+    def warming_endpoints(self, now: int) -> frozenset[str]:
+        """Return the ready endpoints that started so lately that they are not warm yet."""
+        return self.directory.warming_up(now)
 
-    def _hold(self, done: RoundResult, now: int) -> None:
-        """Take the lines of held tables out of a round: what does not go out is not counted.
+    def commanded_weights(self, name: str) -> dict[str, float]:
+        """Return the weights that the policy commands for a table; empty for one that is not known."""
+        number = self.assignments.table_number(name)
+        return {} if number is None else dict(self.assignments.tables[number].weights)
 
-        A mark says that a proxy holds all that was sent to it, so it is answered once that is so. Left open
-        it would keep room in the module's book: binds of proxies that rejoined waited for it, and with them
-        their drains (3.7 s, of 3).
-        """
-        assert self.publish_gate is not None
-        for number in self.publish_gate.held & done.changed_entries_by_table.keys():
-            for proxy in self.assignments.proxies_by_table.get(number, ()):
-                left = done.entries_by_proxy.get(proxy, 0) - done.changed_entries_by_table[number]
-                if left > (done.nonce is not None):
-                    done.entries_by_proxy[proxy] = left
-                elif done.entries_by_proxy.pop(proxy, None) is not None and done.nonce is not None:
-                    self.marks[proxy] = done.nonce
-        for proxy in [p for p in self.marks if self.deliveries.clear(p) and self.proxies[p].seal is None]:
-            self.on_acknowledged(proxy, self.marks.pop(proxy), now)
-
-    def _proposed(self, number: int) -> dict[str, float]:
-        """The lines that a table is to hold: what is ordered, or what it is held at."""
-        pinned, lines = self._pinned(number), self.assignments.tables[number].weights
-        return (
-            {s: w for s, w in lines.items() if s not in self.assignments.ejected}
-            if pinned is None
-            else pinned
-        )
+    def pin(
+        self, name: str, asked: str, duration_ns: int, with_admission: bool, cause: ChangeCause, now: int
+    ) -> VersionChange:
+        """Hold a table at a version. Raises `UnknownVersionError` or `PinError`; nothing changes then."""
+        return self.version_control.pin(name, asked, duration_ns, with_admission, cause, now)
 
-    def _places(self, number: int) -> list[int]:
-        """The places of the operations that proxies are on a table for."""
-        bound = (
-            self.assignments.proxies[p].table_by_operation
-            for p in self.assignments.proxies_by_table.get(number, ())
-        )
-        return sorted({place for held in bound for place, t in held.items() if t == number})
-
-    def _proposal(self, number: int, cold: frozenset[str], now: int) -> Proposal:
-        assert self.publish_gate is not None
-        proxies, places = self.assignments.proxies_by_table.get(number, {}), self._places(number)
-        operations = [self.settings.operations[place] for place in places]
-        named = [op.name for op in operations]
-        levels = [self.assignments.admission(number, place)[0] for place in places]
-        return Proposal(
-            self._proposed(number),
-            max(levels, default=1.0),
-            frozenset(self.assignments.proxies[p].zone for p in proxies),
-            any(op.zone_local for op in operations),
-            self.observed_traffic.demand(proxies, named, now) if proxies else None,
-            self.deliveries.pending(
-                proxies, named, cold, lambda p: self.observed_traffic.demand((p,), named, now)
-            )
-            if cold
-            else (),
-            self.egress_queue.utilization(proxies, self.publish_gate.behind, now),
-        )
+    def release(self, name: str, now: int) -> None:
+        """End the pin of a table. Raises `PinError` if it is not pinned."""
+        self.version_control.release(name, now)
 
-    # -- ways back
-
-    def _number(self, name: str) -> int:
-        """The number of a table in use. Raises `Impossible`."""
-        number = self._named(name)
-        if number is not None and self.assignments.proxies_by_table.get(number):
-            return number
-        used = ", ".join(
-            self.table_name(n)
-            for n in sorted(self.assignments.tables)
-            if self.assignments.proxies_by_table.get(n)
-        )
-        raise PinError(f"no proxy is on a table {name!r}; in use are {used or 'none'}")
-
-    def pin(self, name: str, asked: str, span: int, levels: bool, cause: str, now: int) -> VersionChange:
-        """Hold a table at a kept version for so long. Raises `Unknown` or `Impossible`; nothing changes
-        then."""
-        if not MIN_PIN_NS <= span <= MAX_PIN_NS:
-            raise PinError(
-                f"{span / NS_PER_S:g} s: a pin lasts {MIN_PIN_NS // NS_PER_S} to {MAX_PIN_NS // NS_PER_S} s"
-            )
-        number, change = self._number(name), self.history.find(name, asked)
-        content = self.history.get(change.version)
-        if content is None:
-            raise PinError(f"version {change.version.hex()[:12]} is no longer kept")
-        self.pins.set(name, Pin(change, content, now + span, levels, cause), self._ready())
-        self.log_event("table pinned", table=name, version=change.version.hex()[:12], serial=change.serial,
-                   seconds=round(span / NS_PER_S), levels=levels, cause=cause)  # fmt: skip
-        self._again(number, cause, now)
-        return change
+    def explain(self, now: int) -> list[dict[str, Any]]:
+        """Return by table what was commanded, what may be published, and why they differ."""
+        return self.safety_review.explain(now) if self.safety_review is not None else []
 
-    def commanded_weights(self, name: str) -> dict[str, float]:
-        """What the module orders of a table, whatever goes out; empty for one that is not known."""
-        number = self._named(name)
-        return {} if number is None else dict(self.assignments.tables[number].weights)
+    def before_policy_reset(self) -> None:
+        """Keep what proxies hold of a crashed policy, before its assignments are dropped."""
+        for proxy in self.proxies:
+            if self.assignments.proxies[proxy].table_by_operation:
+                self.tables_of_crashed_policy[proxy] = self.tables_of(proxy)
 
-    def _named(self, name: str) -> int | None:
-        """The number of a table by the name that proxies know it by; None if there is no such table."""
-        return next((number for number in self.assignments.tables if self.table_name(number) == name), None)
+    def after_policy_reset(self) -> None:
+        """Drop all other state of a crashed policy."""
+        self._reset()
 
-    def release(self, name: str, now: int) -> None:
-        """The module's orders count again for a table. Raises `Impossible` if it is not pinned."""
-        self.pins.release(name)
-        self._released(name, "released", now)
-
-    def _released(self, name: str, why: str, now: int) -> None:
-        self.log_event("table released", table=name, why=why)
-        number = self._named(name)
-        if number is not None:
-            self._again(number, "release", now)
-
-    def _end_pins(self, now: int) -> None:
-        for name, why in self.pins.ended(self._ready(), now) if self.pins.by else ():
-            self._released(name, why, now)
-
-    def _again(self, number: int, cause: str, now: int) -> None:
-        """A table holds something else by no order of the module: judge it and push it, past what waits."""
-        self.why[number] = cause
-        self.assignments.tables[number].revision += 1
-        self.holdings.clear()
-        if self.publish_gate:
+    def _reconcile(self, now: int) -> None:
+        if not self.runner.has_work:
+            return
+        if self.safety_review is not None:
+            for event in self.runner.pending_events:
+                self.observed_traffic.told(event, now)
+        result = self.runner.reconcile(now)
+        if result is not None:
+            self._apply(result, now)
+
+    def _apply(self, result: RoundResult, now: int) -> None:
+        """Review what the policy commanded, and queue what may be sent."""
+        if result.changed_entries_by_table or result.ejections_changed:
+            self.contents.invalidate_proxy_tables()
+        if self.reviewed_change_count != self.directory.change_count:
+            for number in result.changed_entries_by_table:
+                self.contents.change_causes.setdefault(number, ChangeCause.LIST)
+        self.reviewed_change_count = self.directory.change_count
+        if result.invalid_weights:
+            weights = [list(weight) for weight in result.invalid_weights[:MAX_LOGGED_WEIGHTS]]
+            self.log_event("order mended", rule="bad weight", lines=weights)
+        if result.changed_entries_by_table or result.ejections_changed or result.proxy_assigned:
+            self._withhold(result, now)
+        if result.nonce is not None:
+            self.nonces.on_command(result.nonce, result.entries_by_proxy, now)
+        self._enqueue(result.entries_by_proxy, now)
+
+    def _withhold(self, result: RoundResult, now: int) -> None:
+        """Review the tables that changed; what the gate holds back is not sent."""
+        if self.safety_review is None:
+            return
+        self._review(result.changed_entries_by_table, now)
+        self.safety_review.withhold(result, self.nonces)
+        answerable = [
+            proxy
+            for proxy in self.nonces.withheld
+            if self.deliveries.clear(proxy) and self.nonces.can_answer_for(proxy)
+        ]
+        for proxy in answerable:
+            self.on_acknowledged(proxy, self.nonces.withheld.pop(proxy), now)
+
+    def _review(self, changed: Collection[int], now: int, urgent: Collection[int] = ()) -> None:
+        """Have all tables reviewed; queue those whose allowed content changed without a command."""
+        assert self.safety_review is not None
+        self.last_review_ns = now
+        entries_by_proxy: dict[Any, int] = {}
+        for number in self.safety_review.review(changed, now, urgent):
+            self.contents.change_causes.setdefault(number, ChangeCause.GUARD)
+            self.contents.invalidate(number)
+            weights, _ = self.safety_review.gate.allowed[number]
+            for proxy in self.assignments.proxies_by_table.get(number, ()):
+                entries_by_proxy[proxy] = entries_by_proxy.get(proxy, 0) + len(weights)
+        self._enqueue(entries_by_proxy, now)
+        for name, fields in self.safety_review.gate.events():
+            self.log_event(name, **fields)
+
+    def _republish(self, number: int, cause: ChangeCause, now: int) -> None:
+        """Review and queue a table that changes without a command of the policy, ahead of what waits."""
+        self.contents.change_causes[number] = cause
+        self.contents.invalidate(number)
+        if self.safety_review is not None:
             self._review((number,), now, (number,))
-        self._put(
-            dict.fromkeys(self.assignments.proxies_by_table.get(number, ()), len(self._proposed(number))), now
-        )
+        entries = len(self.version_control.wanted_weights(number))
+        self._enqueue(dict.fromkeys(self.assignments.proxies_by_table.get(number, ()), entries), now)
+
+    def _enqueue(self, entries_by_proxy: dict[Any, int], now: int) -> None:
+        """Queue messages; frontends end the sessions of proxies whose message exceeds the queue."""
+        overflowed = self.egress_queue.enqueue(entries_by_proxy, now)
+        if overflowed:
+            self.output.overflowed_proxies += overflowed
+            self.log_event(
+                "channel full",
+                proxies=len(overflowed),
+                lines=self.egress_queue.queued_entries,
+                limit=self.egress_queue.limit_entries,
+            )
 
-    def on_tables_rejected(self, proxy: Any, names: Collection[str], now: int) -> None:
-        """A proxy rejects what was pushed of these tables; what many reject is taken back."""
-        for name in names:
-            newest = self.history.current(name)
-            if newest is None or newest.parent is None or proxy not in self.assignments.proxies:
-                continue
-            on = [
-                n
-                for n in self.assignments.proxies[proxy].table_by_operation.values()
-                if self.table_name(n) == name
-            ]
-            if not on or name in self.pins.by:
+    def _send(self, now: int) -> None:
+        """Hand the messages that the egress queue has sent to the frontends."""
+        for proxy, _ in self.egress_queue.pop_sent(now):
+            if proxy not in self.proxies:
                 continue
-            self.canaries.refused(proxy, name)
-            if self.rejections.by(proxy, name, newest.version, len(self.assignments.proxies_by_table[on[0]])):
-                self._take_back(name, newest.parent.hex(), True, now)
-
-    def explain(self, now: int) -> list[dict[str, Any]]:
-        """By table with proxies on it: what was ordered, what the guard lets out, and why it differs."""
-        found = []
-        for number, table in sorted(self.assignments.tables.items()):
-            proxies = self.assignments.proxies_by_table.get(number, {})
-            places = self._places(number)
-            ordered = {s: w for s, w in table.weights.items() if s not in self.assignments.ejected}
-            level = max((self.assignments.admission(number, place)[0] for place in places), default=1.0)
-            row = {
-                "table": self.table_name(number),
-                "operations": [self.settings.operations[place].name for place in places],
-                "zones": sorted({self.assignments.proxies[p].zone for p in proxies}),
-                "proxies": len(proxies),
-            }
-            if proxies and self.publish_gate is not None:
-                pin = self.pins.by.get(self.table_name(number))
-                held = f"held at {pin.change.version.hex()[:12]} ({pin.cause})" if pin else ""
-                found.append(row | self.publish_gate.explain(number, ordered, level, held, now))
-        return found
-
-    def tables_of(self, proxy: Any) -> ProxyTables:
-        """What a proxy should hold by what was ordered until now; the same object for all on the same
-        tables."""
-        bound = self.assignments.proxies[proxy].table_by_operation
-        if not bound:
-            return self._carried(proxy)
-        self.proxies[proxy].carried = None
-        bound_to = tuple(sorted(bound.items()))
-        made = {table: self.table_content(table) for _, table in bound_to}
-        behind = frozenset(
-            t for t in made if t in self.rests and not self.canaries.first(self.table_name(t), proxy)
-        )
-        key = (bound_to, behind)
-        if key not in self.holdings:
-            named = [
-                (self.settings.operations[place].name, self.table_name(table)) for place, table in bound_to
-            ]
-            contents = {self.table_name(t): self.rests[t] if t in behind else c for t, c in made.items()}
-            self.holdings[key] = ProxyTables(tuple(named), contents, frozenset(map(self.table_name, behind)))
-        return self.holdings[key]
-
-    def table_name(self, table: int) -> str:
-        """The planner is in it: planners that share nothing number their tables alike."""
-        return f"{self.settings.instance}.{table}"
-
-    def _carried(self, proxy: Any) -> ProxyTables:
-        """What a proxy holds of a module that failed, less what is withdrawn since."""
-        carried, shut = self.proxies[proxy].carried, self.assignments.ejected
-        if carried is None:
+            nonce = self.nonces.pop_unsent(proxy)
+            self.push_count += 1
+            self.deliveries.pushed(proxy, self.tables_of(proxy))
+            self.output.pushes.append(Push(proxy, nonce))
+
+    def _remaining_tables(self, proxy: Any) -> ProxyTables:
+        """Return what a proxy holds of a crashed policy, without endpoints that were ejected since."""
+        held = self.tables_of_crashed_policy.get(proxy)
+        if held is None:
             return ProxyTables()
-        open_ = {
-            name: TableContent(tuple(x for x in made.entries if x[0] not in shut), made.admission)
-            for name, made in carried.contents.items()
+        ejected = self.assignments.ejected
+        contents = {
+            name: TableContent(
+                tuple(entry for entry in content.entries if entry.endpoint not in ejected),
+                content.admission,
+            )
+            for name, content in held.contents.items()
         }
-        return ProxyTables(carried.tables_by_operation, open_)
-
-    # -- the module's faults
-
-    def _before_reset(self) -> None:
-        for proxy, joined in self.proxies.items():
-            if self.assignments.proxies[proxy].table_by_operation:
-                joined.carried = self.tables_of(
-                    proxy
-                )  # the copy survives: `held` clears it only when asked again
-            joined.seal = None
+        return ProxyTables(held.tables_by_operation, contents)
--- a/swiftchute/controller/policy_runner.py
+++ b/swiftchute/controller/policy_runner.py
@@ -15,7 +15,7 @@
 from collections import deque
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
-from typing import Any, NamedTuple
+from typing import Any, NamedTuple, Protocol
 
 from swiftchute.api.commands import Policy
 from swiftchute.api.endpoints import EndpointRecord, EndpointState, ListScope
@@ -59,6 +59,16 @@
     events_dropped: int = 0
 
 
+class CrashObserver(Protocol):
+    """Is called when the policy crashed and its assignments are replaced."""
+
+    def before_policy_reset(self) -> None:
+        """The assignments of the crashed policy are about to be dropped."""
+
+    def after_policy_reset(self) -> None:
+        """The assignments are empty; connected proxies are added next."""
+
+
 class PolicyRunner:
     """The policy of one instance, its pending events and timers, and what it commanded."""
 
@@ -69,15 +79,16 @@
         policy_factory: PolicyFactory,
         now: int = 0,
         ignore_invalid_weights: bool = False,
+        crash_observer: CrashObserver | None = None,
     ) -> None:
         """Start the first policy; `policy_factory` also makes those that replace a crashed one.
 
         `ignore_invalid_weights` is as in `Assignments`.
         """
         self.settings, self.policy_factory, self.random = settings, policy_factory, random.Random(seed)
-        self.ignore_invalid_weights = ignore_invalid_weights
+        self.ignore_invalid_weights, self.crash_observer = ignore_invalid_weights, crash_observer
         self.policy: Policy | None = policy_factory(settings, seed)
-        self.proxies: dict[Any, Any] = {}
+        self.proxies: dict[Any, ConnectedProxy] = {}
         self.endpoint_records: dict[str, EndpointRecord] = {}
         self.pending_events: list[Event] = []
         self.timers: list[PendingTimer] = []
@@ -108,7 +119,7 @@
 
     def on_proxy_connected(self, proxy: Any, zone: str, request_rate: float, fresh: bool) -> None:
         """A proxy takes the messages of this instance from now on; it is unassigned."""
-        self.proxies[proxy] = self._connected_proxy(zone, request_rate)
+        self.proxies[proxy] = ConnectedProxy(zone, request_rate)
         self.assignments.on_proxy_connected(proxy, zone)
         self.pending_events.append(ProxyConnected(proxy, zone, request_rate, fresh))
 
@@ -147,13 +158,15 @@
 
     def run_round(self, now: int) -> RoundResult | None:
         """Call the policy if there are events for it; return what it commanded, or None."""
-        self._check_timeouts(now)
-        return self._reconcile(now) if self.pending_events and self.policy is not None else None
+        self.check_timeouts(now)
+        return self.reconcile(now) if self.has_work else None
 
-    def _connected_proxy(self, zone: str, request_rate: float) -> ConnectedProxy:
-        return ConnectedProxy(zone, request_rate)
+    @property
+    def has_work(self) -> bool:
+        """Whether there are events, and a policy to handle them."""
+        return bool(self.pending_events) and self.policy is not None
 
-    def _check_timeouts(self, now: int) -> None:
+    def check_timeouts(self, now: int) -> None:
         """Report a stall, fire the timers that are due, restart the policy if it is time."""
         if now - self.last_round_ns > IDLE_ROUND_INTERVAL_NS + EVENT_LOOP_STALL_NS:
             # Decisions of before the stall wait in the egress queue at most, and a push is of the current
@@ -167,7 +180,8 @@
         if self.restart_at_ns is not None and now >= self.restart_at_ns:
             self._restart_policy()
 
-    def _reconcile(self, now: int) -> RoundResult | None:
+    def reconcile(self, now: int) -> RoundResult | None:
+        """Hand the pending events to the policy; return what it commanded, or None if it crashed."""
         assert self.policy is not None
         events, self.pending_events = self.pending_events, []
         self.counters.rounds += 1
@@ -193,7 +207,8 @@
             calls=event_count,
             faults=self.counters.crashes,
         )
-        self._before_reset()
+        if self.crash_observer is not None:
+            self.crash_observer.before_policy_reset()
         self.policy, self.timers, self.restart_at_ns = None, [], now
         if len(self.crash_times) == MAX_CRASHES_IN_WINDOW and now - self.crash_times[0] < CRASH_WINDOW_NS:
             # a crash that repeats at once would keep the process busy and flood the log
@@ -201,17 +216,12 @@
             delay_s = round((self.restart_at_ns - now) / NS_PER_S, 1)
             self.log_event("module waits", seconds=delay_s, faults=MAX_CRASHES_IN_WINDOW)
         self.crash_times.append(now)
-        self._reset()
+        self.assignments = Assignments(self.settings, self.ignore_invalid_weights)
+        if self.crash_observer is not None:
+            self.crash_observer.after_policy_reset()
         for proxy, connected in self.proxies.items():
             self.assignments.on_proxy_connected(proxy, connected.zone)
 
-    def _before_reset(self) -> None:
-        """Hook: save what is still needed of the assignments of a crashed policy."""
-
-    def _reset(self) -> None:
-        """Make empty assignments for the next policy."""
-        self.assignments = Assignments(self.settings, self.ignore_invalid_weights)
-
     def _restart_policy(self) -> None:
         self.restart_at_ns = None
         self.policy = self.policy_factory(self.settings, self.random.getrandbits(63))
--- /dev/null
+++ b/swiftchute/controller/table_contents.py
@@ -0,0 +1,169 @@
+"""What each table holds as published, and which tables a proxy should hold.
+
+A published table is what the policy commanded, within what the safety rules allow, or the version that it is
+pinned to. Each change of a table is recorded in the version history.
+"""
+
+from collections.abc import Mapping
+from dataclasses import dataclass, field
+from typing import Any, NamedTuple, Protocol
+
+from swiftchute.controller.assignments import Admission
+from swiftchute.controller.change_causes import ChangeCause
+from swiftchute.controller.endpoint_directory import EndpointDirectory
+from swiftchute.controller.policy_runner import PolicyRunner
+from swiftchute.safety.publish_gate import PublishGate
+from swiftchute.versions import encoding
+from swiftchute.versions.history import VersionHistory
+from swiftchute.versions.pinning import PinnedVersions
+
+
+class TableEntry(NamedTuple):
+    """One endpoint of a published table."""
+
+    endpoint: str
+    zone: str
+    weight: float
+
+
+@dataclass(frozen=True)
+class TableContent:
+    """What a published table holds."""
+
+    entries: tuple[TableEntry, ...]  # sorted by endpoint
+    admission: tuple[Admission, ...]  # by the index of the operation
+    version: bytes = field(default=b"", compare=False)  # digest of its canonical encoding
+
+
+@dataclass(frozen=True)
+class ProxyTables:
+    """What a proxy should hold."""
+
+    tables_by_operation: tuple[tuple[str, str], ...] = ()  # names of operation and table
+    contents: dict[str, TableContent] = field(default_factory=dict, compare=False)  # by table name
+    baseline_tables: frozenset[str] = frozenset()  # tables whose newest content is in a canary elsewhere
+
+
+class CanaryView(Protocol):
+    """What `TableContents` asks of canaries."""
+
+    baselines: dict[int, TableContent]
+
+    def on_content_changed(self, number: int, old: TableContent | None, new: TableContent) -> None:
+        """A table has a new content."""
+
+    def holds_baseline(self, number: int, proxy: Any) -> bool:
+        """Return whether a proxy holds the content of before a canary."""
+
+
+def sorted_entries(weights: Mapping[str, float], directory: EndpointDirectory) -> tuple[TableEntry, ...]:
+    """Return weights by endpoint as the entries of a table."""
+    return tuple(
+        TableEntry(endpoint, directory.zone_of(endpoint), weight)
+        for endpoint, weight in sorted(weights.items())
+    )
+
+
+def encode_table(
+    entries: tuple[TableEntry, ...], admission: tuple[Admission, ...], runner: PolicyRunner
+) -> encoding.Table:
+    """Return a table in the form that the version history keeps."""
+    operations = runner.settings.operations
+    rows = [(operation.name, *row) for operation, row in zip(operations, admission, strict=True)]
+    return encoding.table(rows, entries)
+
+
+class TableContents:
+    """Published contents under one policy incarnation, made when they are asked for."""
+
+    def __init__(
+        self,
+        runner: PolicyRunner,
+        directory: EndpointDirectory,
+        history: VersionHistory,
+        pins: PinnedVersions,
+        canaries: CanaryView,
+        publish_gate: PublishGate | None,
+    ) -> None:
+        """Start without contents."""
+        self.runner, self.directory, self.history = runner, directory, history
+        self.pins, self.canaries, self.publish_gate = pins, canaries, publish_gate
+        self.change_causes: dict[int, ChangeCause] = {}  # by table, for its next version
+        self._contents: dict[int, tuple[int, TableContent]] = {}  # by table, with its revision
+        self._proxy_tables: dict[Any, ProxyTables] = {}
+
+    def invalidate(self, number: int) -> None:
+        """A table changes without a command of the policy."""
+        self.runner.assignments.tables[number].revision += 1
+        self._proxy_tables.clear()
+
+    def invalidate_proxy_tables(self) -> None:
+        """The policy changed tables or ejections."""
+        self._proxy_tables.clear()
+
+    def content(self, number: int) -> TableContent:
+        """Return what a table holds; the same object until the table changes."""
+        revision = self.runner.assignments.tables[number].revision
+        old_revision, old = self._contents.get(number, (None, None))
+        if old is not None and old_revision == revision:
+            return old
+        weights, admission = self._published(number)
+        entries = sorted_entries(weights, self.directory)
+        version = self._record_version(number, encode_table(entries, admission, self.runner))
+        content = TableContent(entries, admission, version)
+        self._contents[number] = (revision, content)
+        self.canaries.on_content_changed(number, old, content)
+        return content
+
+    def tables_of(self, proxy: Any) -> ProxyTables:
+        """Return what an assigned proxy should hold; proxies with the same tables share the object."""
+        assignments = self.runner.assignments
+        table_by_operation = tuple(sorted(assignments.proxies[proxy].table_by_operation.items()))
+        contents = {number: self.content(number) for _, number in table_by_operation}
+        baselines = frozenset(number for number in contents if self.canaries.holds_baseline(number, proxy))
+        key = (table_by_operation, baselines)
+        if key not in self._proxy_tables:
+            names = {number: assignments.table_name(number) for number in contents}
+            operations = self.runner.settings.operations
+            self._proxy_tables[key] = ProxyTables(
+                tuple((operations[index].name, names[number]) for index, number in table_by_operation),
+                {
+                    names[number]: self.canaries.baselines[number] if number in baselines else content
+                    for number, content in contents.items()
+                },
+                frozenset(names[number] for number in baselines),
+            )
+        return self._proxy_tables[key]
+
+    def _published(self, number: int) -> tuple[Mapping[str, float], tuple[Admission, ...]]:
+        """Return the weights and the admission of a table that may be published."""
+        assignments, operations = self.runner.assignments, self.runner.settings.operations
+        name = assignments.table_name(number)
+        weights: Mapping[str, float] = assignments.usable_weights(number)
+        admission = [assignments.admission(number, index) for index in range(len(operations))]
+        if self.publish_gate is not None and number in self.publish_gate.allowed:
+            weights, max_rate = self.publish_gate.allowed[number]
+            admission = [(min(rate, max_rate), retry_policy) for rate, retry_policy in admission]
+        else:
+            pinned = self.pins.lines(name, self.directory.ready()) if self.pins.by else None
+            weights = weights if pinned is None else pinned
+        pinned_admission = self.pins.levels(name)
+        if pinned_admission:
+            admission = [
+                pinned_admission.get(operation.name, row)
+                for operation, row in zip(operations, admission, strict=True)
+            ]
+        return weights, tuple(admission)
+
+    def _record_version(self, number: int, table: encoding.Table) -> bytes:
+        """Record a version in the history with its cause; return its name."""
+        name = self.runner.assignments.table_name(number)
+        before, cause = self.history.newest(name), self.change_causes.pop(number, None)
+        if before is None:
+            cause = ChangeCause.START
+        elif cause in (None, ChangeCause.LIST) and before.lines == table.lines:
+            cause = ChangeCause.LEVEL
+        self.history.note(name, table, self.runner.last_round_ns, cause or ChangeCause.HEALTH)
+        newest = self.history.current(name)
+        assert newest is not None
+        return newest.version
--- /dev/null
+++ b/swiftchute/controller/version_control.py
@@ -0,0 +1,172 @@
+"""Tables that are held at an earlier version: pins of operators, and rollbacks of what proxies reject."""
+
+from collections.abc import Callable, Collection
+from dataclasses import dataclass
+from typing import Any
+
+from swiftchute.controller.change_causes import ChangeCause
+from swiftchute.controller.endpoint_directory import EndpointDirectory
+from swiftchute.controller.policy_runner import PolicyRunner
+from swiftchute.versions.canary import CanaryTrials
+from swiftchute.versions.history import UnknownVersionError, VersionChange, VersionHistory
+from swiftchute.versions.pinning import (
+    MAX_PIN_NS,
+    MIN_PIN_NS,
+    Pin,
+    PinError,
+    PinnedVersions,
+    RejectionTracker,
+)
+
+NS_PER_S = 1_000_000_000
+SHORT_VERSION_LENGTH = 12  # hexadecimal digits of a version in logs and messages
+
+
+@dataclass(frozen=True)
+class RetentionSettings:
+    """How many versions are kept, when a rejected version is rolled back, and how canaries run."""
+
+    max_versions: int = 1000
+    max_age_ns: int = 3600 * NS_PER_S
+    rejected_fraction: float = 0.3  # of a table's proxies, whose rejections roll a version back
+    max_rollbacks: int = 3  # within the rollback window; 0: never
+    rollback_window_ns: int = 600 * NS_PER_S
+    rollback_duration_ns: int = 300 * NS_PER_S  # for so long a table stays rolled back
+    canary_fraction: float = 0.0  # of a table's proxies, that hold a change first; 0: no canaries
+    canary_duration_ns: int = 5 * NS_PER_S  # after they acknowledged it
+    max_canary_duration_ns: int = 30 * NS_PER_S
+    min_canary_change: float = 0.25  # of all requests, that a change moves; smaller ones need no canary
+
+
+def short_version(version: bytes) -> str:
+    """Return a version as logs and messages show it."""
+    return version.hex()[:SHORT_VERSION_LENGTH]
+
+
+class VersionControl:
+    """Pins and rollbacks of all tables."""
+
+    def __init__(
+        self,
+        rollback_duration_ns: int,
+        pins: PinnedVersions,
+        rejections: RejectionTracker,
+        trials: CanaryTrials,
+        runner: PolicyRunner,
+        directory: EndpointDirectory,
+        history: VersionHistory,
+        republish: Callable[[int, ChangeCause, int], None],
+    ) -> None:
+        """Start without pins; `republish(number, cause, now)` sends a table that changed by one."""
+        self.rollback_duration_ns = rollback_duration_ns
+        self.pins, self.rejections, self.trials = pins, rejections, trials
+        self.runner, self.directory, self.history = runner, directory, history
+        self.republish = republish
+
+    def pinned_weights(self, number: int) -> dict[str, float] | None:
+        """Return the weights that a table is pinned to, of ready endpoints; None if it is not pinned."""
+        if not self.pins.by:
+            return None
+        return self.pins.lines(self.runner.assignments.table_name(number), self.directory.ready())
+
+    def wanted_weights(self, number: int) -> dict[str, float]:
+        """Return the weights that a table should have: the pinned ones, or those commanded."""
+        pinned = self.pinned_weights(number)
+        return self.runner.assignments.usable_weights(number) if pinned is None else pinned
+
+    def pin_reason(self, name: str) -> str:
+        """Return why a pinned table differs from what the policy commands; empty if it is not pinned."""
+        pin = self.pins.by.get(name)
+        return f"held at {short_version(pin.change.version)} ({pin.cause})" if pin else ""
+
+    def pin(
+        self, name: str, asked: str, duration_ns: int, with_admission: bool, cause: ChangeCause, now: int
+    ) -> VersionChange:
+        """Hold a table at the version that `asked` names.
+
+        Raises `UnknownVersionError` or `PinError` if that cannot be done; nothing changes then.
+        """
+        if not MIN_PIN_NS <= duration_ns <= MAX_PIN_NS:
+            raise PinError(
+                f"{duration_ns / NS_PER_S:g} s: a pin lasts {MIN_PIN_NS // NS_PER_S}"
+                f" to {MAX_PIN_NS // NS_PER_S} s"
+            )
+        number, change = self._number_in_use(name), self.history.find(name, asked)
+        content = self.history.get(change.version)
+        if content is None:
+            raise PinError(f"version {short_version(change.version)} is no longer kept")
+        pin = Pin(change, content, now + duration_ns, with_admission, cause)
+        self.pins.set(name, pin, self.directory.ready())
+        self.runner.log_event(
+            "table pinned",
+            table=name,
+            version=short_version(change.version),
+            serial=change.serial,
+            seconds=round(duration_ns / NS_PER_S),
+            levels=with_admission,
+            cause=str(cause),
+        )
+        self.republish(number, cause, now)
+        return change
+
+    def release(self, name: str, now: int) -> None:
+        """End a pin. Raises `PinError` if the table is not pinned."""
+        self.pins.release(name)
+        self._on_released(name, "released", now)
+
+    def end_expired_pins(self, now: int) -> None:
+        """End pins whose time is over, or none of whose endpoints is ready."""
+        for name, reason in self.pins.ended(self.directory.ready(), now) if self.pins.by else ():
+            self._on_released(name, reason, now)
+
+    def on_tables_rejected(self, proxy: Any, names: Collection[str], now: int) -> None:
+        """A proxy rejects what was sent of these tables; roll back what too many reject."""
+        assignments = self.runner.assignments
+        for name in names:
+            newest = self.history.current(name)
+            if newest is None or newest.parent is None or proxy not in assignments.proxies:
+                continue
+            tables = assignments.proxies[proxy].table_by_operation.values()
+            number = next((table for table in tables if assignments.table_name(table) == name), None)
+            if number is None or name in self.pins.by:
+                continue
+            self.trials.refused(proxy, name)
+            proxy_count = len(assignments.proxies_by_table[number])
+            if self.rejections.by(proxy, name, newest.version, proxy_count):
+                self.roll_back(name, newest.parent.hex(), True, now)
+
+    def roll_back(self, name: str, version: str, with_admission: bool, now: int) -> bool:
+        """Hold a table at an earlier version without an operator's order; return whether that was done.
+
+        Rollbacks are limited in number, as the fault may be with the proxies.
+        """
+        if not self.rejections.back_again(now):
+            window_s = self.rejections.within / NS_PER_S
+            cause = f"{self.rejections.most} times within {window_s:g} s is the most"
+            self.runner.log_event("not taken back", table=name, cause=cause)
+            return False
+        try:
+            self.pin(name, version, self.rollback_duration_ns, with_admission, ChangeCause.ROLLBACK, now)
+        except (PinError, UnknownVersionError) as error:
+            self.runner.log_event("not taken back", table=name, cause=str(error))
+            return False
+        return True
+
+    def _number_in_use(self, name: str) -> int:
+        """Return the number of a table that proxies are assigned to. Raises `PinError`."""
+        assignments = self.runner.assignments
+        number = assignments.table_number(name)
+        if number is not None and assignments.proxies_by_table.get(number):
+            return number
+        in_use = ", ".join(
+            assignments.table_name(other)
+            for other in sorted(assignments.tables)
+            if assignments.proxies_by_table.get(other)
+        )
+        raise PinError(f"no proxy is on a table {name!r}; in use are {in_use or 'none'}")
+
+    def _on_released(self, name: str, reason: str, now: int) -> None:
+        self.runner.log_event("table released", table=name, why=reason)
+        number = self.runner.assignments.table_number(name)
+        if number is not None:
+            self.republish(number, ChangeCause.RELEASE, now)
--- a/swiftchute/daemon/commands.py
+++ b/swiftchute/daemon/commands.py
@@ -5,6 +5,7 @@
 from typing import Any
 
 from swiftchute.admin.errors import CommandRejectedError
+from swiftchute.controller.change_causes import ChangeCause
 from swiftchute.controller.controller import Controller
 from swiftchute.versions import encoding
 from swiftchute.versions.history import UnknownVersionError, VersionChange
@@ -123,15 +124,17 @@
         self, table: str, version: str = "~1", seconds: float = 600, levels: bool = False
     ) -> dict[str, Any]:
         """Hold a table at an earlier version for a while."""
-        return self._pin(table, version, seconds, levels, "rollback")
+        return self._pin(table, version, seconds, levels, ChangeCause.ROLLBACK)
 
     def pin(
         self, table: str, version: str = "~0", seconds: float = 600, levels: bool = False
     ) -> dict[str, Any]:
         """Hold a table at the version it has."""
-        return self._pin(table, version, seconds, levels, "pin")
+        return self._pin(table, version, seconds, levels, ChangeCause.PIN)
 
-    def _pin(self, table: str, version: str, seconds: float, levels: bool, cause: str) -> dict[str, Any]:
+    def _pin(
+        self, table: str, version: str, seconds: float, levels: bool, cause: ChangeCause
+    ) -> dict[str, Any]:
         change = self.controller.pin(table, version, int(seconds * S), bool(levels), cause, self.clock())
         self.done()
         return self._change(change)
--- a/swiftchute/daemon/service.py
+++ b/swiftchute/daemon/service.py
@@ -8,7 +8,8 @@
 
 from swiftchute.admin.server import AdminServer
 from swiftchute.config import Config
-from swiftchute.controller.controller import Controller, RetentionSettings
+from swiftchute.controller.controller import Controller
+from swiftchute.controller.version_control import RetentionSettings
 from swiftchute.daemon.commands import Commands
 from swiftchute.discovery.endpoint_list import EndpointList, EndpointListError
 from swiftchute.discovery.sources import FileSource, HttpSource
--- a/swiftchute/dns/frontend.py
+++ b/swiftchute/dns/frontend.py
@@ -24,8 +24,9 @@
 import dns.rdatatype
 
 from swiftchute.api.settings import Settings
-from swiftchute.controller.controller import Controller, RoundOutput, TableContent
+from swiftchute.controller.controller import Controller, RoundOutput
 from swiftchute.controller.load_aggregation import DemandEntry, LoadReport
+from swiftchute.controller.table_contents import TableContent
 from swiftchute.dns.answer_cache import Counter, Ready
 from swiftchute.dns.names import Names
 from swiftchute.dns.query import EMPTY, SIZE_LEAST, SIZE_MOST, Bad, Network, Query, compose, plain, read
--- a/swiftchute/xds/resources.py
+++ b/swiftchute/xds/resources.py
@@ -50,7 +50,7 @@
 from google.protobuf.wrappers_pb2 import UInt32Value
 
 from swiftchute.api.settings import Operation, Settings
-from swiftchute.controller.controller import ProxyTables, TableContent, TableEntry
+from swiftchute.controller.table_contents import ProxyTables, TableContent, TableEntry
 from swiftchute.xds import names
 
 WEIGHT_UNIT = 10_000  # the module's weights have four decimals; xDS takes whole numbers of 1 or more
--- a/tests/controller/test_controller.py
+++ b/tests/controller/test_controller.py
@@ -11,9 +11,10 @@
 from swiftchute.api.events import DemandReport, EndpointLoadReport, PushAcknowledged, TimerFired
 from swiftchute.api.settings import Settings
 from swiftchute.controller.assignments import Assignments, CommandError
-from swiftchute.controller.controller import Controller, ProxyTables, TableContent
+from swiftchute.controller.controller import Controller
 from swiftchute.controller.egress_queue import EgressQueue
 from swiftchute.controller.load_aggregation import LoadAggregator, LoadReport
+from swiftchute.controller.table_contents import ProxyTables, TableContent
 from swiftchute.discovery.endpoint_list import EndpointListChange
 from swiftchute.policy import Reconciler
 from swiftchute.safety.validator import SafetyRules
@@ -209,7 +210,7 @@
     held = controller.tables_of("p")
     assert [op for op, _ in held.tables_by_operation] == ["read", "write"]
     assert {s for made in held.contents.values() for s, _, _ in made.entries} == {"a:1", "b:1"}
-    assert controller.policy.unread == 0  # every mark was answered
+    assert controller.runner.policy.unread == 0  # every mark was answered
 
 
 def test_a_fault_is_told_and_the_module_starts_anew_with_the_list(controller):
@@ -384,13 +385,13 @@
 
 def test_servers_that_are_gone_are_forgotten_past_the_bound(controller, monkeypatch):
     """A fleet whose addresses change with every deploy must not fill the memory."""
-    monkeypatch.setattr("swiftchute.controller.controller.FACTS_MOST", 10)
+    monkeypatch.setattr("swiftchute.controller.endpoint_directory.MAX_ENDPOINTS", 10)
     for k in range(50):
         controller.on_list_update(news(f"n{k}:1", scope="changes"))
         controller.on_list_update(news(f"n{k}:1", scope="changes", state="gone"))
-    assert len(controller.known_endpoints) <= 11
+    assert len(controller.directory.statuses) <= 11
     assert len(controller.unavailable_endpoints) <= 11
-    assert controller.known_endpoints["a:1"].state == "ready"
+    assert controller.directory.statuses["a:1"].state == "ready"
 
 
 # -- what the guard holds back, and what proxies go by
@@ -424,7 +425,7 @@
 def order(controller, decider, now, *writes):
     """One round with these writes; the proxies pushed to within it and half a second."""
     decider.writes = list(writes)
-    controller.pending_events.append(TimerFired(0))
+    controller.runner.pending_events.append(TimerFired(0))
     return controller.run_round(now).pushes + controller.run_round(now + S // 2).pushes
 
 
@@ -464,13 +465,13 @@
     answered = [("p", 8)]
     assert [
         (event.proxy, event.nonce)
-        for event in controller.pending_events
+        for event in controller.runner.pending_events
         if isinstance(event, PushAcknowledged)
     ] == []
     controller.on_fully_acknowledged("p", 1003 * S)
     assert [
         (event.proxy, event.nonce)
-        for event in controller.pending_events
+        for event in controller.runner.pending_events
         if isinstance(event, PushAcknowledged)
     ] == answered
 
@@ -508,8 +509,8 @@
     now = 1001 * S
     for _ in range(8):  # servers answer 10 a second each, and 10 a second come to each proxy
         now += S
-        controller.pending_events += [EndpointLoadReport("east", n, 10, 0, 1, S, None) for n in "abd"]
-        controller.pending_events += [DemandReport(p, "read", 10, 0, S) for p in "pq"]
+        controller.runner.pending_events += [EndpointLoadReport("east", n, 10, 0, 1, S, None) for n in "abd"]
+        controller.runner.pending_events += [DemandReport(p, "read", 10, 0, S) for p in "pq"]
         order(controller, decider, now)
     controller.on_list_update(
         EndpointListChange("changes", (EndpointRecord("c", "east", "", 0, "ready", 1.0, now),), ())
--- a/tests/controller/test_digest.py
+++ b/tests/controller/test_digest.py
@@ -11,8 +11,9 @@
 
 from swiftchute.api.endpoints import EndpointRecord
 from swiftchute.api.settings import Settings
-from swiftchute.controller.controller import Controller, RetentionSettings
+from swiftchute.controller.controller import Controller
 from swiftchute.controller.load_aggregation import LoadReport
+from swiftchute.controller.version_control import RetentionSettings
 from swiftchute.discovery.endpoint_list import EndpointListChange
 from swiftchute.policy import Reconciler
 from swiftchute.safety.validator import SafetyRules
@@ -83,7 +84,7 @@
         self.note(
             "explain",
             [
-                (c.table, c.serial, c.version, c.parent, c.cause, c.put, c.gone)
+                (c.table, c.serial, c.version, c.parent, str(c.cause), c.put, c.gone)
                 for c in self.controller.history.log(None, 1000)
             ],
         )
@@ -115,7 +116,7 @@
     def tables(self, proxy):
         held = self.controller.tables_of(proxy)
         contents = [
-            (name, tuple(made.entries), made.admission, made.version)
+            (name, tuple(tuple(entry) for entry in made.entries), made.admission, made.version)
             for name, made in sorted(held.contents.items())
         ]
         return held.tables_by_operation, contents, sorted(held.baseline_tables)
--- a/tests/dns/test_frontend.py
+++ b/tests/dns/test_frontend.py
@@ -380,7 +380,7 @@
     def turn(self, *writes, wait=0.0):
         self.now += int(wait * S)
         self.decider.writes = list(writes)
-        self.controller.pending_events.append(TimerFired(0))
+        self.controller.runner.pending_events.append(TimerFired(0))
         for _ in range(2):
             turn = self.controller.run_round(self.now)
             self.events += turn.log_events
@@ -422,7 +422,9 @@
 
 
 def applied(controller):
-    return [astuple(event) for event in controller.pending_events if isinstance(event, PushAcknowledged)]
+    return [
+        astuple(event) for event in controller.runner.pending_events if isinstance(event, PushAcknowledged)
+    ]
 
 
 def test_before_a_view_is_bound_it_fails_and_denies_nothing():
@@ -444,7 +446,7 @@
     ttl = world.front.lease.bound * S
     world.turn(wait=(given + ttl + SLACK - world.now) / S - 0.1)
     assert applied(world.controller) == []
-    world.controller.pending_events.clear()
+    world.controller.runner.pending_events.clear()
     world.now += S // 10
     world.front.turn(world.controller.run_round(world.now), world.now)
     assert [(p, seal) for p, seal, _ in applied(world.controller)] == [("dns/east", 2)]
@@ -519,7 +521,7 @@
 
 def test_a_module_that_fails_leaves_the_answers_as_they_were(world):
     world.decider.writes = [("set_weight", 1, "10.0.0.1:80", 5.0, "too many")]
-    world.controller.pending_events.append(TimerFired(0))
+    world.controller.runner.pending_events.append(TimerFired(0))
     for _ in range(3):
         world.front.turn(world.controller.run_round(world.now), world.now)
     assert len(world.targets()) == 3
@@ -529,7 +531,7 @@
     turn = world.controller.run_round(world.now)
     turn.overflowed_proxies.append("dns/east")
     world.front.turn(turn, world.now)
-    calls = [(type(event), event.proxy) for event in world.controller.pending_events]
+    calls = [(type(event), event.proxy) for event in world.controller.runner.pending_events]
     assert calls == [(ProxyDisconnected, "dns/east"), (ProxyConnected, "dns/east")]
     assert len(world.targets()) == 3
 
--- a/tests/versions/test_canary.py
+++ b/tests/versions/test_canary.py
@@ -10,8 +10,9 @@
 from swiftchute.api.endpoints import EndpointRecord
 from swiftchute.api.events import TimerFired
 from swiftchute.api.settings import Settings
-from swiftchute.controller.controller import Controller, RetentionSettings
+from swiftchute.controller.controller import Controller
 from swiftchute.controller.load_aggregation import LoadReport
+from swiftchute.controller.version_control import RetentionSettings
 from swiftchute.discovery.endpoint_list import EndpointListChange
 from swiftchute.safety.validator import SafetyRules
 from swiftchute.versions.canary import (
@@ -224,7 +225,7 @@
     def play(now, *writes):
         """A round, and every push is acknowledged at once; returns (pushed proxies, events)."""
         decider.writes = list(writes)
-        controller.pending_events.append(TimerFired(0))
+        controller.runner.pending_events.append(TimerFired(0))
         pushed, events = set(), []
         for at in (now, now + S // 10, now + S // 5):
             turn = controller.run_round(at)
--- a/tests/versions/test_history.py
+++ b/tests/versions/test_history.py
@@ -353,7 +353,7 @@
 
     def play(now, *writes):
         decider.writes = list(writes)
-        controller.pending_events.append(TimerFired(0))
+        controller.runner.pending_events.append(TimerFired(0))
         pushed = [p for p, _ in controller.run_round(now).pushes + controller.run_round(now + S // 2).pushes]
         if "p" in pushed:
             controller.tables_of("p")
--- a/tests/xds/test_stream.py
+++ b/tests/xds/test_stream.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from swiftchute.api.settings import Settings
-from swiftchute.controller.controller import ProxyTables, TableContent
+from swiftchute.controller.table_contents import ProxyTables, TableContent
 from swiftchute.proxy.xds_client import XdsClient
 from swiftchute.xds import names
 from swiftchute.xds.messages import Request, Violation, decode, encode
