--- a/benchmarks/taps.py
+++ b/benchmarks/taps.py
@@ -115,7 +115,7 @@
                 ordered = moved and bool(not fields["servers"] or raised & set(fields["servers"]))
                 self.began[fields["rule"], ordered] += 1
                 self.first[fields["rule"], ordered].append((now, fields))
-            if event == "module fault":
+            if event == "policy crashed":
                 sys.exit(f"fault: {fields}")
 
 
--- a/swiftchute/controller/canary_rollout.py
+++ b/swiftchute/controller/canary_rollout.py
@@ -89,7 +89,7 @@
         for name, outcome in self.trials.over(now):
             number = self.runner.assignments.table_number(name)
             went = "back" if outcome.back else "on"
-            self.runner.log_event("canary over", table=name, went=went, cause=outcome.why)
+            self.runner.log_event("canary ended", table=name, went=went, cause=outcome.why)
             if number is None:
                 continue
             if outcome.back and self.roll_back(name, outcome.before.hex(), False, now):
@@ -132,7 +132,9 @@
         )
         if is_open and not was_open:
             proxies, version = len(self.trials.open[name].first), new.version.hex()[:12]
-            self.runner.log_event("canary", table=name, version=version, proxies=proxies, of=len(rates))
+            self.runner.log_event(
+                "canary started", table=name, version=version, proxies=proxies, of=len(rates)
+            )
 
     def _update_baseline(self, number: int, name: str, new: TableContent) -> None:
         """Keep what proxies outside the canary hold: the weights of before, the admission of now."""
--- a/swiftchute/controller/controller.py
+++ b/swiftchute/controller/controller.py
@@ -325,7 +325,7 @@
         self.reviewed_change_count = self.directory.change_count
         if result.invalid_weights:
             weights = [list(weight) for weight in result.invalid_weights[:MAX_LOGGED_WEIGHTS]]
-            self.log_event("order mended", rule="bad weight", lines=weights)
+            self.log_event("invalid weights ignored", rule="bad weight", lines=weights)
         if result.changed_entries_by_table or result.ejections_changed or result.proxy_assigned:
             self._withhold(result, now)
         if result.nonce is not None:
@@ -376,7 +376,7 @@
         if overflowed:
             self.output.overflowed_proxies += overflowed
             self.log_event(
-                "channel full",
+                "egress queue full",
                 proxies=len(overflowed),
                 lines=self.egress_queue.queued_entries,
                 limit=self.egress_queue.limit_entries,
--- a/swiftchute/controller/policy_runner.py
+++ b/swiftchute/controller/policy_runner.py
@@ -171,7 +171,7 @@
         if now - self.last_round_ns > IDLE_ROUND_INTERVAL_NS + EVENT_LOOP_STALL_NS:
             # Decisions of before the stall wait in the egress queue at most, and a push is of the current
             # state, so nothing outdated is sent. Drains that came meanwhile are in this round's events.
-            self.log_event("stood still", seconds=round((now - self.last_round_ns) / NS_PER_S, 1))
+            self.log_event("event loop stalled", seconds=round((now - self.last_round_ns) / NS_PER_S, 1))
         self.last_round_ns = now
         due = [timer for timer in self.timers if timer.deadline_ns <= now]
         if due:
@@ -192,7 +192,7 @@
             return None
         result = self.assignments.finish_round()
         for text in result.log_lines:
-            self.log_event("mode", text=text)
+            self.log_event("condition changed", text=text)
         self.timers += [PendingTimer(now + timer.delay_ns, timer.timer_id) for timer in result.timers]
         return result
 
@@ -201,7 +201,7 @@
         self.counters.crashes += 1
         place = traceback.extract_tb(error.__traceback__)[-1]
         self.log_event(
-            "module fault",
+            "policy crashed",
             error=f"{type(error).__name__}: {error}",
             at=f"{place.name}:{place.lineno}",
             calls=event_count,
@@ -214,7 +214,7 @@
             # a crash that repeats at once would keep the process busy and flood the log
             self.restart_at_ns = now + int(MAX_RESTART_DELAY_NS * self.random.uniform(0.5, 1.0))
             delay_s = round((self.restart_at_ns - now) / NS_PER_S, 1)
-            self.log_event("module waits", seconds=delay_s, faults=MAX_CRASHES_IN_WINDOW)
+            self.log_event("policy restart delayed", seconds=delay_s, faults=MAX_CRASHES_IN_WINDOW)
         self.crash_times.append(now)
         self.assignments = Assignments(self.settings, self.ignore_invalid_weights)
         if self.crash_observer is not None:
@@ -231,4 +231,4 @@
             ProxyConnected(proxy, connected.zone, connected.request_rate, False)
             for proxy, connected in self.proxies.items()
         ]
-        self.log_event("module started", proxies=len(self.proxies), servers=len(self.endpoint_records))
+        self.log_event("policy restarted", proxies=len(self.proxies), servers=len(self.endpoint_records))
--- a/swiftchute/controller/version_control.py
+++ b/swiftchute/controller/version_control.py
@@ -143,12 +143,12 @@
         if not self.rejections.back_again(now):
             window_s = self.rejections.within / NS_PER_S
             cause = f"{self.rejections.most} times within {window_s:g} s is the most"
-            self.runner.log_event("not taken back", table=name, cause=cause)
+            self.runner.log_event("rollback refused", table=name, cause=cause)
             return False
         try:
             self.pin(name, version, self.rollback_duration_ns, with_admission, ChangeCause.ROLLBACK, now)
         except (PinError, UnknownVersionError) as error:
-            self.runner.log_event("not taken back", table=name, cause=str(error))
+            self.runner.log_event("rollback refused", table=name, cause=str(error))
             return False
         return True
 
--- a/swiftchute/daemon/service.py
+++ b/swiftchute/daemon/service.py
@@ -23,11 +23,24 @@
 
 S = 1_000_000_000
 ROUND = 5_000_000  # what comes in within so long makes one round, as in the bench's rounds
-_WARN = (
-    "module fault", "module waits", "table refused", "proxy silent", "channel full", "stood still", "guard",
-    "table held", "table waits", "order mended", "table pinned", "table released", "not taken back",
-    "canary over",
-)  # fmt: skip
+WARNING_EVENTS = frozenset(
+    {
+        "policy crashed",
+        "policy restart delayed",
+        "table refused",
+        "proxy silent",
+        "egress queue full",
+        "event loop stalled",
+        "guard",
+        "table held",
+        "table waits",
+        "invalid weights ignored",
+        "table pinned",
+        "table released",
+        "rollback refused",
+        "canary ended",
+    }
+)
 
 
 class CannotListen(Exception):
@@ -171,9 +184,9 @@
             self.past, self.tell_past = now, self.clock() + 10 * S
             self.log.warning("past a bound", **now)
         for event, fields in out.events:
-            if event == "mode":
+            if event == "condition changed":
                 fields = mode_fields(fields["text"])
-            (self.log.warning if event in _WARN else self.log.info)(event, **fields)
+            (self.log.warning if event in WARNING_EVENTS else self.log.info)(event, **fields)
 
     async def run(self, ready: Any = None, signals: bool = True) -> None:
         """Serve until SIGTERM or SIGINT, or cancelled; `ready(address)` is called once streams are taken."""
--- a/swiftchute/drill/operator_actions.py
+++ b/swiftchute/drill/operator_actions.py
@@ -160,7 +160,7 @@
 
 
 def _canary_note(row: LogEntry) -> str:
-    if row["event"] == "canary":
+    if row["event"] == "canary started":
         outcome = f"tried by {row['proxies']} of {row['of']}"
     else:
         outcome = f"{row['went']}, {row['cause']}"
--- a/tests/controller/test_controller.py
+++ b/tests/controller/test_controller.py
@@ -219,7 +219,7 @@
     Failing.fails = True
     controller.on_list_update(news("c:1", scope="changes"))
     (turn,) = play(controller, 2 * S, 0.1)
-    assert turn.log_events[0][0] == "module fault"
+    assert turn.log_events[0][0] == "policy crashed"
     assert "on purpose" in turn.log_events[0][1]["error"]
     assert controller.tables_of("p") == before  # the proxy keeps its tables
     Failing.fails = False
@@ -245,16 +245,16 @@
 def test_faults_that_come_again_make_it_wait(controller):
     Failing.fails = True
     events = [e for t in play(controller, 0, 8) for e in t.log_events]
-    waits = [fields["seconds"] for name, fields in events if name == "module waits"]
+    waits = [fields["seconds"] for name, fields in events if name == "policy restart delayed"]
     assert waits
     assert all(5 <= w <= 10 for w in waits)
-    assert sum(name == "module fault" for name, _ in events) <= 8
+    assert sum(name == "policy crashed" for name, _ in events) <= 8
 
 
 def test_a_planner_that_stood_still_says_so(controller):
     play(controller, 0, 2)
     turn = controller.run_round(20 * S)
-    assert ("stood still", {"seconds": 18.1}) in turn.log_events
+    assert ("event loop stalled", {"seconds": 18.1}) in turn.log_events
 
 
 def test_a_full_channel_is_told_and_lets_the_proxy_go():
@@ -265,7 +265,7 @@
     controller.on_proxy_connected("p", "east", 10.0, True)
     turn = controller.run_round(0)
     assert turn.overflowed_proxies == ["p"]
-    assert turn.log_events[0][0] == "channel full"
+    assert turn.log_events[0][0] == "egress queue full"
     assert controller.egress_queue.queued_entries == 0
 
 
@@ -318,7 +318,7 @@
     Bent.bent = lambda writer: [writer.set_weight(1, "a:1", w) for w in (float("nan"), -1.0)]
     events = [e for t in play(guarded, 2 * S, 1) for e in t.log_events]
     assert (
-        "order mended",
+        "invalid weights ignored",
         {"rule": "bad weight", "lines": [[1, "a:1", "nan"], [1, "a:1", "-1.0"]]},
     ) in events
     assert guarded.counts["faults"] == 0
--- a/tests/platform/test_push_delivery.py
+++ b/tests/platform/test_push_delivery.py
@@ -56,7 +56,7 @@
     world.round(("set_ejected", "c", True))
     world.round(("set_weight", 1, "a", float("nan")))
     events = [event for event, _ in world.manager.runner.drain_log_events()]
-    assert "module fault" in events
+    assert "policy crashed" in events
     assert session.end_cause is None
     world.now += S
     assert list(world.manager.run_round(world.now)) == []
@@ -71,7 +71,7 @@
 def crash(world):
     """The policy crashes and a new one starts."""
     world.round(("set_weight", 1, "a", float("nan")))
-    assert "module fault" in [event for event, _ in world.manager.runner.drain_log_events()]
+    assert "policy crashed" in [event for event, _ in world.manager.runner.drain_log_events()]
     world.now += S
     assert list(world.manager.run_round(world.now)) == []
 
--- a/tests/versions/test_canary.py
+++ b/tests/versions/test_canary.py
@@ -262,7 +262,7 @@
         report(controller, NOW + k * S, 1)
     pushed, events = play(NOW + 7 * S)
     assert pushed >= set(PROXIES) - {"p0", "p1"}
-    assert ("canary over", "on") in [(name, fields.get("went")) for name, fields in events]
+    assert ("canary ended", "on") in [(name, fields.get("went")) for name, fields in events]
     assert all(held(controller, p)["a"] == 9.0 for p in PROXIES)
 
 
@@ -272,7 +272,7 @@
     report(controller, NOW + 3 * S, 50)
     pushed, events = play(NOW + 3 * S)
     assert {"p0", "p1"} <= pushed
-    assert [name for name, _ in events] == ["canary over", "table pinned"]
+    assert [name for name, _ in events] == ["canary ended", "table pinned"]
     assert all(held(controller, p)["a"] == 1.0 for p in PROXIES)
     play(NOW + 4 * S, ("set_weight", 1, "a", 12.0))  # the module's orders are shown beside it, and wait
     assert all(held(controller, p)["a"] == 1.0 for p in PROXIES)
@@ -284,7 +284,7 @@
     play(NOW + S, ("set_weight", 1, "a", 9.0))
     report(controller, NOW + 3 * S, 50)
     events = controller.run_round(NOW + 3 * S).log_events
-    assert [name for name, _ in events][-2:] == ["canary over", "not taken back"]
+    assert [name for name, _ in events][-2:] == ["canary ended", "rollback refused"]
     play(NOW + 4 * S)
     assert all(held(controller, p)["a"] == 9.0 for p in PROXIES)
 
