--- a/tests/controller/test_controller.py
+++ b/tests/controller/test_controller.py
@@ -210,7 +210,7 @@
     held = controller.tables_of("p")
     assert [op for op, _ in held.tables_by_operation] == ["read", "write"]
     assert {s for made in held.contents.values() for s, _, _ in made.entries} == {"a:1", "b:1"}
-    assert controller.runner.policy.unread == 0  # every mark was answered
+    assert controller.runner.policy.budget.unacknowledged_entries == 0  # every mark was answered
 
 
 def test_a_fault_is_told_and_the_module_starts_anew_with_the_list(controller):
--- a/tests/platform/test_push_delivery.py
+++ b/tests/platform/test_push_delivery.py
@@ -10,7 +10,7 @@
     PushAcknowledged,
 )
 from swiftchute.platform import push_delivery, session_manager
-from swiftchute.policy import S
+from swiftchute.policy.units import NS_PER_S as S
 from tests.support.sessions import ACK, AGENT, DEMAND, HELLO, OUTCOMES, World
 
 
--- a/tests/platform/test_session_manager.py
+++ b/tests/platform/test_session_manager.py
@@ -13,7 +13,7 @@
 )
 from swiftchute.platform import session_manager
 from swiftchute.platform.proxy_session import MAX_FIRST_MESSAGE_BYTES, ProxySession
-from swiftchute.policy import S
+from swiftchute.policy.units import NS_PER_S as S
 from tests.support.sessions import ACK, AGENT, DEMAND, HELLO, MS, OUTCOMES, World, errors, text
 
 
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -12,7 +12,8 @@
 from swiftchute.platform.endpoint_list import EndpointList
 from swiftchute.platform.errors import SettingsError
 from swiftchute.platform.session_manager import SessionManager
-from swiftchute.policy import Reconciler, S
+from swiftchute.policy import Reconciler
+from swiftchute.policy.units import NS_PER_S as S
 from tests.support.platform import MEMBERS, wire_settings
 
 NAMES = st.text(min_size=1, max_size=20)
