--- a/tests/admin/test_server.py
+++ b/tests/admin/test_server.py
@@ -137,8 +137,8 @@
     assert (result.exit_code, "control.socket: missing" in result.stderr) == (2, True)
 
 
-def test_explain_says_which_rule_holds_which_line(served, tmp_path, core_with_a_cold_server):
-    controller, now, cold = core_with_a_cold_server
+def test_explain_says_which_rule_holds_which_line(served, tmp_path, controller_with_warming_endpoint):
+    controller, now, cold = controller_with_warming_endpoint
 
     async def play(control):
         with open("examples/planner.hcl", encoding="utf-8") as source:
@@ -169,8 +169,8 @@
     )
 
 
-def test_staff_look_at_versions_and_go_back(served, tmp_path, core_with_a_cold_server):
-    controller, now, cold = core_with_a_cold_server
+def test_staff_look_at_versions_and_go_back(served, tmp_path, controller_with_warming_endpoint):
+    controller, now, cold = controller_with_warming_endpoint
     controller.run_round(now + 2 * 10**9)
     kicked = []
     commands = Commands(controller, lambda: now + 3 * 10**9, lambda: kicked.append(1)).all()
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -148,8 +148,8 @@
     return made
 
 
-class Fixed:
-    """A decider that writes what a test gives it."""
+class ScriptedPolicy:
+    """A policy that issues the commands that a test gives it, once."""
 
     def __init__(self):
         self.writes = []
@@ -161,23 +161,23 @@
 
 
 @pytest.fixture
-def fixed():
-    """A core under a guard whose decider does what the test says; (core, decider)."""
-    decider = Fixed()
+def scripted_controller():
+    """A controller under safety rules with a scripted policy: (controller, policy)."""
+    policy = ScriptedPolicy()
     settings = Settings(**(FACTS | {"operations": (operation("read"), operation("write"))}))
-    return Controller(settings, 7, lambda settings, seed: decider, 1000 * S, SafetyRules()), decider
+    return Controller(settings, 7, lambda settings, seed: policy, 1000 * S, SafetyRules()), policy
 
 
 @pytest.fixture
-def core_with_a_cold_server(fixed):
-    """A core whose table gives a server that has just started a hundred times its part."""
-    controller, decider = fixed
+def controller_with_warming_endpoint(scripted_controller):
+    """A controller whose table gives an endpoint that has just started a hundred times its share."""
+    controller, policy = scripted_controller
     entries = [
         EndpointRecord("a", "east", "", 0, "ready", 1.0, 0),
         EndpointRecord("c", "east", "", 0, "ready", 1.0, 1000 * S),
     ]
     controller.on_list_update(EndpointListChange("held", tuple(entries), ()))
     controller.on_proxy_connected("p", "east", 1.0, True)
-    decider.writes = [("set_weight", 1, "a", 1.0), ("set_weight", 1, "c", 100.0), ("assign_table", "p", 1, 0)]
+    policy.writes = [("set_weight", 1, "a", 1.0), ("set_weight", 1, "c", 100.0), ("assign_table", "p", 1, 0)]
     controller.run_round(1000 * S)
     return controller, 1000 * S, "c"
--- a/tests/dns/test_frontend.py
+++ b/tests/dns/test_frontend.py
@@ -37,7 +37,7 @@
 from swiftchute.dns.zone_transfer import TRIES, Secondaries
 from swiftchute.safety.validator import SafetyRules
 from swiftchute.xds.messages import Peer, Violation
-from tests.conftest import FACTS, Fixed, operation
+from tests.conftest import FACTS, ScriptedPolicy, operation
 
 S = 1_000_000_000
 NOW = 1000 * S
@@ -361,7 +361,7 @@
     """A core with a decider that does what a test says, and a DNS front on it."""
 
     def __init__(self, **plumbing):
-        self.decider, self.now = Fixed(), NOW
+        self.decider, self.now = ScriptedPolicy(), NOW
         facts = {"operations": (operation("read"), operation("write")), "drain_grace_ns": 4 * S}
         facts |= {"egress_rate_entries_per_s": 1e6, "egress_queue_limit_entries": 1e6, "message_quota": 0}
         settings = Settings(**(FACTS | facts))
--- a/tests/support/sessions.py
+++ b/tests/support/sessions.py
@@ -12,7 +12,7 @@
 from swiftchute.controller.policy_runner import PolicyRunner
 from swiftchute.platform.session_manager import SessionManager
 from swiftchute.policy.units import NS_PER_S as S
-from tests.conftest import FACTS, Fixed, operation
+from tests.conftest import FACTS, ScriptedPolicy, operation
 
 MS = 1_000_000
 HELLO = {"msg": "hello", "proxy": 1, "zone": "east", "weight": 2.5, "fresh": True}
@@ -31,7 +31,7 @@
     """A session manager whose policy does what the test says, and a clock."""
 
     def __init__(self, sockets=1024, **facts):
-        self.policy, self.now = Fixed(), 1000 * S
+        self.policy, self.now = ScriptedPolicy(), 1000 * S
         facts = FACTS | {"operations": (operation("read"), operation("write")), "proxy_count": 400} | facts
         runner = PolicyRunner(Settings(**facts), 7, lambda settings, seed: self.policy, self.now)
         self.manager = SessionManager(runner, sockets)
--- a/tests/versions/test_canary.py
+++ b/tests/versions/test_canary.py
@@ -24,7 +24,7 @@
     regression,
     weight_shares,
 )
-from tests.conftest import FACTS, Fixed, operation
+from tests.conftest import FACTS, ScriptedPolicy, operation
 
 S = 1_000_000_000
 NOW = 1000 * S
@@ -209,7 +209,7 @@
 @pytest.fixture
 def planner():
     """A core with eight proxies on a table of four servers, pushed and acknowledged."""
-    decider = Fixed()
+    decider = ScriptedPolicy()
     settings = Settings(**(FACTS | {"operations": (operation("read"),), "egress_rate_entries_per_s": 1e6,
                                     "egress_queue_limit_entries": 1e6, "message_quota": 0}))  # fmt: skip
     keep = RetentionSettings(canary_fraction=0.25, canary_duration_ns=5 * S, max_canary_duration_ns=30 * S)
--- a/tests/versions/test_history.py
+++ b/tests/versions/test_history.py
@@ -344,9 +344,9 @@
 
 
 @pytest.fixture
-def planner(fixed):
+def planner(scripted_controller):
     """A core with a table of three servers, pushed and acknowledged: (core, decider, round)."""
-    controller, decider = fixed
+    controller, decider = scripted_controller
     entries = [EndpointRecord(n, "east", "", 0, "ready", 1.0, 0) for n in "abd"]
     controller.on_list_update(EndpointListChange("held", tuple(entries), ()))
     controller.on_proxy_connected("p", "east", 1.0, True)
