--- a/benchmarks/taps.py
+++ b/benchmarks/taps.py
@@ -148,7 +148,7 @@
             print(f"| {name} | {pushes} | {key[0]} | {'yes' if key[1] else 'no'} | {began} | {stood} |")
             for p in made:
                 for now, fields in p.first[key][:3]:
-                    print(f"    {now / S:.1f} {key} planner {p.settings.planner}: {fields}", file=sys.stderr)
+                    print(f"    {now / S:.1f} {key} planner {p.settings.instance}: {fields}", file=sys.stderr)
         if differ:
             print(f"{name}: {differ} replies differ from the recorded ones", file=sys.stderr)
 
