--- a/swiftchute/cli/serving.py
+++ b/swiftchute/cli/serving.py
@@ -36,12 +36,13 @@
     """Run a planner until it is told to stop."""
     import uvloop
 
-    from swiftchute.daemon.service import CannotListen, Service
-    from swiftchute.observability.logging import setup
+    from swiftchute.daemon.errors import ListenError
+    from swiftchute.daemon.service import Service
+    from swiftchute.observability.logging import configure_logging
     from swiftchute.policy import Reconciler
 
     loaded = load_or_fail(config)
-    log = setup(loaded.log_level, planner=loaded.settings.instance)
+    log = configure_logging(loaded.log_level, planner=loaded.settings.instance)
     policy = _import_policy(decider) if decider else Reconciler
 
     async def run() -> None:
@@ -49,7 +50,7 @@
 
     try:
         uvloop.run(run())
-    except CannotListen as error:
+    except ListenError as error:
         fail(f"{config}: {error}")
 
 
@@ -62,7 +63,7 @@
 
     from swiftchute.config.proxy import load as load_proxy
     from swiftchute.daemon.proxy import Daemon
-    from swiftchute.observability.logging import setup
+    from swiftchute.observability.logging import configure_logging
 
     loaded = load_or_fail(config, load_proxy)
     if check_only:
@@ -70,7 +71,7 @@
         return
 
     async def run() -> None:
-        await Daemon(loaded, setup(loaded.log_level, proxy=loaded.node)).run()
+        await Daemon(loaded, configure_logging(loaded.log_level, proxy=loaded.node)).run()
 
     try:
         uvloop.run(run())
--- a/swiftchute/daemon/__init__.py
+++ b/swiftchute/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""A planner as a process: its core, its fronts, the list's source and the loop that turns them."""
+"""Processes: a control plane instance, and a proxy. They connect the parts to the event loop and the log."""
--- a/swiftchute/daemon/commands.py
+++ b/swiftchute/daemon/commands.py
@@ -1,4 +1,4 @@
-"""What staff may ask of a running planner, by command: plain data in and out. Decides nothing."""
+"""The commands of operators on a running instance: plain data in and out."""
 
 import time
 from collections.abc import Callable
@@ -7,139 +7,159 @@
 from swiftchute.admin.errors import CommandRejectedError
 from swiftchute.controller.change_causes import ChangeCause
 from swiftchute.controller.controller import Controller
-from swiftchute.versions import encoding
+from swiftchute.controller.version_control import short_version
+from swiftchute.versions.encoding import ADMISSION_RATE_SCALE, WEIGHT_SCALE, Table, diff, encode
 from swiftchute.versions.history import UnknownVersionError, VersionChange
 from swiftchute.versions.pinning import PinError
 
-S = 1_000_000_000
-MOST = 1000  # rows of an answer
-
-
-class Commands:
-    """The commands on one planner's core; `done` is called once something was changed."""
-
-    def __init__(self, controller: Controller, clock: Callable[[], int], done: Callable[[], None]) -> None:
-        """`clock` is the core's."""
-        self.controller, self.clock, self.done = controller, clock, done
-
-    def all(self) -> dict[str, Callable[..., Any]]:
-        """By name, as requests give them."""
-        named = {"guard.explain": self.explain, "tables.log": self.log, "tables.show": self.show}
-        named |= {"tables.diff": self.diff, "tables.rollback": self.rollback, "tables.pin": self.pin}
-        return {
-            name: self._told(command) for name, command in (named | {"tables.release": self.release}).items()
+NS_PER_S = 1_000_000_000
+MAX_LOG_ROWS = 1000
+DEFAULT_PIN_S = 600.0
+
+
+class AdminCommands:
+    """The commands on one controller. Keyword arguments are those of the requests."""
+
+    def __init__(
+        self, controller: Controller, clock: Callable[[], int], request_round: Callable[[], None]
+    ) -> None:
+        """`clock` is the controller's; `request_round` is called after each change."""
+        self.controller, self.clock, self.request_round = controller, clock, request_round
+
+    def by_name(self) -> dict[str, Callable[..., Any]]:
+        """Return the commands by the names that requests give them.
+
+        They raise `CommandRejectedError` if they cannot be carried out.
+        """
+        commands: dict[str, Callable[..., Any]] = {
+            "guard.explain": self.explain,
+            "tables.log": self.log,
+            "tables.show": self.show,
+            "tables.diff": self.diff,
+            "tables.rollback": self.rollback,
+            "tables.pin": self.pin,
+            "tables.release": self.release,
         }
-
-    @staticmethod
-    def _told(command: Callable[..., Any]) -> Callable[..., Any]:
-        def run(**given: Any) -> Any:
-            try:
-                return command(**given)
-            except (UnknownVersionError, PinError) as why:
-                raise CommandRejectedError(str(why)) from None
-
-        return run
+        return {name: _with_typed_errors(command) for name, command in commands.items()}
 
     def explain(self, table: str | None = None) -> dict[str, Any]:
-        """Why tables go out as they do."""
+        """Return why published tables differ from what the policy commands."""
         gate = self.controller.publish_gate
         if gate is None:
             raise CommandRejectedError("the guard is off")
-        tables = self.controller.explain(self.clock())
-        if table is not None and table not in (names := [row["table"] for row in tables]):
+        rows = self.controller.explain(self.clock())
+        names = [row["table"] for row in rows]
+        if table is not None and table not in names:
             raise CommandRejectedError(f"no table {table!r} in use; there are {', '.join(names) or 'none'}")
         return {
             "enforced": gate.enforce,
-            "tables": [row for row in tables if table in (None, row["table"])],
+            "tables": [row for row in rows if table in (None, row["table"])],
             "counts": gate.counts,
         }
 
-    def _change(self, change: VersionChange) -> dict[str, Any]:
-        held, way = self.controller.deliveries.states(change.table).get(change.version, (0, 0))
-        newest = self.controller.history.current(change.table)
-        return {
-            "table": change.table,
-            "serial": change.serial,
-            "version": change.version.hex(),
-            "parent": change.parent.hex() if change.parent else None,
-            "at": time.time() + (change.at - self.clock()) / S,
-            "cause": change.cause,
-            "planner": change.planner,
-            "put": change.put,
-            "gone": change.gone,
-            "newest": newest == change,
-            "acknowledged": held,
-            "under_way": way,
-        }
-
     def log(self, table: str | None = None, most: int = 20) -> list[dict[str, Any]]:
-        """The last changes, newest first."""
-        return [self._change(change) for change in self.controller.history.log(table, min(int(most), MOST))]
-
-    def _kept(self, table: str, version: str) -> tuple[VersionChange, encoding.Table]:
-        change = self.controller.history.find(table, version)
-        content = self.controller.history.get(change.version)
-        if content is None:
-            raise CommandRejectedError(f"version {change.version.hex()[:12]} is no longer kept")
-        return change, content
+        """Return the last `most` changes, newest first."""
+        changes = self.controller.history.log(table, min(int(most), MAX_LOG_ROWS))
+        return [self._change_row(change) for change in changes]
 
     def show(self, table: str, version: str = "~0") -> dict[str, Any]:
-        """One version: its lines and levels, who holds it, and what the module orders beside a pinned one."""
-        change, content = self._kept(table, version)
-        pin = self.controller.pins.by.get(table)
-        return self._change(change) | {
+        """Return one version, who holds it, its pin, and what the policy commands now."""
+        change, content = self._find(table, version)
+        return self._change_row(change) | {
             "levels": [
-                [op, rate / encoding.ADMISSION_RATE_SCALE, tries] for op, rate, tries in content.levels
+                [operation, rate / ADMISSION_RATE_SCALE, retry_policy]
+                for operation, rate, retry_policy in content.levels
             ],
-            "lines": [[server, zone, units / encoding.WEIGHT_SCALE] for server, zone, units in content.lines],
-            "pinned": None if pin is None else {
-                "version": pin.change.version.hex(), "cause": pin.cause, "levels": pin.levels,
-                "seconds": round((pin.until - self.clock()) / S, 1),
-            },
+            "lines": [[endpoint, zone, units / WEIGHT_SCALE] for endpoint, zone, units in content.lines],
+            "pinned": self._pin_row(table),
             "ordered": self.controller.commanded_weights(table),
-        }  # fmt: skip
+        }
 
     def diff(self, table: str, before: str, after: str) -> dict[str, Any]:
-        """What changed from one version to another."""
-        (one, old), (two, new) = self._kept(table, before), self._kept(table, after)
-        step, was = encoding.diff(old, new), {line[0]: line for line in old.lines}
+        """Return what changed from one version to another."""
+        (old_change, old), (new_change, new) = self._find(table, before), self._find(table, after)
+        delta = diff(old, new)
+        old_weights = {endpoint: units / WEIGHT_SCALE for endpoint, _, units in old.lines}
+        changed = [
+            [endpoint, old_weights.get(endpoint), units / WEIGHT_SCALE] for endpoint, _, units in delta.put
+        ]
+        removed = [[endpoint, old_weights[endpoint], None] for endpoint in delta.gone]
         return {
-            "before": one.version.hex(),
-            "after": two.version.hex(),
-            "lines": [
-                [
-                    server,
-                    was[server][2] / encoding.WEIGHT_SCALE if server in was else None,
-                    units / encoding.WEIGHT_SCALE,
-                ]
-                for server, _, units in step.put
-            ]
-            + [[server, was[server][2] / encoding.WEIGHT_SCALE, None] for server in step.gone],
-            "levels": None if step.levels is None else {"before": old.levels, "after": new.levels},
-            "bytes": len(encoding.encode(step)),
-            "whole": len(encoding.encode(new)),
+            "before": old_change.version.hex(),
+            "after": new_change.version.hex(),
+            "lines": changed + removed,
+            "levels": None if delta.levels is None else {"before": old.levels, "after": new.levels},
+            "bytes": len(encode(delta)),
+            "whole": len(encode(new)),
         }
 
     def rollback(
-        self, table: str, version: str = "~1", seconds: float = 600, levels: bool = False
+        self, table: str, version: str = "~1", seconds: float = DEFAULT_PIN_S, levels: bool = False
     ) -> dict[str, Any]:
         """Hold a table at an earlier version for a while."""
         return self._pin(table, version, seconds, levels, ChangeCause.ROLLBACK)
 
     def pin(
-        self, table: str, version: str = "~0", seconds: float = 600, levels: bool = False
+        self, table: str, version: str = "~0", seconds: float = DEFAULT_PIN_S, levels: bool = False
     ) -> dict[str, Any]:
         """Hold a table at the version it has."""
         return self._pin(table, version, seconds, levels, ChangeCause.PIN)
 
+    def release(self, table: str) -> None:
+        """End the pin of a table."""
+        self.controller.release(table, self.clock())
+        self.request_round()
+
     def _pin(
         self, table: str, version: str, seconds: float, levels: bool, cause: ChangeCause
     ) -> dict[str, Any]:
-        change = self.controller.pin(table, version, int(seconds * S), bool(levels), cause, self.clock())
-        self.done()
-        return self._change(change)
+        duration_ns = int(seconds * NS_PER_S)
+        change = self.controller.pin(table, version, duration_ns, bool(levels), cause, self.clock())
+        self.request_round()
+        return self._change_row(change)
 
-    def release(self, table: str) -> None:
-        """The module's orders count again."""
-        self.controller.release(table, self.clock())
-        self.done()
+    def _find(self, table: str, version: str) -> tuple[VersionChange, Table]:
+        change = self.controller.history.find(table, version)
+        content = self.controller.history.get(change.version)
+        if content is None:
+            raise CommandRejectedError(f"version {short_version(change.version)} is no longer kept")
+        return change, content
+
+    def _change_row(self, change: VersionChange) -> dict[str, Any]:
+        states = self.controller.deliveries.states(change.table)
+        acknowledged, under_way = states.get(change.version, (0, 0))
+        return {
+            "table": change.table,
+            "serial": change.serial,
+            "version": change.version.hex(),
+            "parent": change.parent.hex() if change.parent else None,
+            "at": time.time() + (change.at - self.clock()) / NS_PER_S,
+            "cause": change.cause,
+            "planner": change.planner,
+            "put": change.put,
+            "gone": change.gone,
+            "newest": self.controller.history.current(change.table) == change,
+            "acknowledged": acknowledged,
+            "under_way": under_way,
+        }
+
+    def _pin_row(self, table: str) -> dict[str, Any] | None:
+        pin = self.controller.pins.by.get(table)
+        if pin is None:
+            return None
+        return {
+            "version": pin.change.version.hex(),
+            "cause": pin.cause,
+            "levels": pin.levels,
+            "seconds": round((pin.until - self.clock()) / NS_PER_S, 1),
+        }
+
+
+def _with_typed_errors(command: Callable[..., Any]) -> Callable[..., Any]:
+    def run(**arguments: Any) -> Any:
+        try:
+            return command(**arguments)
+        except (UnknownVersionError, PinError) as error:
+            raise CommandRejectedError(str(error)) from None
+
+    return run
--- a/swiftchute/daemon/service.py
+++ b/swiftchute/daemon/service.py
@@ -1,28 +1,34 @@
-"""A planner as a process: its core, the event loop that turns it, the list's source and the fronts."""
+"""A control plane instance as a process: the controller, the endpoint list's source and the servers."""
 
 import asyncio
 import signal
 import time
-from collections.abc import Mapping
+from collections.abc import Callable, Mapping
 from typing import Any
 
 from swiftchute.admin.server import AdminServer
 from swiftchute.config import Config
 from swiftchute.controller.controller import Controller
+from swiftchute.controller.policy_runner import PolicyFactory
 from swiftchute.controller.version_control import RetentionSettings
-from swiftchute.daemon.commands import Commands
+from swiftchute.daemon.commands import AdminCommands
+from swiftchute.daemon.errors import ListenError
+from swiftchute.daemon.round_scheduler import RoundScheduler
 from swiftchute.discovery.endpoint_list import EndpointList, EndpointListError
 from swiftchute.discovery.sources import FileSource, HttpSource
-from swiftchute.dns.frontend import Front as DnsFront
-from swiftchute.dns.server import Shell as DnsShell
-from swiftchute.observability.logging import mode_fields
+from swiftchute.dns.frontend import Front as DnsFrontend
+from swiftchute.dns.server import Shell as DnsServer
+from swiftchute.observability.logging import condition_fields
 from swiftchute.policy import Reconciler
 from swiftchute.safety.validator import SafetyRules
-from swiftchute.xds.frontend import Front, Out
-from swiftchute.xds.server import Shell
+from swiftchute.xds.frontend import Front as XdsFrontend
+from swiftchute.xds.frontend import Out
+from swiftchute.xds.server import Shell as XdsServer
 
-S = 1_000_000_000
-ROUND = 5_000_000  # what comes in within so long makes one round, as in the bench's rounds
+NS_PER_S = 1_000_000_000
+MIN_ROUND_INTERVAL_NS = 1_000_000
+DROP_REPORT_INTERVAL_NS = 10 * NS_PER_S
+MAX_LOGGED_ENTRIES = 16  # skipped entries of one endpoint list that are logged
 WARNING_EVENTS = frozenset(
     {
         "policy crashed",
@@ -43,11 +49,7 @@
 )
 
 
-class CannotListen(Exception):
-    """An address or socket cannot be had; its text names the field and the cause."""
-
-
-def _retention(tables: Mapping[str, Any]) -> RetentionSettings:
+def _retention_settings(tables: Mapping[str, Any]) -> RetentionSettings:
     """Return the values of the `tables` block of the settings by their names in the controller."""
     return RetentionSettings(
         max_versions=tables["most"],
@@ -63,172 +65,206 @@
     )
 
 
+def _safety_rules(guard: Mapping[str, Any]) -> SafetyRules | None:
+    """Return the rules of the `guard` block of the settings; None if they are off."""
+    if guard["mode"] == "off":
+        return None
+    rules = {key: value for key, value in guard.items() if key != "mode"}
+    return SafetyRules(**rules | {"warn": frozenset(rules["warn"])})
+
+
 class Service:
-    """Runs one planner until it is told to stop."""
+    """Runs one instance until it is stopped."""
 
-    def __init__(self, config: Config, log: Any, make: Any = Reconciler) -> None:
-        """`make` builds the deciding module."""
+    def __init__(self, config: Config, log: Any, policy_factory: PolicyFactory = Reconciler) -> None:
+        """Nothing is open before `run`; `policy_factory` makes the policy."""
         self.config, self.log = config, log
-        self.clock = time.monotonic_ns
+        self.clock: Callable[[], int] = time.monotonic_ns
         now = self.clock()
-        mode = config.guard["mode"]
-        of = {key: value for key, value in config.guard.items() if key != "mode"}
-        rules = SafetyRules(**of | {"warn": frozenset(of["warn"])}) if mode != "off" else None
         self.controller = Controller(
-            config.settings, config.seed, make, now, rules, mode == "enforce", _retention(config.tables)
+            config.settings,
+            config.seed,
+            policy_factory,
+            now,
+            _safety_rules(config.guard),
+            config.guard["mode"] == "enforce",
+            _retention_settings(config.tables),
         )
-        xds, life = config.xds, int(time.time() * 1000)
-        self.front = Front(
+        self.scheduler = RoundScheduler(self._run_round, self.clock)
+        self.xds_frontend = XdsFrontend(
             self.controller,
             config.settings,
-            life,
-            xds["ack_within"],
-            xds["proxy_rate"],
-            xds["streams"],
+            int(time.time() * 1000),  # differs from that of earlier incarnations
+            config.xds["ack_within"],
+            config.xds["proxy_rate"],
+            config.xds["streams"],
             config.seed,
         )
-        offset = time.time_ns() - now
-        self.registry = EndpointList(config.settings.zones, offset)
-        self.dns: DnsShell | None = None
+        self.xds_server = XdsServer(
+            self.xds_frontend, config.settings, config.xds, self.scheduler.request_round, self.clock, log
+        )
+        wall_clock_offset_ns = time.time_ns() - now
+        self.endpoint_list = EndpointList(config.settings.zones, wall_clock_offset_ns)
+        self.dns_server: DnsServer | None = None
         if config.dns["listen"]:
-            answers = DnsFront(self.controller, config.settings, config.dns, config.seed, offset)
-            self.dns = DnsShell(answers, config.settings.zone, self.clock, log)
-        self.shell = Shell(self.front, config.settings, xds, self.kick, self.clock, log)
-        commands = Commands(self.controller, self.clock, self.kick).all()
-        self.control = AdminServer(config.control, commands) if config.control else None
-        self.stop, self.fault = asyncio.Event(), None
-        self.past, self.tell_past = self._past_bounds(), 0
-        self.handle: asyncio.TimerHandle | None = None
-        self.at = 0
+            frontend = DnsFrontend(
+                self.controller, config.settings, config.dns, config.seed, wall_clock_offset_ns
+            )
+            self.dns_server = DnsServer(frontend, config.settings.zone, self.clock, log)
+        self.admin_server: AdminServer | None = None
+        if config.control:
+            commands = AdminCommands(self.controller, self.clock, self.scheduler.request_round)
+            self.admin_server = AdminServer(config.control, commands.by_name())
+        self.source = self._make_source()
+        self.stop = asyncio.Event()
+        self.fatal_error: Exception | None = None
         self.address: tuple[str, int] | None = None
-        self.source = self._source(config)
+        self._reported_drops, self._next_drop_report_ns = self._drop_totals(), 0
 
-    def _source(self, config: Config) -> FileSource | HttpSource:
-        of = config.list
-        if config.list_kind == "file":
-            return FileSource(of["path"], of["every"], self._took, self._failed)
-        return HttpSource(of["url"], of["every"], of["timeout"], self._took, self._failed, config.seed)
+    async def run(self, ready: Callable[[tuple[str, int]], Any] | None = None, signals: bool = True) -> None:
+        """Serve until SIGTERM or SIGINT, or cancelled; call `ready(address)` once proxies can connect.
 
-    def _took(self, text: bytes) -> None:
-        try:
-            news = self.registry.read(text)
-        except EndpointListError as why:
-            self.log.warning(
-                "list refused", cause=str(why), kept=len(self.registry.held), bad=self.registry.bad
-            )
-            return
-        if news is None:
-            return
-        for passed in news.passed[:16]:
-            self.log.warning("entry passed over", cause=passed)
-        self.log.info("list", scope=news.scope, entries=len(news.entries), passed=len(news.passed))
-        self.controller.on_list_update(news)
-        self.kick()
-
-    def _failed(self, cause: str) -> None:
-        self.registry.bad += 1
-        self.log.warning("list unreadable", cause=cause, kept=len(self.registry.held), bad=self.registry.bad)
-
-    def kick(self) -> None:
-        """Something came in: have a turn soon."""
-        self._plan(self.clock() + ROUND)
-
-    def _plan(self, when: int) -> None:
-        if self.handle is not None:
-            if self.at <= when:
-                return
-            self.handle.cancel()
-        self.at = when
-        self.handle = asyncio.get_running_loop().call_later(max(when - self.clock(), 0) / S, self._turn)
-
-    def _turn(self) -> None:
-        self.handle = None
-        now = self.clock()
-        try:
-            turn = self.controller.run_round(now)
-            if self.dns is not None:
-                self.dns.turn(turn, now)
-            out = self.front.turn(turn, now)
-            self.shell.carry_out(out)
-            self._events(out)
-        except Exception as why:
-            # a fault of the program itself, not of the module: state may be half changed, so the process ends
-            # with an error and is started anew; proxies keep their tables meanwhile
-            self.fault = why
-            self.stop.set()
-            raise
-        due = (
-            min(self.controller.next_deadline_ns, self.dns.due)
-            if self.dns is not None
-            else self.controller.next_deadline_ns
-        )
-        self._plan(max(due, self.clock() + 1_000_000))
-
-    def _past_bounds(self) -> dict[str, int]:
-        """What was dropped or turned away past a bound, since the start."""
-        server = self.shell.server
-        found = {
-            "sums": self.controller.load_aggregator.dropped,
-            "calls": self.controller.counts["calls_lost"],
-            "events": self.controller.counts["events_lost"],
-            "connections": server.turned_away if server else 0,
-        }
-        if self.dns is not None:
-            found["dns_streams"] = self.dns.closed["streams_past_bound"]
-            found["dns_notifies"] = self.dns.front.secondaries.lost
-        return found
-
-    def _events(self, out: Out) -> None:
-        now = self._past_bounds()
-        if now != self.past and self.clock() >= self.tell_past:  # told at most once in ten seconds
-            self.past, self.tell_past = now, self.clock() + 10 * S
-            self.log.warning("past a bound", **now)
-        for event, fields in out.events:
-            if event == "condition changed":
-                fields = mode_fields(fields["text"])
-            (self.log.warning if event in WARNING_EVENTS else self.log.info)(event, **fields)
-
-    async def run(self, ready: Any = None, signals: bool = True) -> None:
-        """Serve until SIGTERM or SIGINT, or cancelled; `ready(address)` is called once streams are taken."""
+        Raises `ListenError`, or the error that ended a round.
+        """
         for number in (signal.SIGTERM, signal.SIGINT) if signals else ():
             asyncio.get_running_loop().add_signal_handler(number, self.stop.set)
-        try:
-            self.address = await self.shell.start()
-        except OSError as why:
-            raise CannotListen(f"xds.listen: {why}") from None
-        if self.dns is not None:
-            try:
-                await self.dns.start()
-            except OSError as why:
-                await self.shell.stop()
-                raise CannotListen(f"dns.listen: {why}") from None
+        self.address = await self._start_servers()
         source = asyncio.ensure_future(self.source.run())
         self.log.info("serving", address=f"{self.address[0]}:{self.address[1]}")
         stopped = asyncio.ensure_future(self.stop.wait())
         try:
-            if self.control is not None:
+            if self.admin_server is not None:
                 try:
-                    await self.control.start()
-                except OSError as why:
-                    raise CannotListen(f"control.socket: {why}") from None
+                    await self.admin_server.start()
+                except OSError as error:
+                    raise ListenError(f"control.socket: {error}") from None
             if ready is not None:
                 ready(self.address)
-            self.kick()
+            self.scheduler.request_round()
             await asyncio.wait([stopped, source], return_when=asyncio.FIRST_COMPLETED)
             if source.done():
                 source.result()
-            if self.fault is not None:
-                raise self.fault
+            if self.fatal_error is not None:
+                raise self.fatal_error
         finally:
             source.cancel()
             stopped.cancel()
-            if self.handle is not None:
-                self.handle.cancel()
-            await self.shell.stop()
-            if self.dns is not None:
-                await self.dns.stop()
-            if self.control is not None:
-                await self.control.stop()
-            gate = self.controller.publish_gate
-            counts = self.controller.counts | self.front.counts | (self.dns.counts if self.dns else {})
-            self.log.info("stopped", counts=counts, guard=gate.counts if gate else {})
+            self.scheduler.cancel()
+            await self._stop_servers()
+            self._log_totals()
+
+    async def _start_servers(self) -> tuple[str, int]:
+        """Listen for proxies and DNS queries; return the address for proxies."""
+        try:
+            address = await self.xds_server.start()
+        except OSError as error:
+            raise ListenError(f"xds.listen: {error}") from None
+        if self.dns_server is not None:
+            try:
+                await self.dns_server.start()
+            except OSError as error:
+                await self.xds_server.stop()
+                raise ListenError(f"dns.listen: {error}") from None
+        return address
+
+    async def _stop_servers(self) -> None:
+        await self.xds_server.stop()
+        if self.dns_server is not None:
+            await self.dns_server.stop()
+        if self.admin_server is not None:
+            await self.admin_server.stop()
+
+    def _make_source(self) -> FileSource | HttpSource:
+        settings = self.config.list
+        if self.config.list_kind == "file":
+            return FileSource(
+                settings["path"], settings["every"], self._on_list_received, self._on_list_unreadable
+            )
+        return HttpSource(
+            settings["url"],
+            settings["every"],
+            settings["timeout"],
+            self._on_list_received,
+            self._on_list_unreadable,
+            self.config.seed,
+        )
+
+    def _on_list_received(self, text: bytes) -> None:
+        try:
+            change = self.endpoint_list.read(text)
+        except EndpointListError as error:
+            self.log.warning(
+                "list refused",
+                cause=str(error),
+                kept=len(self.endpoint_list.held),
+                bad=self.endpoint_list.bad,
+            )
+            return
+        if change is None:
+            return
+        for cause in change.passed[:MAX_LOGGED_ENTRIES]:
+            self.log.warning("entry passed over", cause=cause)
+        self.log.info("list", scope=change.scope, entries=len(change.entries), passed=len(change.passed))
+        self.controller.on_list_update(change)
+        self.scheduler.request_round()
+
+    def _on_list_unreadable(self, cause: str) -> None:
+        self.endpoint_list.bad += 1
+        self.log.warning(
+            "list unreadable",
+            cause=cause,
+            kept=len(self.endpoint_list.held),
+            bad=self.endpoint_list.bad,
+        )
+
+    def _run_round(self) -> None:
+        now = self.clock()
+        try:
+            output = self.controller.run_round(now)
+            if self.dns_server is not None:
+                self.dns_server.turn(output, now)
+            xds_output = self.xds_frontend.turn(output, now)
+            self.xds_server.carry_out(xds_output)
+            self._log_events(xds_output)
+        except Exception as error:
+            # A fault of the program itself, not of the policy: its state may be inconsistent, so the process
+            # ends with an error and is started anew. Proxies keep their tables meanwhile.
+            self.fatal_error = error
+            self.stop.set()
+            raise
+        deadline_ns = self.controller.next_deadline_ns
+        if self.dns_server is not None:
+            deadline_ns = min(deadline_ns, self.dns_server.due)
+        self.scheduler.schedule(max(deadline_ns, self.clock() + MIN_ROUND_INTERVAL_NS))
+
+    def _log_events(self, xds_output: Out) -> None:
+        totals = self._drop_totals()
+        if totals != self._reported_drops and self.clock() >= self._next_drop_report_ns:
+            self._reported_drops = totals
+            self._next_drop_report_ns = self.clock() + DROP_REPORT_INTERVAL_NS
+            self.log.warning("past a bound", **totals)
+        for name, fields in xds_output.events:
+            if name == "condition changed":
+                fields = condition_fields(fields["text"])
+            (self.log.warning if name in WARNING_EVENTS else self.log.info)(name, **fields)
+
+    def _drop_totals(self) -> dict[str, int]:
+        """Return what was dropped or rejected past a limit, since the start."""
+        server = self.xds_server.server
+        totals = {
+            "sums": self.controller.load_aggregator.dropped,
+            "calls": self.controller.counts["calls_lost"],
+            "events": self.controller.counts["events_lost"],
+            "connections": server.turned_away if server else 0,
+        }
+        if self.dns_server is not None:
+            totals["dns_streams"] = self.dns_server.closed["streams_past_bound"]
+            totals["dns_notifies"] = self.dns_server.front.secondaries.lost
+        return totals
+
+    def _log_totals(self) -> None:
+        gate = self.controller.publish_gate
+        counts = self.controller.counts | self.xds_frontend.counts
+        if self.dns_server is not None:
+            counts |= self.dns_server.counts
+        self.log.info("stopped", counts=counts, guard=gate.counts if gate else {})
--- a/swiftchute/drill/instance.py
+++ b/swiftchute/drill/instance.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from swiftchute.config import load
-from swiftchute.observability.logging import setup
+from swiftchute.observability.logging import configure_logging
 
 TERMINATION_TIMEOUT_S = 5
 
@@ -44,7 +44,7 @@
     async def _start_inside(self, policy: PolicyFactory) -> None:
         from swiftchute.daemon.service import Service
 
-        service = Service(load(self._path), setup("error", planner=self._number), policy)
+        service = Service(load(self._path), configure_logging("error", planner=self._number), policy)
         ready = asyncio.get_running_loop().create_future()
         self._task = asyncio.ensure_future(service.run(ready.set_result, signals=False))
         await asyncio.wait({ready, self._task}, return_when=asyncio.FIRST_COMPLETED)
--- a/swiftchute/observability/logging.py
+++ b/swiftchute/observability/logging.py
@@ -1,4 +1,4 @@
-"""Structured logs, and the module's lines as events with their figures as fields."""
+"""Structured logs, and the policy's log lines as fields."""
 
 import logging
 import re
@@ -7,9 +7,9 @@
 
 import structlog
 
-_MODE = re.compile(r"(?P<mode>.+?): (?P<state>on|off), (?P<figures>.*)")
-_LEVEL = re.compile(r"^(-?\d+(?:\.\d+)?)(?:, |$)")
-# the forms in which the module words its figures (docs/on-call.md)
+_CONDITION_LINE = re.compile(r"(?P<condition>.+?): (?P<state>on|off), (?P<figures>.*)")
+_LEADING_NUMBER = re.compile(r"^(-?\d+(?:\.\d+)?)(?:, |$)")
+# field by the wording of a figure in the policy's log lines
 _FIGURES = (
     ("time", re.compile(r"time (-?\d+(?:\.\d+)?) of the objective")),
     ("there", re.compile(r"(-?\d+(?:\.\d+)?) there")),
@@ -22,8 +22,8 @@
 )
 
 
-def setup(level: str, **always: Any) -> Any:
-    """A logger that writes JSON lines to standard error; `always` stands in each line."""
+def configure_logging(level: str, **bound_fields: Any) -> Any:
+    """Return a logger that writes JSON lines to standard error, with `bound_fields` in each."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -33,21 +33,23 @@
         wrapper_class=structlog.make_filtering_bound_logger(getattr(logging, level.upper())),
         logger_factory=structlog.PrintLoggerFactory(sys.stderr),
     )
-    return structlog.get_logger().bind(**always)
+    return structlog.get_logger().bind(**bound_fields)
 
 
-def mode_fields(text: str) -> dict[str, Any]:
-    """A line of the module as fields: mode, on or off, and each figure; a line of another form stays
-    as `text`."""
-    found = _MODE.fullmatch(text)
-    if not found:
+def condition_fields(text: str) -> dict[str, Any]:
+    """Return a log line of the policy as fields: the condition, whether it began, and each figure.
+
+    A line of another form is returned as the field `text`.
+    """
+    line = _CONDITION_LINE.fullmatch(text)
+    if not line:
         return {"text": text}
-    fields: dict[str, Any] = {"mode": found["mode"], "on": found["state"] == "on"}
-    first = _LEVEL.match(found["figures"])
-    if first:
-        fields["level"] = float(first[1])
-    for name, form in _FIGURES:
-        seen = form.search(found["figures"])
-        if seen:
-            fields[name] = float(seen[1]) if "." in seen[1] else int(seen[1])
+    fields: dict[str, Any] = {"mode": line["condition"], "on": line["state"] == "on"}
+    level = _LEADING_NUMBER.match(line["figures"])
+    if level:
+        fields["level"] = float(level[1])
+    for name, pattern in _FIGURES:
+        figure = pattern.search(line["figures"])
+        if figure:
+            fields[name] = float(figure[1]) if "." in figure[1] else int(figure[1])
     return fields
--- a/tests/admin/test_server.py
+++ b/tests/admin/test_server.py
@@ -15,7 +15,7 @@
 from swiftchute.admin.errors import CommandRejectedError, NoReplyError, RequestError
 from swiftchute.admin.server import AdminServer
 from swiftchute.cli.main import main
-from swiftchute.daemon.commands import Commands
+from swiftchute.daemon.commands import AdminCommands
 
 
 def deny():
@@ -173,7 +173,7 @@
     controller, now, cold = controller_with_warming_endpoint
     controller.run_round(now + 2 * 10**9)
     kicked = []
-    commands = Commands(controller, lambda: now + 3 * 10**9, lambda: kicked.append(1)).all()
+    commands = AdminCommands(controller, lambda: now + 3 * 10**9, lambda: kicked.append(1)).by_name()
     path = tmp_path / "p.hcl"
     with open("examples/planner.hcl", encoding="utf-8") as source:
         path.write_text(source.read().replace("/tmp/swiftchute-planner.sock", served.path))
--- a/tests/config/test_schema.py
+++ b/tests/config/test_schema.py
@@ -10,7 +10,7 @@
 from swiftchute.config import ConfigError, load
 from swiftchute.discovery.endpoint_list import EndpointList, EndpointListError
 from swiftchute.discovery.sources import FileSource, HttpSource
-from swiftchute.observability.logging import mode_fields
+from swiftchute.observability.logging import condition_fields
 from swiftchute.proxy.xds_client import XdsClient
 from swiftchute.xds import load_reports
 
@@ -99,7 +99,7 @@
     ],
 )  # fmt: skip
 def test_the_modules_lines_become_fields(text, fields):
-    assert mode_fields(text) == fields
+    assert condition_fields(text) == fields
 
 
 # -- lists
--- a/tests/dns/test_server.py
+++ b/tests/dns/test_server.py
@@ -16,9 +16,10 @@
 from scipy import stats
 
 from swiftchute.config import load
-from swiftchute.daemon.service import CannotListen, Service
+from swiftchute.daemon.errors import ListenError
+from swiftchute.daemon.service import Service
 from swiftchute.fakes.resolver import Line, Resolver, Srv
-from swiftchute.observability.logging import setup
+from swiftchute.observability.logging import configure_logging
 from swiftchute.policy import Reconciler
 
 ORIGIN = "lots.example."
@@ -82,7 +83,7 @@
         self.publish(servers)
         settings = folder / "planner.hcl"
         settings.write_text(SETTINGS.format(list=self.list, listen=listen, secondary=secondary, more=more))
-        self.service = Service(load(str(settings)), setup("error"), Reconciler)
+        self.service = Service(load(str(settings)), configure_logging("error"), Reconciler)
 
     def publish(self, servers):
         """`servers`: by address its zone, or its zone and state."""
@@ -101,7 +102,7 @@
         await asyncio.wait({ready, self.task}, return_when=asyncio.FIRST_COMPLETED)
         if self.task.done():
             self.task.result()
-        self.at = self.service.dns.addresses
+        self.at = self.service.dns_server.addresses
         return self
 
     async def __aexit__(self, *_):
@@ -235,15 +236,17 @@
             drips = []
             for _ in range(1000):
                 drips.append(await asyncio.open_connection(*world.at["north"]))
-            assert len(world.service.dns.streams) <= 20
+            assert len(world.service.dns_server.streams) <= 20
             for byte in b"\0\x1eabcdef":  # a byte now and then is no message
                 for _, writer in drips[-20:]:
                     if not writer.is_closing():
                         writer.write(bytes([byte]))
                 assert len(targets(await world.ask(tcp=True))) == 3
                 await asyncio.sleep(0.2)
-            assert world.service.dns.closed["streams_idle"] >= 10  # my own streams took the place of others
-            assert len(world.service.dns.streams) <= 1
+            assert (
+                world.service.dns_server.closed["streams_idle"] >= 10
+            )  # my own streams took the place of others
+            assert len(world.service.dns_server.streams) <= 1
             assert await drips[0][0].read() == b""
             reader, writer = await asyncio.open_connection(*world.at["north"])
             writer.write(b"\0\0")  # a message of nothing
@@ -261,10 +264,10 @@
             await world.until(lambda r: len(targets(r)) == 200)
             _, writer = await asyncio.open_connection(*world.at["north"], limit=1024)
             query = dns.message.make_query(SRV, "SRV").to_wire()
-            before = world.service.dns.front.counts["queries"]
+            before = world.service.dns_server.front.counts["queries"]
             writer.write((len(query).to_bytes(2, "big") + query) * 4000)
             await asyncio.sleep(0.5)
-            answered = world.service.dns.front.counts["queries"] - before
+            answered = world.service.dns_server.front.counts["queries"] - before
             assert 10 < answered < 2000
             assert len(targets(await world.ask(tcp=True))) == 200
             writer.transport.abort()
@@ -280,7 +283,7 @@
             async with Running(tmp_path, many(1), listen=f"127.0.0.1:{taken.getsockname()[1]}"):
                 pass
 
-    with pytest.raises(CannotListen, match=r"dns\.listen"):
+    with pytest.raises(ListenError, match=r"dns\.listen"):
         run(act)
 
 
--- a/tests/proxy/test_server.py
+++ b/tests/proxy/test_server.py
@@ -16,7 +16,7 @@
 from swiftchute.daemon.proxy import Daemon
 from swiftchute.daemon.service import Service
 from swiftchute.fakes.backend import SERVICE, Facts, Worker
-from swiftchute.observability.logging import setup
+from swiftchute.observability.logging import configure_logging
 from swiftchute.policy import Reconciler
 from swiftchute.proxy.endpoint_table import EndpointTable
 from swiftchute.proxy.http2_connection import Http2Connection
@@ -459,12 +459,12 @@
         def daemon(port):
             path = tmp_path / "proxy.hcl"
             path.write_text(PROXY.format(port=port, keep=tmp_path / "kept", form=form))
-            return Daemon(load_proxy(str(path)), setup("error"))
+            return Daemon(load_proxy(str(path)), configure_logging("error"))
 
         publish({one.address: "ready", two.address: "ready"})
         settings = tmp_path / "planner.hcl"
         settings.write_text(PLANNER.format(list=listed, port=0))
-        async with Started(Service(load(str(settings)), setup("error"), Reconciler)) as planner:
+        async with Started(Service(load(str(settings)), configure_logging("error"), Reconciler)) as planner:
             made = daemon(planner.at[1])
             async with Started(made) as proxy:
                 await settled(made, {one.address, two.address})
--- a/tests/xds/test_server.py
+++ b/tests/xds/test_server.py
@@ -19,7 +19,7 @@
 from swiftchute.daemon.service import Service
 from swiftchute.fakes.backend import Facts, Worker
 from swiftchute.fakes.gateway import Gateway
-from swiftchute.observability.logging import setup
+from swiftchute.observability.logging import configure_logging
 from swiftchute.policy import Reconciler
 from swiftchute.proxy.xds_client import XdsClient
 from swiftchute.xds import names
@@ -85,7 +85,7 @@
             self.publish()
         if port:
             self.path.write_text(self.path.read_text().replace(':0"', f':{port}"'))
-        self.service = Service(load(str(self.path)), setup("error"), make)
+        self.service = Service(load(str(self.path)), configure_logging("error"), make)
         ready = asyncio.get_running_loop().create_future()
         self.task = asyncio.ensure_future(self.service.run(ready.set_result, signals=False))
         self.address = await ready
@@ -187,7 +187,7 @@
         good = Gateway(XdsClient("good", "north", 5.0, delta=False), [address], 1)
         good.start()
         with pytest.raises(GRPCError, match="nothing read for 1 s"):
-            await _unread(address, place.service.front)
+            await _unread(address, place.service.xds_frontend)
         assert good.connected_to
         await until(lambda: good.client.tables and len(good.client.table("lot-estimate").weights) == 2000)
         await good.stop()
@@ -336,7 +336,7 @@
             except ConnectionResetError:
                 said = b""
             assert said == b""  # closed without a word
-        assert place.service.shell.server.turned_away == 2
+        assert place.service.xds_server.server.turned_away == 2
         assert all(g.connected_to for g in gateways)
         for _, writer in idle:
             writer.close()
