--- a/swiftchute/daemon/service.py
+++ b/swiftchute/daemon/service.py
@@ -21,9 +21,8 @@
 from swiftchute.observability.logging import condition_fields
 from swiftchute.policy import Reconciler
 from swiftchute.safety.validator import SafetyRules
-from swiftchute.xds.frontend import Front as XdsFrontend
-from swiftchute.xds.frontend import Out
-from swiftchute.xds.server import Shell as XdsServer
+from swiftchute.xds.frontend import FrontendOutput, XdsFrontend
+from swiftchute.xds.server import XdsServer
 
 NS_PER_S = 1_000_000_000
 MIN_ROUND_INTERVAL_NS = 1_000_000
@@ -237,7 +236,7 @@
             deadline_ns = min(deadline_ns, self.dns_server.due)
         self.scheduler.schedule(max(deadline_ns, self.clock() + MIN_ROUND_INTERVAL_NS))
 
-    def _log_events(self, xds_output: Out) -> None:
+    def _log_events(self, xds_output: FrontendOutput) -> None:
         totals = self._drop_totals()
         if totals != self._reported_drops and self.clock() >= self._next_drop_report_ns:
             self._reported_drops = totals
