--- a/swiftchute/daemon/service.py
+++ b/swiftchute/daemon/service.py
@@ -193,7 +193,7 @@
             change = self.endpoint_list.read(text)
         except EndpointListError as error:
             self.log.warning(
-                "list refused",
+                "endpoint list rejected",
                 cause=str(error),
                 kept=len(self.endpoint_list.held),
                 bad=self.endpoint_list.bad,
@@ -202,15 +202,20 @@
         if change is None:
             return
         for cause in change.passed[:MAX_LOGGED_ENTRIES]:
-            self.log.warning("entry passed over", cause=cause)
-        self.log.info("list", scope=change.scope, entries=len(change.entries), passed=len(change.passed))
+            self.log.warning("endpoint rejected", cause=cause)
+        self.log.info(
+            "endpoint list changed",
+            scope=change.scope,
+            entries=len(change.entries),
+            passed=len(change.passed),
+        )
         self.controller.on_list_update(change)
         self.scheduler.request_round()
 
     def _on_list_unreadable(self, cause: str) -> None:
         self.endpoint_list.bad += 1
         self.log.warning(
-            "list unreadable",
+            "endpoint list unreadable",
             cause=cause,
             kept=len(self.endpoint_list.held),
             bad=self.endpoint_list.bad,
@@ -241,7 +246,7 @@
         if totals != self._reported_drops and self.clock() >= self._next_drop_report_ns:
             self._reported_drops = totals
             self._next_drop_report_ns = self.clock() + DROP_REPORT_INTERVAL_NS
-            self.log.warning("past a bound", **totals)
+            self.log.warning("limits exceeded", **totals)
         for name, fields in xds_output.events:
             if name == "condition changed":
                 fields = condition_fields(fields["text"])
