--- a/swiftchute/controller/__init__.py
+++ b/swiftchute/controller/__init__.py
@@ -1,2 +1,1 @@
-"""One running planner without I/O: the module's calls and verbs, rounds, channel and sums. Fronts
-build on it."""
+"""One controller without I/O: runs the policy, reviews and versions its tables, and paces what is sent."""
--- a/swiftchute/controller/canary_rollout.py
+++ b/swiftchute/controller/canary_rollout.py
@@ -4,7 +4,6 @@
 the baseline content that the other proxies hold meanwhile, and carries its outcomes out.
 """
 
-from collections.abc import Callable
 from typing import Any
 
 from swiftchute.controller.change_causes import IMMEDIATE_CAUSES, ChangeCause
@@ -12,14 +11,10 @@
 from swiftchute.controller.load_aggregation import LoadReport
 from swiftchute.controller.policy_runner import PolicyRunner
 from swiftchute.controller.table_contents import TableContent, encode_table, sorted_entries
+from swiftchute.controller.version_control import Republish, VersionControl
+from swiftchute.controller.version_state import VersionState
 from swiftchute.safety.observed_traffic import ObservedTraffic
 from swiftchute.versions import encoding
-from swiftchute.versions.canary import CanaryTrials
-from swiftchute.versions.history import VersionHistory
-from swiftchute.versions.pinning import PinnedVersions
-
-Republish = Callable[[int, ChangeCause, int], None]  # table number, cause, now
-RollBack = Callable[[str, str, bool, int], bool]  # table name, version, with admission, now
 
 
 class CanaryRollout:
@@ -27,18 +22,16 @@
 
     def __init__(
         self,
-        trials: CanaryTrials,
+        versions: VersionState,
         runner: PolicyRunner,
         directory: EndpointDirectory,
-        history: VersionHistory,
-        pins: PinnedVersions,
+        version_control: VersionControl,
         republish: Republish,
-        roll_back: RollBack,
     ) -> None:
-        """Start without canaries; `republish` and `roll_back` carry outcomes out."""
-        self.trials, self.runner, self.directory = trials, runner, directory
-        self.history, self.pins = history, pins
-        self.republish, self.roll_back = republish, roll_back
+        """Start without canaries; `republish` sends a table whose canary changed or ended."""
+        self.trials, self.history, self.pins = versions.trials, versions.history, versions.pins
+        self.runner, self.directory = runner, directory
+        self.version_control, self.republish = version_control, republish
         self.observed_traffic = ObservedTraffic()
         self.baselines: dict[int, TableContent] = {}  # by table, for proxies outside its canary
 
@@ -92,7 +85,7 @@
             self.runner.log_event("canary ended", table=name, went=went, cause=outcome.why)
             if number is None:
                 continue
-            if outcome.back and self.roll_back(name, outcome.before.hex(), False, now):
+            if outcome.back and self.version_control.roll_back(name, outcome.before.hex(), False, now):
                 continue
             self.republish(number, ChangeCause.CANARY, now)
 
--- a/swiftchute/controller/controller.py
+++ b/swiftchute/controller/controller.py
@@ -28,15 +28,13 @@
 from swiftchute.controller.policy_runner import ConnectedProxy, PolicyFactory, PolicyRunner
 from swiftchute.controller.safety_review import SafetyReview
 from swiftchute.controller.table_contents import ProxyTables, TableContent, TableContents
-from swiftchute.controller.version_control import RetentionSettings, VersionControl
+from swiftchute.controller.version_control import VersionControl
+from swiftchute.controller.version_state import RetentionSettings, VersionState
 from swiftchute.discovery.endpoint_list import EndpointListChange
 from swiftchute.safety.observed_traffic import ObservedTraffic
 from swiftchute.safety.publish_gate import PublishGate
 from swiftchute.safety.validator import SafetyRules
-from swiftchute.versions.canary import CanaryLimits, CanaryTrials
-from swiftchute.versions.delivery import DeliveryTracker
-from swiftchute.versions.history import VersionChange, VersionHistory
-from swiftchute.versions.pinning import PinnedVersions, RejectionTracker
+from swiftchute.versions.history import VersionChange
 
 MAX_LOGGED_WEIGHTS = 8  # invalid weights that one log event shows
 
@@ -75,7 +73,6 @@
         Without `enforce` what breaks the safety rules is logged and published all the same.
         """
         self.settings, self.safety_rules, self.enforce = settings, safety_rules, enforce
-        retention = retention or RetentionSettings()
         self.runner = PolicyRunner(
             settings,
             seed,
@@ -86,37 +83,12 @@
         )
         self.directory = EndpointDirectory(settings.max_warmup_ns, settings.removal_is_binding)
         self.load_aggregator = LoadAggregator(settings.report_rate_entries_per_s, settings.report_interval_ns)
-        self.history = VersionHistory(str(settings.instance), retention.max_versions, retention.max_age_ns)
-        self.deliveries, self.pins = DeliveryTracker(self.history), PinnedVersions()
-        self.rejections = RejectionTracker(
-            retention.rejected_fraction, retention.max_rollbacks, retention.rollback_window_ns
-        )
-        self.canaries = CanaryTrials(
-            CanaryLimits(
-                retention.canary_fraction,
-                retention.canary_duration_ns,
-                retention.max_canary_duration_ns,
-                retention.min_canary_change,
-            )
-        )
-        self.version_control = VersionControl(
-            retention.rollback_duration_ns,
-            self.pins,
-            self.rejections,
-            self.canaries,
-            self.runner,
-            self.directory,
-            self.history,
-            self._republish,
-        )
+        versions = self.versions = VersionState.empty(settings.instance, retention or RetentionSettings())
+        self.history, self.deliveries, self.pins = versions.history, versions.deliveries, versions.pins
+        self.rejections, self.canaries = versions.rejections, versions.trials
+        self.version_control = VersionControl(versions, self.runner, self.directory, self._republish)
         self.canary_rollout = CanaryRollout(
-            self.canaries,
-            self.runner,
-            self.directory,
-            self.history,
-            self.pins,
-            self._republish,
-            self.version_control.roll_back,
+            versions, self.runner, self.directory, self.version_control, self._republish
         )
         self.last_review_ns = now
         self.reviewed_change_count = 0  # changes of the endpoint list that a round of the policy has seen
@@ -155,7 +127,7 @@
             )
         self.canary_rollout.reset(self.observed_traffic)
         self.contents = TableContents(
-            self.runner, self.directory, self.history, self.pins, self.canary_rollout, self.publish_gate
+            self.runner, self.directory, self.versions, self.canary_rollout, self.publish_gate
         )
 
     @property
@@ -394,8 +366,8 @@
 
     def _remaining_tables(self, proxy: Any) -> ProxyTables:
         """Return what a proxy holds of a crashed policy, without endpoints that were ejected since."""
-        held = self.tables_of_crashed_policy.get(proxy)
-        if held is None:
+        remaining = self.tables_of_crashed_policy.get(proxy)
+        if remaining is None:
             return ProxyTables()
         ejected = self.assignments.ejected
         contents = {
@@ -403,6 +375,6 @@
                 tuple(entry for entry in content.entries if entry.endpoint not in ejected),
                 content.admission,
             )
-            for name, content in held.contents.items()
+            for name, content in remaining.contents.items()
         }
-        return ProxyTables(held.tables_by_operation, contents)
+        return ProxyTables(remaining.tables_by_operation, contents)
--- a/swiftchute/controller/table_contents.py
+++ b/swiftchute/controller/table_contents.py
@@ -12,10 +12,9 @@
 from swiftchute.controller.change_causes import ChangeCause
 from swiftchute.controller.endpoint_directory import EndpointDirectory
 from swiftchute.controller.policy_runner import PolicyRunner
+from swiftchute.controller.version_state import VersionState
 from swiftchute.safety.publish_gate import PublishGate
 from swiftchute.versions import encoding
-from swiftchute.versions.history import VersionHistory
-from swiftchute.versions.pinning import PinnedVersions
 
 
 class TableEntry(NamedTuple):
@@ -80,14 +79,14 @@
         self,
         runner: PolicyRunner,
         directory: EndpointDirectory,
-        history: VersionHistory,
-        pins: PinnedVersions,
+        versions: VersionState,
         canaries: CanaryView,
         publish_gate: PublishGate | None,
     ) -> None:
         """Start without contents."""
-        self.runner, self.directory, self.history = runner, directory, history
-        self.pins, self.canaries, self.publish_gate = pins, canaries, publish_gate
+        self.runner, self.directory = runner, directory
+        self.history, self.pins = versions.history, versions.pins
+        self.canaries, self.publish_gate = canaries, publish_gate
         self.change_causes: dict[int, ChangeCause] = {}  # by table, for its next version
         self._contents: dict[int, tuple[int, TableContent]] = {}  # by table, with its revision
         self._proxy_tables: dict[Any, ProxyTables] = {}
--- a/swiftchute/controller/version_control.py
+++ b/swiftchute/controller/version_control.py
@@ -1,41 +1,19 @@
 """Tables that are held at an earlier version: pins of operators, and rollbacks of what proxies reject."""
 
 from collections.abc import Callable, Collection
-from dataclasses import dataclass
 from typing import Any
 
 from swiftchute.controller.change_causes import ChangeCause
 from swiftchute.controller.endpoint_directory import EndpointDirectory
 from swiftchute.controller.policy_runner import PolicyRunner
-from swiftchute.versions.canary import CanaryTrials
-from swiftchute.versions.history import UnknownVersionError, VersionChange, VersionHistory
-from swiftchute.versions.pinning import (
-    MAX_PIN_NS,
-    MIN_PIN_NS,
-    Pin,
-    PinError,
-    PinnedVersions,
-    RejectionTracker,
-)
+from swiftchute.controller.version_state import VersionState
+from swiftchute.versions.history import UnknownVersionError, VersionChange
+from swiftchute.versions.pinning import MAX_PIN_NS, MIN_PIN_NS, Pin, PinError
 
 NS_PER_S = 1_000_000_000
 SHORT_VERSION_LENGTH = 12  # hexadecimal digits of a version in logs and messages
 
-
-@dataclass(frozen=True)
-class RetentionSettings:
-    """How many versions are kept, when a rejected version is rolled back, and how canaries run."""
-
-    max_versions: int = 1000
-    max_age_ns: int = 3600 * NS_PER_S
-    rejected_fraction: float = 0.3  # of a table's proxies, whose rejections roll a version back
-    max_rollbacks: int = 3  # within the rollback window; 0: never
-    rollback_window_ns: int = 600 * NS_PER_S
-    rollback_duration_ns: int = 300 * NS_PER_S  # for so long a table stays rolled back
-    canary_fraction: float = 0.0  # of a table's proxies, that hold a change first; 0: no canaries
-    canary_duration_ns: int = 5 * NS_PER_S  # after they acknowledged it
-    max_canary_duration_ns: int = 30 * NS_PER_S
-    min_canary_change: float = 0.25  # of all requests, that a change moves; smaller ones need no canary
+Republish = Callable[[int, ChangeCause, int], None]  # table number, cause, now
 
 
 def short_version(version: bytes) -> str:
@@ -48,20 +26,15 @@
 
     def __init__(
         self,
-        rollback_duration_ns: int,
-        pins: PinnedVersions,
-        rejections: RejectionTracker,
-        trials: CanaryTrials,
+        versions: VersionState,
         runner: PolicyRunner,
         directory: EndpointDirectory,
-        history: VersionHistory,
-        republish: Callable[[int, ChangeCause, int], None],
+        republish: Republish,
     ) -> None:
-        """Start without pins; `republish(number, cause, now)` sends a table that changed by one."""
-        self.rollback_duration_ns = rollback_duration_ns
-        self.pins, self.rejections, self.trials = pins, rejections, trials
-        self.runner, self.directory, self.history = runner, directory, history
-        self.republish = republish
+        """Start without pins; `republish` sends a table that changed by a pin."""
+        self.runner, self.directory, self.republish = runner, directory, republish
+        self.pins, self.rejections, self.trials = versions.pins, versions.rejections, versions.trials
+        self.history, self.rollback_duration_ns = versions.history, versions.rollback_duration_ns
 
     def pinned_weights(self, number: int) -> dict[str, float] | None:
         """Return the weights that a table is pinned to, of ready endpoints; None if it is not pinned."""
--- a/swiftchute/daemon/service.py
+++ b/swiftchute/daemon/service.py
@@ -10,7 +10,7 @@
 from swiftchute.config import Config
 from swiftchute.controller.controller import Controller
 from swiftchute.controller.policy_runner import PolicyFactory
-from swiftchute.controller.version_control import RetentionSettings
+from swiftchute.controller.version_state import RetentionSettings
 from swiftchute.daemon.commands import AdminCommands
 from swiftchute.daemon.errors import ListenError
 from swiftchute.daemon.round_scheduler import RoundScheduler
--- a/tests/controller/test_digest.py
+++ b/tests/controller/test_digest.py
@@ -13,7 +13,7 @@
 from swiftchute.api.settings import Settings
 from swiftchute.controller.controller import Controller
 from swiftchute.controller.load_aggregation import LoadReport
-from swiftchute.controller.version_control import RetentionSettings
+from swiftchute.controller.version_state import RetentionSettings
 from swiftchute.discovery.endpoint_list import EndpointListChange
 from swiftchute.policy import Reconciler
 from swiftchute.safety.validator import SafetyRules
--- a/tests/versions/test_canary.py
+++ b/tests/versions/test_canary.py
@@ -12,7 +12,7 @@
 from swiftchute.api.settings import Settings
 from swiftchute.controller.controller import Controller
 from swiftchute.controller.load_aggregation import LoadReport
-from swiftchute.controller.version_control import RetentionSettings
+from swiftchute.controller.version_state import RetentionSettings
 from swiftchute.discovery.endpoint_list import EndpointListChange
 from swiftchute.safety.validator import SafetyRules
 from swiftchute.versions.canary import (
