--- a/benchmarks/taps.py
+++ b/benchmarks/taps.py
@@ -79,9 +79,9 @@
                 case EndpointListUpdate(scope, endpoints):
                     controller.on_list_update(EndpointListChange(scope, tuple(endpoints), ()))
                 case _:
-                    controller.pending_events.append(event)
+                    controller.runner.pending_events.append(event)
         if not calls:
-            controller.pending_events.append(DemandReport(None, "", 0, 0, 1))
+            controller.runner.pending_events.append(DemandReport(None, "", 0, 0, 1))
         self._turn(now)
 
     def _turn(self, now):
@@ -91,7 +91,7 @@
         turn = controller.run_round(now)
         for proxy, _ in turn.pushes:  # as if each were acknowledged at once
             controller.on_fully_acknowledged(proxy, now)
-        controller.timers = []  # the recording wakes it
+        controller.runner.timers = []  # the recording wakes it
         moved = sum(t.revision for t in controller.assignments.tables.values()) != sums
         self.pushes += moved
         raised = {
@@ -115,7 +115,7 @@
                 ordered = moved and bool(not fields["servers"] or raised & set(fields["servers"]))
                 self.began[fields["rule"], ordered] += 1
                 self.first[fields["rule"], ordered].append((now, fields))
-            if event == "module fault":
+            if event == "policy crashed":
                 sys.exit(f"fault: {fields}")
 
 
@@ -148,7 +148,7 @@
             print(f"| {name} | {pushes} | {key[0]} | {'yes' if key[1] else 'no'} | {began} | {stood} |")
             for p in made:
                 for now, fields in p.first[key][:3]:
-                    print(f"    {now / S:.1f} {key} planner {p.settings.planner}: {fields}", file=sys.stderr)
+                    print(f"    {now / S:.1f} {key} planner {p.settings.instance}: {fields}", file=sys.stderr)
         if differ:
             print(f"{name}: {differ} replies differ from the recorded ones", file=sys.stderr)
 
--- a/tests/versions/test_canary.py
+++ b/tests/versions/test_canary.py
@@ -10,8 +10,9 @@
 from swiftchute.api.endpoints import EndpointRecord
 from swiftchute.api.events import TimerFired
 from swiftchute.api.settings import Settings
-from swiftchute.controller.controller import Controller, RetentionSettings
+from swiftchute.controller.controller import Controller
 from swiftchute.controller.load_aggregation import LoadReport
+from swiftchute.controller.version_state import RetentionSettings
 from swiftchute.discovery.endpoint_list import EndpointListChange
 from swiftchute.safety.validator import SafetyRules
 from swiftchute.versions.canary import (
@@ -23,7 +24,7 @@
     regression,
     weight_shares,
 )
-from tests.conftest import FACTS, Fixed, operation
+from tests.conftest import FACTS, ScriptedPolicy, operation
 
 S = 1_000_000_000
 NOW = 1000 * S
@@ -208,7 +209,7 @@
 @pytest.fixture
 def planner():
     """A core with eight proxies on a table of four servers, pushed and acknowledged."""
-    decider = Fixed()
+    decider = ScriptedPolicy()
     settings = Settings(**(FACTS | {"operations": (operation("read"),), "egress_rate_entries_per_s": 1e6,
                                     "egress_queue_limit_entries": 1e6, "message_quota": 0}))  # fmt: skip
     keep = RetentionSettings(canary_fraction=0.25, canary_duration_ns=5 * S, max_canary_duration_ns=30 * S)
@@ -224,7 +225,7 @@
     def play(now, *writes):
         """A round, and every push is acknowledged at once; returns (pushed proxies, events)."""
         decider.writes = list(writes)
-        controller.pending_events.append(TimerFired(0))
+        controller.runner.pending_events.append(TimerFired(0))
         pushed, events = set(), []
         for at in (now, now + S // 10, now + S // 5):
             turn = controller.run_round(at)
@@ -261,7 +262,7 @@
         report(controller, NOW + k * S, 1)
     pushed, events = play(NOW + 7 * S)
     assert pushed >= set(PROXIES) - {"p0", "p1"}
-    assert ("canary over", "on") in [(name, fields.get("went")) for name, fields in events]
+    assert ("canary ended", "on") in [(name, fields.get("went")) for name, fields in events]
     assert all(held(controller, p)["a"] == 9.0 for p in PROXIES)
 
 
@@ -271,7 +272,7 @@
     report(controller, NOW + 3 * S, 50)
     pushed, events = play(NOW + 3 * S)
     assert {"p0", "p1"} <= pushed
-    assert [name for name, _ in events] == ["canary over", "table pinned"]
+    assert [name for name, _ in events] == ["canary ended", "table pinned"]
     assert all(held(controller, p)["a"] == 1.0 for p in PROXIES)
     play(NOW + 4 * S, ("set_weight", 1, "a", 12.0))  # the module's orders are shown beside it, and wait
     assert all(held(controller, p)["a"] == 1.0 for p in PROXIES)
@@ -283,7 +284,7 @@
     play(NOW + S, ("set_weight", 1, "a", 9.0))
     report(controller, NOW + 3 * S, 50)
     events = controller.run_round(NOW + 3 * S).log_events
-    assert [name for name, _ in events][-2:] == ["canary over", "not taken back"]
+    assert [name for name, _ in events][-2:] == ["canary ended", "rollback refused"]
     play(NOW + 4 * S)
     assert all(held(controller, p)["a"] == 9.0 for p in PROXIES)
 
