--- a/tests/support/sessions.py
+++ b/tests/support/sessions.py
@@ -11,7 +11,7 @@
 from swiftchute.api.settings import Settings
 from swiftchute.controller.policy_runner import PolicyRunner
 from swiftchute.platform.session_manager import SessionManager
-from swiftchute.policy import S
+from swiftchute.policy.units import NS_PER_S as S
 from tests.conftest import FACTS, Fixed, operation
 
 MS = 1_000_000
