--- a/swiftchute/platform/discovery_client.py
+++ b/swiftchute/platform/discovery_client.py
@@ -9,10 +9,11 @@
 """
 
 from collections.abc import Iterator
-from dataclasses import dataclass
 from random import Random
 from typing import Any
 
+import msgspec
+
 from swiftchute.discovery.backoff import Backoff
 from swiftchute.platform.discovery_watch import DiscoveryWatch
 from swiftchute.platform.endpoint_list import EndpointList, ListUpdate
@@ -30,8 +31,7 @@
 LogEvent = tuple[str, dict[str, Any]]
 
 
-@dataclass(eq=False, slots=True)
-class DiscoveryConnection:
+class DiscoveryConnection(msgspec.Struct, eq=False):
     """One connection to discovery, from the command to open it on."""
 
     address: Address
@@ -41,15 +41,13 @@
     transport: Any = None  # belongs to the server
 
 
-@dataclass(frozen=True, slots=True)
-class OpenConnection:
+class OpenConnection(msgspec.Struct, frozen=True):
     """Connect, and report `connection_opened` or `connection_closed`."""
 
     connection: DiscoveryConnection
 
 
-@dataclass(frozen=True, slots=True)
-class CloseConnection:
+class CloseConnection(msgspec.Struct, frozen=True):
     """Close the connection, or give up opening it."""
 
     connection: DiscoveryConnection
--- a/swiftchute/platform/discovery_messages.py
+++ b/swiftchute/platform/discovery_messages.py
@@ -4,7 +4,6 @@
 out and its cause kept; the rest of the line counts.
 """
 
-from dataclasses import dataclass, field
 from typing import Annotated
 
 import msgspec
@@ -45,14 +44,13 @@
 _member_decoder = msgspec.json.Decoder(_Member)
 
 
-@dataclass(slots=True)
-class WatchLine:
+class WatchLine(msgspec.Struct):
     """A line of a watch, decoded."""
 
     revision: int
     complete: bool  # names the whole list
-    endpoints: dict[str, EndpointRecord] = field(default_factory=dict)
-    rejected: list[str] = field(default_factory=list)  # causes, one for each member that was left out
+    endpoints: dict[str, EndpointRecord] = msgspec.field(default_factory=dict)
+    rejected: list[str] = msgspec.field(default_factory=list)  # causes, one for each member that was left out
 
 
 def decode_line(text: bytes, zones: tuple[str, ...]) -> WatchLine:
--- a/swiftchute/platform/endpoint_list.py
+++ b/swiftchute/platform/endpoint_list.py
@@ -6,7 +6,7 @@
 becomes the list.
 """
 
-from dataclasses import dataclass, field
+import msgspec
 
 from swiftchute.api.endpoints import EndpointRecord, EndpointState, ListScope
 from swiftchute.platform import discovery_messages
@@ -18,8 +18,7 @@
 Endpoints = dict[str, EndpointRecord]
 
 
-@dataclass(frozen=True, slots=True)
-class ListUpdate:
+class ListUpdate(msgspec.Struct, frozen=True):
     """What a line changes."""
 
     scope: ListScope
@@ -42,8 +41,7 @@
         return self.scope == ListScope.CACHED
 
 
-@dataclass(slots=True)
-class LaggingList:
+class LaggingList(msgspec.Struct):
     """The list of a watch that began with an older revision, with the changes since."""
 
     since_ns: int
@@ -51,13 +49,12 @@
     endpoints: Endpoints
 
 
-@dataclass(slots=True)
-class EndpointList:
+class EndpointList(msgspec.Struct):
     """The last good list."""
 
     zones: tuple[str, ...]
     revision: int | None = None
-    endpoints: Endpoints = field(default_factory=dict)
+    endpoints: Endpoints = msgspec.field(default_factory=dict)
     stale_lines: int = 0  # of a revision that is not newer
 
     def load_cached(self, text: bytes) -> ListUpdate:
--- a/swiftchute/platform/push_difference.py
+++ b/swiftchute/platform/push_difference.py
@@ -4,7 +4,8 @@
 """
 
 from collections.abc import Sequence
-from dataclasses import dataclass
+
+import msgspec
 
 from swiftchute.platform.errors import MessageTooLargeError
 from swiftchute.platform.wire_messages import PushPart
@@ -15,8 +16,7 @@
 Admission = tuple[float, int]  # admission rate, 0 to 1, and retry policy
 
 
-@dataclass(frozen=True, eq=False, slots=True)
-class TableContent:
+class TableContent(msgspec.Struct, frozen=True, eq=False):
     """What an endpoint table holds at one time; compared by identity."""
 
     identity: tuple[int, int]  # the policy's incarnation, and the table in it
--- a/swiftchute/platform/push_encoder.py
+++ b/swiftchute/platform/push_encoder.py
@@ -11,9 +11,10 @@
 """
 
 from collections.abc import Iterable
-from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
+import msgspec
+
 from swiftchute.api.endpoints import EndpointRecord
 from swiftchute.api.settings import Settings
 from swiftchute.controller.assignments import Assignments
@@ -31,14 +32,13 @@
     entry_count: int  # as the protocol counts entries
 
 
-@dataclass(slots=True)
-class ProxyContent:
+class ProxyContent(msgspec.Struct):
     """What was last written to a proxy."""
 
     foreign: bool  # it may eject endpoints by another instance's command
-    tables: dict[int, TableContent] = field(default_factory=dict)  # by operation
-    ejected: set[str] = field(default_factory=set)
-    settled: set[str] = field(default_factory=set)  # of a foreign one: endpoints whose ejection is known
+    tables: dict[int, TableContent] = msgspec.field(default_factory=dict)  # by operation
+    ejected: set[str] = msgspec.field(default_factory=set)
+    settled: set[str] = msgspec.field(default_factory=set)  # of a foreign one: these are known
 
 
 class PushEncoder:
--- a/swiftchute/platform/server.py
+++ b/swiftchute/platform/server.py
@@ -6,7 +6,6 @@
 
 import asyncio
 import contextlib
-import dataclasses
 import gc
 import random
 import resource
@@ -14,6 +13,8 @@
 import time
 from collections.abc import Callable, Mapping
 
+import msgspec
+
 from swiftchute.controller.policy_runner import PolicyRunner
 from swiftchute.platform import connection_limits, settings
 from swiftchute.platform.discovery_client import DiscoveryClient, DiscoveryConnection, OpenConnection
@@ -113,7 +114,7 @@
         gc.freeze()
         await stop.wait()
         await self._stop(listener)
-        self.log("stopped", **dataclasses.asdict(self.sessions.statistics))
+        self.log("stopped", **msgspec.structs.asdict(self.sessions.statistics))
 
     async def _listen(self) -> asyncio.Server:
         host, port = self.configuration.listen
@@ -204,7 +205,7 @@
         self.event_loop.call_later(connection_limits.STATISTICS_INTERVAL_S, self._log_statistics)
         self.log(
             "statistics",
-            **dataclasses.asdict(self.sessions.statistics),
+            **msgspec.structs.asdict(self.sessions.statistics),
             **self.runner.counts,
             proxies=len(self.sessions.sessions_by_proxy),
             pending=len(self.sessions.pending_sessions),
--- a/swiftchute/platform/settings.py
+++ b/swiftchute/platform/settings.py
@@ -6,9 +6,10 @@
 import ipaddress
 import json
 from collections.abc import Mapping
-from dataclasses import dataclass
 from typing import Any
 
+import msgspec
+
 from swiftchute.api.settings import Settings
 from swiftchute.platform import settings_schema
 from swiftchute.platform.errors import SettingsError
@@ -23,8 +24,7 @@
 Address = tuple[str, int]
 
 
-@dataclass(frozen=True, slots=True)
-class Configuration:
+class Configuration(msgspec.Struct, frozen=True):
     """The configuration, read and checked."""
 
     name: str
--- a/swiftchute/platform/statistics.py
+++ b/swiftchute/platform/statistics.py
@@ -1,10 +1,9 @@
 """What is counted since the start, for the log."""
 
-from dataclasses import dataclass
+import msgspec
 
 
-@dataclass(slots=True)
-class SessionStatistics:
+class SessionStatistics(msgspec.Struct):
     """Counters of the platform's sessions; the names are those of the log's fields."""
 
     opened: int = 0
--- a/tests/platform/test_byte_digest.py
+++ b/tests/platform/test_byte_digest.py
@@ -8,7 +8,8 @@
 import hashlib
 import json
 from collections import Counter
-from dataclasses import astuple
+
+from msgspec.structs import astuple
 
 from swiftchute.controller.policy_runner import PolicyRunner
 from swiftchute.platform import push_delivery, settings
