--- a/swiftchute/drill/backend_faults.py
+++ b/swiftchute/drill/backend_faults.py
@@ -7,7 +7,7 @@
 
 from swiftchute.drill.fleet import Fleet
 from swiftchute.drill.scenario import ZONES
-from swiftchute.fakes.backend import Worker
+from swiftchute.fakes.backend import Behaviour, FakeBackend
 
 NS_PER_S = 1_000_000_000
 LIST_DELAY_S = 1.5  # until the list says that a backend died or started
@@ -35,34 +35,34 @@
     def __init__(self, fleet: Fleet) -> None:
         """Act on a fleet's backends."""
         super().__init__(fleet)
-        self._killed: list[Worker] = []
+        self._killed: list[FakeBackend] = []
 
-    def _choose(self, share: float) -> list[Worker]:
+    def _choose(self, share: float) -> list[FakeBackend]:
         """Draw running backends that are listed as ready, at least one."""
         backends = self._fleet.backends
         ready = [b for b in backends if b.server is not None and self._list.state(b) == "ready"]
         return self._random.sample(ready, max(1, round(share * len(backends))))
 
-    def _choose_count(self, count: int) -> list[Worker]:
+    def _choose_count(self, count: int) -> list[FakeBackend]:
         return self._choose(count / len(self._fleet.backends))[:count]
 
-    def _list_started(self, backend: Worker) -> None:
-        self._list.set_state(backend, "ready", int((backend.started or 0) * NS_PER_S))
+    def _list_started(self, backend: FakeBackend) -> None:
+        self._list.set_state(backend, "ready", int((backend.started_at_s or 0) * NS_PER_S))
 
-    async def _stop(self, backends: list[Worker]) -> None:
+    async def _stop(self, backends: list[FakeBackend]) -> None:
         """Stop backends at once; the list drops them later."""
         for backend in backends:
-            await backend.die()
+            await backend.kill()
         await asyncio.sleep(LIST_DELAY_S)
         for backend in backends:
             if backend.server is None:
                 self._list.set_state(backend, "gone")
 
-    async def _restart_cold(self, backends: list[Worker]) -> None:
+    async def _restart_cold(self, backends: list[FakeBackend]) -> None:
         """Start those that are down, cold; the list names them later."""
         for backend in backends:
             if backend.server is None:
-                await backend.start(cold=True)
+                await backend.start(warm_up=True)
         await asyncio.sleep(LIST_DELAY_S)
         for backend in backends:
             if backend.server is not None:
@@ -76,7 +76,7 @@
     async def restart_backends(self) -> None:
         """Start the backends that `kill_backends` killed, cold."""
         for backend in self._killed:
-            await backend.start(cold=True)
+            await backend.start(warm_up=True)
         await asyncio.sleep(LIST_DELAY_S)
         for backend in self._killed:
             self._list_started(backend)
@@ -84,7 +84,7 @@
     async def fail_requests(self, share: float) -> None:
         """Make backends fail requests after they took effect, so that a retry is not safe."""
         for backend in self._choose(share):
-            backend.mode = "fail late"
+            backend.behaviour = Behaviour.FAIL_LATE
 
     async def drain_backends(self, count: int) -> None:
         """Drain backends for good."""
@@ -97,12 +97,12 @@
             self._start_task(self._deploy(backend))
             await asyncio.sleep(every)
 
-    async def _deploy(self, backend: Worker) -> None:
+    async def _deploy(self, backend: FakeBackend) -> None:
         self._list.set_state(backend, "draining")
         await asyncio.sleep(self._fleet.scenario.drain_grace + 0.5)
-        await backend.die()
+        await backend.kill()
         await asyncio.sleep(0.5)
-        await backend.start(cold=True)
+        await backend.start(warm_up=True)
         await asyncio.sleep(LIST_DELAY_S / 2)
         self._list_started(backend)
 
@@ -119,33 +119,33 @@
 
     async def hang(self, share: float, lasts: float) -> None:
         """Make backends accept requests and answer none."""
-        await self._set_mode(self._choose(share), "hang", lasts)
+        await self._set_behaviour(self._choose(share), Behaviour.HANG, lasts)
 
     async def errors(self, share: float, lasts: float) -> None:
         """Make backends fail requests quickly."""
-        await self._set_mode(self._choose(share), "fail", lasts)
+        await self._set_behaviour(self._choose(share), Behaviour.FAIL_EARLY, lasts)
 
-    async def _set_mode(self, backends: list[Worker], mode: str, lasts: float) -> None:
+    async def _set_behaviour(self, backends: list[FakeBackend], behaviour: Behaviour, lasts: float) -> None:
         for backend in backends:
-            backend.mode = mode
+            backend.behaviour = behaviour
         await asyncio.sleep(lasts)
         for backend in backends:
-            if backend.mode == mode:
-                backend.mode = "well"
+            if backend.behaviour is behaviour:
+                backend.behaviour = Behaviour.NORMAL
 
     async def silence(self, share: float, lasts: float) -> None:
         """Make backends neither read nor close anything; then restart them cold."""
         backends = self._choose(share)
         for backend in backends:
-            backend.mute()
+            backend.stop_reading()
         await asyncio.sleep(lasts)
         await self._stop(backends)
         await self._restart_cold(backends)
 
     @staticmethod
-    def _set_slowdown(backends: list[Worker], factor: float) -> None:
+    def _set_slowdown(backends: list[FakeBackend], factor: float) -> None:
         for backend in backends:
-            backend.factor = factor
+            backend.slowdown = factor
 
     async def slow(self, share: float, factor: float, lasts: float) -> None:
         """Make backends several times slower."""
@@ -196,9 +196,9 @@
             self._start_task(self._remove_drained(backend))
             await asyncio.sleep(lasts / len(backends))
 
-    async def _remove_drained(self, backend: Worker) -> None:
+    async def _remove_drained(self, backend: FakeBackend) -> None:
         await asyncio.sleep(self._fleet.scenario.drain_grace + 0.5)
-        await backend.die()
+        await backend.kill()
         self._list.set_state(backend, "gone")
 
     async def grow(self, count: int) -> None:
@@ -206,8 +206,8 @@
         added = []
         for _ in range(count):
             seed, speed = self._random.getrandbits(32), self._random.uniform(0.85, 1.2)
-            backend = Worker(self._fleet.backends[0].facts, self._random.choice(ZONES), speed, seed)
-            await backend.start(cold=True, host=self._fleet.host)
+            backend = FakeBackend(self._fleet.backends[0].profile, self._random.choice(ZONES), speed, seed)
+            await backend.start(warm_up=True, host=self._fleet.host)
             self._fleet.backends.append(backend)
             self._list.add(backend, "gone")
             added.append(backend)
@@ -240,7 +240,7 @@
         self._list.frozen = False
         self._list.publish()
 
-    async def _omit(self, backends: list[Worker], lasts: float) -> None:
+    async def _omit(self, backends: list[FakeBackend], lasts: float) -> None:
         for backend in backends:
             self._list.set_state(backend, "gone")
         await asyncio.sleep(lasts)
--- a/swiftchute/drill/fleet.py
+++ b/swiftchute/drill/fleet.py
@@ -19,10 +19,11 @@
 )
 from swiftchute.drill.published_list import PublishedList
 from swiftchute.drill.scenario import OPERATIONS, ZONES, Scenario
-from swiftchute.fakes.backend import Facts, Worker
-from swiftchute.fakes.gateway import Gateway
+from swiftchute.fakes.backend import BackendProfile, FakeBackend
+from swiftchute.fakes.dns_client import FakeDnsClient
+from swiftchute.fakes.gateway import FakeGateway, OperationValue
 from swiftchute.fakes.relay import Relay
-from swiftchute.fakes.resolver import Caller, Resolver
+from swiftchute.fakes.resolver import CachingResolver
 from swiftchute.proxy.xds_client import XdsClient
 
 NS_PER_S = 1_000_000_000
@@ -48,11 +49,11 @@
         self.folder = folder
         self.random = random.Random(seed)
         self.host = _loopback_address_of_this_run()
-        self.backends: list[Worker] = []
-        self.gateways: list[Gateway] = []  # DNS clients too
+        self.backends: list[FakeBackend] = []
+        self.gateways: list[FakeGateway] = []  # DNS clients too
         self.instances: list[Instance] = []
         self.relays: dict[tuple[int, int], Relay] = {}  # by gateway and instance
-        self.resolvers: dict[str, Resolver] = {}
+        self.resolvers: dict[str, CachingResolver] = {}
         self.dialled: dict[str, str] = {}  # by address: the instance behind it
         self.list = PublishedList(os.path.join(folder, "workers.json"), self.backends)
         self._seed = seed
@@ -61,14 +62,14 @@
         self._instance_addresses: dict[int, Address] = {}
 
     @property
-    def dns_clients(self) -> dict[str, Caller]:
+    def dns_clients(self) -> dict[str, FakeDnsClient]:
         """The DNS clients by node."""
-        return {g.client.node: g for g in self.gateways if isinstance(g, Caller)}
+        return {g.client.node: g for g in self.gateways if isinstance(g, FakeDnsClient)}
 
     @property
-    def xds_gateways(self) -> list[Gateway]:
+    def xds_gateways(self) -> list[FakeGateway]:
         """The gateways that follow the control plane by xDS."""
-        return [gateway for gateway in self.gateways if not isinstance(gateway, Caller)]
+        return [gateway for gateway in self.gateways if not isinstance(gateway, FakeDnsClient)]
 
     def admin_socket(self, instance: int) -> str:
         """Return the path of an instance's admin socket."""
@@ -100,14 +101,14 @@
         for relay in self.relays.values():
             await relay.stop()
         for backend in self.backends:
-            await backend.die()
+            await backend.kill()
 
     async def _start_backends(self) -> None:
         work = {name: profile.work_s for name, profile in OPERATIONS.items()}
-        facts = Facts(work, warm_within=self.scenario.max_warmup)
+        profile = BackendProfile(work, warmup_s=self.scenario.max_warmup)
         self.backends += [
-            Worker(
-                facts,
+            FakeBackend(
+                profile,
                 ZONES[number % len(ZONES)],
                 self.random.uniform(0.85, 1.2),
                 self.random.getrandbits(32),
@@ -149,15 +150,15 @@
             dns_views=dict(self._dns_views),
         )
 
-    def _operation_values(self) -> dict[str, tuple[float, float, float]]:
-        """Return by operation: latency objective in seconds, value, share of it for a late answer."""
+    def _operation_values(self) -> dict[str, OperationValue]:
+        """Return what answers are worth, by operation."""
         operations = load(self._instance_path(0)).settings.operations
         return {
-            op.name: (op.latency_objective_ns / NS_PER_S, op.value, op.late_value_fraction)
+            op.name: OperationValue(op.latency_objective_ns / NS_PER_S, op.value, op.late_value_fraction)
             for op in operations
         }
 
-    async def _start_gateway(self, number: int, values: dict[str, tuple[float, float, float]]) -> None:
+    async def _start_gateway(self, number: int, values: dict[str, OperationValue]) -> None:
         zone = ZONES[number % len(ZONES)]
         addresses = [await self._start_relay(number, instance) for instance in self._instance_addresses]
         rate = self.scenario.request_rate * (0.5 + self.random.random())
@@ -167,7 +168,7 @@
         own = [backend.address for backend in self.backends if backend.zone == zone]
         listed = self.random.sample(own, min(DEFAULT_TABLE_ENTRIES, len(own)))
         client.static_endpoints = dict.fromkeys(listed, 1)
-        gateway = Gateway(client, addresses, self.random.getrandbits(32), keepalive_s=0.8, worth=values)
+        gateway = FakeGateway(client, addresses, self.random.getrandbits(32), keepalive_s=0.8, values=values)
         self.gateways.append(gateway)
         gateway.start()
 
@@ -178,21 +179,21 @@
         self.dialled[_host_port(address)] = str(instance)
         return address
 
-    def _start_dns_client(self, number: int, values: dict[str, tuple[float, float, float]]) -> None:
+    def _start_dns_client(self, number: int, values: dict[str, OperationValue]) -> None:
         zone = ZONES[number % len(ZONES)]
         overstays = number >= self.scenario.dns_clients
         resolver = self._resolver(zone, overstays)
         seed = self.random.getrandbits(32)
         rate = self.scenario.request_rate * (0.5 + self.random.random())
         node = f"{'late' if overstays else 'dns'}-{number:02}"
-        self.gateways.append(Caller(node, zone, rate, resolver, seed, values))
+        self.gateways.append(FakeDnsClient(node, zone, rate, resolver, seed, values))
 
-    def _resolver(self, zone: str, overstays: bool) -> Resolver:
+    def _resolver(self, zone: str, overstays: bool) -> CachingResolver:
         name = f"{zone} late" if overstays else zone
         if name not in self.resolvers:
             upstreams = [at for (_, view_zone), at in self._dns_views.items() if view_zone == zone]
             seed, overstay_s = self.random.getrandbits(32), OVERSTAY_S * overstays
-            self.resolvers[name] = Resolver(upstreams, DNS_ORIGIN, seed, overstay_s)
+            self.resolvers[name] = CachingResolver(upstreams, DNS_ORIGIN, seed, overstay_s)
         return self.resolvers[name]
 
 
--- a/swiftchute/drill/invariants.py
+++ b/swiftchute/drill/invariants.py
@@ -13,8 +13,8 @@
 from envoy.service.discovery.v3.discovery_pb2 import DeltaDiscoveryResponse, DiscoveryResponse
 
 from swiftchute.api.settings import Settings
-from swiftchute.fakes.backend import Receipt
-from swiftchute.fakes.gateway import Order, Stream, Try
+from swiftchute.fakes.backend import BackendEvent, Receipt
+from swiftchute.fakes.traffic_record import AttemptRecord, ReceivedResponse, StreamEvent
 from swiftchute.proxy.xds_client import XdsClient
 
 S = 1_000_000_000
@@ -39,9 +39,9 @@
 
     settings: Settings
     told: list[Observation]
-    orders: list[Order]
-    tries: list[Try]
-    streams: list[Stream]
+    orders: list[ReceivedResponse]
+    tries: list[AttemptRecord]
+    streams: list[StreamEvent]
     receipts: list[Receipt]
     gateways: dict[
         str, tuple[str, float, bool, bool, dict[str, int]]
@@ -91,15 +91,15 @@
         self.joined: dict[str, list[tuple[int, int, str]]] = defaultdict(
             list
         )  # gateway -> (from, to, planner)
-        opened: dict[tuple[str, int], Stream] = {}
-        for s in sorted(evidence.streams, key=lambda s: s.at):
-            if s.on:
+        opened: dict[tuple[str, int], StreamEvent] = {}
+        for s in sorted(evidence.streams, key=lambda s: s.time_ns):
+            if s.opened:
                 opened[s.gateway, s.stream] = s
             elif (s.gateway, s.stream) in opened:
                 start = opened.pop((s.gateway, s.stream))
-                self.joined[s.gateway].append((start.at, s.at, self.planner(s.planner)))
+                self.joined[s.gateway].append((start.time_ns, s.time_ns, self.planner(s.server)))
         for (gateway, _), s in opened.items():
-            self.joined[gateway].append((s.at, evidence.end, self.planner(s.planner)))
+            self.joined[gateway].append((s.time_ns, evidence.end, self.planner(s.server)))
         for spans in self.joined.values():
             spans.sort()
         self.told: dict[str, list[Observation]] = defaultdict(list)
@@ -123,15 +123,15 @@
                 at = end
         return at
 
-    def replayed(self) -> Iterator[tuple[XdsClient, list[Order]]]:
+    def replayed(self) -> Iterator[tuple[XdsClient, list[ReceivedResponse]]]:
         """Each gateway's client, fresh, with its orders in the sequence in which they came."""
-        by: dict[str, list[Order]] = defaultdict(list)
+        by: dict[str, list[ReceivedResponse]] = defaultdict(list)
         for order in self.e.orders:
             by[order.gateway].append(order)
         for gateway, (zone, rate, delta, lines, standing) in sorted(self.e.gateways.items()):
             client = XdsClient(gateway, zone, rate, delta, lines)
             client.static_endpoints = dict(standing)
-            yield client, sorted(by[gateway], key=lambda o: o.at)
+            yield client, sorted(by[gateway], key=lambda o: o.time_ns)
 
     # -- 1
 
@@ -185,7 +185,7 @@
             spans = self.joined[client.node]
             bare: dict[str, int | None] = {}
             stream = 0
-            marks = [(o.at, o) for o in orders] + [(t, None) for a, b, _ in spans for t in (a, b)]
+            marks = [(o.time_ns, o) for o in orders] + [(t, None) for a, b, _ in spans for t in (a, b)]
             for at, order in sorted(marks, key=lambda m: m[0]) + [(self.e.end, None)]:
                 if order is not None:
                     if order.stream != stream:
@@ -231,8 +231,8 @@
         once = {op.name for op in self.set.operations if op.idempotency == "side-effecting"}
         runs: dict[str, list[Receipt]] = defaultdict(list)
         for r in self.e.receipts:
-            if r.operation in once and r.end == "ran":
-                runs[r.inv].append(r)
+            if r.operation in once and r.event is BackendEvent.STARTED:
+                runs[r.request_id].append(r)
         verdict = Verdict(
             "no effect twice",
             float(max(map(len, runs.values()), default=0)),
@@ -242,7 +242,7 @@
         )
         for inv, rows in runs.items():
             if len(rows) > 1 and len(verdict.broken) < 20:
-                verdict.broken.append(f"{inv} ran at {', '.join(r.server for r in rows)}")
+                verdict.broken.append(f"{inv} ran at {', '.join(r.endpoint for r in rows)}")
         return verdict
 
     # -- 3
@@ -252,18 +252,20 @@
         verdict = Verdict("drains kept", 0.0, self.set.drain_grace_ns / S, "s", "")
         looked = 0
         for t in self.e.tries:
-            rows = self.told.get(t.server, [])
-            place = bisect_right([r.at for r in rows], t.at) - 1
-            held = self.stream(t.gateway, t.at)
+            rows = self.told.get(t.endpoint, [])
+            place = bisect_right([r.at for r in rows], t.time_ns) - 1
+            held = self.stream(t.gateway, t.time_ns)
             if place < 0 or held is None or rows[place].state == "ready" or t.gateway in self.e.overstaying:
                 continue
             while place and rows[place - 1].state != "ready":
                 place -= 1  # a drain and then gone: the grace began with the drain
             looked += 1
-            lag = (t.at - max(self.heard(held[2], rows[place].at), held[0])) / S
+            lag = (t.time_ns - max(self.heard(held[2], rows[place].at), held[0])) / S
             verdict.figure = max(verdict.figure, lag)
             if lag > verdict.limit and len(verdict.broken) < 20:
-                verdict.broken.append(f"{t.gateway} sent {t.inv} to {t.server} {lag:.2f} s after the news")
+                verdict.broken.append(
+                    f"{t.gateway} sent {t.request_id} to {t.endpoint} {lag:.2f} s after the news"
+                )
         verdict.looked_at = f"{looked} tries after a drain's news, of {len(self.e.tries)}"
         return verdict
 
@@ -278,14 +280,14 @@
         multiple, span = self.set.overload_multiple, self.set.overload_window_ns
         verdict = Verdict("no cold server pushed over", 0.0, multiple, "times what it can do", "")
         written: dict[str, list[int]] = defaultdict(list)
-        for o in sorted(self.e.orders, key=lambda o: o.at):
-            written[o.gateway].append(o.at)
+        for o in sorted(self.e.orders, key=lambda o: o.time_ns):
+            written[o.gateway].append(o.time_ns)
         for caller, answers in self.e.answers.items():
             written[caller] = [at for at, _, _ in answers]
         by: dict[str, list[Receipt]] = defaultdict(list)
-        for r in sorted(self.e.receipts, key=lambda r: r.at):
-            if r.end in ("came", "fell"):
-                by[r.server].append(r)
+        for r in sorted(self.e.receipts, key=lambda r: r.time_ns):
+            if r.event in (BackendEvent.ARRIVED, BackendEvent.CRASHED):
+                by[r.endpoint].append(r)
         starts = 0
         for server, rows in sorted(by.items()):
             for began in sorted({t.started for t in self.told[server] if t.started}):
@@ -293,32 +295,32 @@
                 starts += 1
                 window: deque[Receipt] = deque()
                 for r in rows:
-                    if not began <= r.at <= began + self.set.max_warmup_ns:
+                    if not began <= r.time_ns <= began + self.set.max_warmup_ns:
                         continue
                     window.append(r)
-                    while window[0].at < r.at - span:
+                    while window[0].time_ns < r.time_ns - span:
                         window.popleft()
                     least = self.set.start_capacity_fraction
-                    share = least + (1 - least) * (r.at - began) / self.set.max_warmup_ns
-                    work = sum(w.work for w in window)
+                    share = least + (1 - least) * (r.time_ns - began) / self.set.max_warmup_ns
+                    work = sum(w.work_s for w in window)
                     brought = work / (share * self.e.capacity[server] * span / S)
-                    if sum(w.work for w in window if self._knew(w, news, written)) < work * 2 / 3:
+                    if sum(w.work_s for w in window if self._knew(w, news, written)) < work * 2 / 3:
                         continue
                     verdict.figure = max(verdict.figure, brought)
-                    if (brought > multiple or r.end == "fell") and len(verdict.broken) < 20:
-                        what = "fell over: it was" if r.end == "fell" else "was"
+                    if (brought > multiple or r.event is BackendEvent.CRASHED) and len(verdict.broken) < 20:
+                        what = "fell over: it was" if r.event is BackendEvent.CRASHED else "was"
                         verdict.broken.append(
                             f"{server} {what} brought {brought:.2f} times what it could do"
-                            f" {(r.at - began) / S:.1f} s after its start"
+                            f" {(r.time_ns - began) / S:.1f} s after its start"
                         )
         verdict.looked_at = f"{starts} cold starts, {sum(map(len, by.values()))} receipts"
         return verdict
 
     def _knew(self, r: Receipt, news: int, written: dict[str, list[int]]) -> bool:
-        held = self.stream(r.gateway, r.at)
+        held = self.stream(r.gateway, r.time_ns)
         told = self.heard(held[2], news) if held else news
-        last = bisect_right(written[r.gateway], r.at) - 1
-        return (last >= 0 and written[r.gateway][last] > told) or r.at - told > self.set.drain_grace_ns
+        last = bisect_right(written[r.gateway], r.time_ns) - 1
+        return (last >= 0 and written[r.gateway][last] > told) or r.time_ns - told > self.set.drain_grace_ns
 
     # -- 5
 
@@ -350,8 +352,8 @@
                 if (order.stream, version) not in seen:
                     seen.add((order.stream, version))
                     messages += 1
-                    recent.append(order.at)
-                    while recent[0] < order.at - self.set.message_quota_window_ns:
+                    recent.append(order.time_ns)
+                    while recent[0] < order.time_ns - self.set.message_quota_window_ns:
                         recent.popleft()
                     verdict.figure = max(verdict.figure, len(recent) / limit)
                     if len(recent) > limit and len(verdict.broken) < 20:
@@ -366,7 +368,7 @@
                     count += sum(old.get(k) != now.get(k) for k in old.keys() | now.keys())
                     before[name] = now
                 if count:
-                    lines[self.planner(order.planner)].append((order.at, count))
+                    lines[self.planner(order.server)].append((order.time_ns, count))
         most = self.set.egress_queue_limit_entries + self.set.egress_rate_entries_per_s
         for planner, rows in lines.items():
             window: deque[tuple[int, int]] = deque()
--- a/swiftchute/drill/network_faults.py
+++ b/swiftchute/drill/network_faults.py
@@ -90,7 +90,7 @@
 
     def _set_network(self, delay: float, pace: float) -> None:
         for relay in self._all_relays():
-            relay.delay, relay.pace = delay, pace
+            relay.delay_s, relay.rate_bytes_per_s = delay, pace
 
     def _all_relays(self) -> list[Relay]:
         return list(self._fleet.relays.values())
@@ -113,7 +113,7 @@
         """Stop gateways and start them again with their default tables alone."""
         gateways = [self._fleet.gateways[number] for number in self._choose_gateways(share)]
         for gateway in gateways:
-            await gateway.die()
+            await gateway.kill()
         await asyncio.sleep(lasts)
         for gateway in gateways:
             gateway.start()
--- a/swiftchute/drill/operator_actions.py
+++ b/swiftchute/drill/operator_actions.py
@@ -11,7 +11,7 @@
 from swiftchute.admin.errors import NoReplyError
 from swiftchute.drill.backend_faults import FaultContext
 from swiftchute.drill.fleet import OVERSTAY_S, Fleet
-from swiftchute.fakes.gateway import Try
+from swiftchute.fakes.traffic_record import AttemptRecord
 
 NS_PER_S = 1_000_000_000
 ACK_TIMEOUT_S = 10
@@ -42,8 +42,8 @@
     def record_moment(self, name: str) -> None:
         """Remember this moment by a name."""
         records = [gateway.record for gateway in self._fleet.gateways]
-        requested = sum(record.asked for record in records)
-        earned = sum(record.earned for record in records)
+        requested = sum(record.requested_value for record in records)
+        earned = sum(record.earned_value for record in records)
         self._moments[name] = Moment(time.time(), requested, earned)
 
     async def compare_moments(self, *names: str) -> None:
@@ -127,10 +127,12 @@
     def summarize_dns_clients(self) -> None:
         """Note what came of DNS clients, and by how much overstaying resolvers were late for drains."""
         for overstays in (False, True):
-            clients = [c for c in self._fleet.dns_clients.values() if bool(c.resolver.overstay) == overstays]
-            requested = sum(client.record.asked for client in clients)
-            earned = sum(client.record.earned for client in clients)
-            attempts = [attempt for client in clients for attempt in client.record.tries]
+            clients = [
+                c for c in self._fleet.dns_clients.values() if bool(c.resolver.overstay_s) == overstays
+            ]
+            requested = sum(client.record.requested_value for client in clients)
+            earned = sum(client.record.earned_value for client in clients)
+            attempts = [attempt for client in clients for attempt in client.record.attempts]
             worst_s = max((self._seconds_after_drain(attempt) for attempt in attempts), default=0.0)
             kind = f"overstay by {OVERSTAY_S:g} s" if overstays else "keep their time"
             percent = 100 * earned / max(requested, 1)
@@ -139,20 +141,22 @@
                 f" {len(attempts)} tries, the last {worst_s:.2f} s after its server's drain was listed"
             )
         self.notes += [
-            f"resolver {name}: asked {resolver.asked}, by TCP {resolver.cut},"
-            f" nothing got {resolver.failed} times"
+            f"resolver {name}: asked {resolver.query_count}, by TCP {resolver.tcp_count},"
+            f" nothing got {resolver.failure_count} times"
             for name, resolver in self._fleet.resolvers.items()
         ]
 
-    def _seconds_after_drain(self, attempt: Try) -> float:
+    def _seconds_after_drain(self, attempt: AttemptRecord) -> float:
         """Return how long its endpoint had been listed as not ready when an attempt was made."""
-        seen = [o for o in self._list.observations if o.server == attempt.server and o.at <= attempt.at]
+        seen = [
+            o for o in self._list.observations if o.server == attempt.endpoint and o.at <= attempt.time_ns
+        ]
         if not seen or seen[-1].state == "ready":
             return 0.0
         first = len(seen) - 1
         while first and seen[first - 1].state != "ready":
             first -= 1
-        return (attempt.at - seen[first].at) / NS_PER_S
+        return (attempt.time_ns - seen[first].at) / NS_PER_S
 
 
 async def _table_log(path: str) -> list[LogEntry]:
--- a/swiftchute/drill/predict.py
+++ b/swiftchute/drill/predict.py
@@ -50,10 +50,10 @@
     for gateway, (zone, rate, delta, lines, standing) in sorted(evidence.gateways.items()):
         client = XdsClient(gateway, zone, rate, delta, lines)
         client.static_endpoints = dict(standing)
-        waiting = sorted(orders[gateway], key=lambda o: o.at)
+        waiting = sorted(orders[gateway], key=lambda o: o.time_ns)
         place = stream = 0
-        for t in sorted(tries[gateway], key=lambda t: t.at):
-            while place < len(waiting) and waiting[place].at <= t.at:
+        for t in sorted(tries[gateway], key=lambda t: t.time_ns):
+            while place < len(waiting) and waiting[place].time_ns <= t.time_ns:
                 order = waiting[place]
                 place += 1
                 if order.stream != stream:
@@ -61,9 +61,9 @@
                     client.open_stream(True)
                 client.receive(order.data)
             table = client.table(t.operation)
-            if table is None or t.server not in table.weights:
+            if table is None or t.endpoint not in table.weights:
                 continue  # it was picked by the table before, which changed as it was sent
-            observed[t.server] += 1
+            observed[t.endpoint] += 1
             total = sum(table.weights.values())
             for server, weight in table.weights.items():
                 part = weight / total
--- a/swiftchute/drill/published_list.py
+++ b/swiftchute/drill/published_list.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 
 from swiftchute.drill.invariants import Observation
-from swiftchute.fakes.backend import Worker
+from swiftchute.fakes.backend import FakeBackend
 
 NS_PER_S = 1_000_000_000
 
@@ -14,7 +14,7 @@
 class PublishedList:
     """Writes the list in the file_sd form and records an `Observation` whenever a backend's entry changes."""
 
-    def __init__(self, path: str, backends: list[Worker]) -> None:
+    def __init__(self, path: str, backends: list[FakeBackend]) -> None:
         """Create a list that is not written yet.
 
         Args:
@@ -29,15 +29,15 @@
         self._entries: dict[str, tuple[str, int]] = {}  # by address: state, and start or 0
         self._start_labels: dict[tuple[str, int], str] = {}
 
-    def state(self, backend: Worker) -> str:
+    def state(self, backend: FakeBackend) -> str:
         """Return the state that the list says."""
         return self._entries[backend.address][0]
 
-    def add(self, backend: Worker, state: str) -> None:
+    def add(self, backend: FakeBackend, state: str) -> None:
         """Add a backend that is not published before the next call of `publish`."""
         self._entries[backend.address] = (state, 0)
 
-    def set_state(self, backend: Worker, state: str, started: int | None = None) -> None:
+    def set_state(self, backend: FakeBackend, state: str, started: int | None = None) -> None:
         """Publish another state of a backend, and another start (monotonic nanoseconds) if one is given."""
         if started is None:
             started = self._entries[backend.address][1]
@@ -60,12 +60,12 @@
         """Write a list without endpoints; nothing is recorded, as no backend's state changes by it."""
         self._write([])
 
-    def _group(self, backend: Worker) -> dict:
+    def _group(self, backend: FakeBackend) -> dict:
         state, started = self._entries[backend.address]
         labels = {"zone": backend.zone, "kind": "std", "state": state, "start": self._start(backend, started)}
         return {"targets": [backend.address], "labels": labels}
 
-    def _start(self, backend: Worker, started: int) -> str:
+    def _start(self, backend: FakeBackend, started: int) -> str:
         """Return the start as wall clock; the same start always has the same text."""
         wall_s = (started + time.time_ns() - time.monotonic_ns()) / NS_PER_S
         return self._start_labels.setdefault((backend.address, started), f"{wall_s:.1f}" if started else "0")
--- a/swiftchute/drill/runner.py
+++ b/swiftchute/drill/runner.py
@@ -15,7 +15,7 @@
 from swiftchute.drill.fleet import Fleet, FleetOptions
 from swiftchute.drill.invariants import Evidence
 from swiftchute.drill.scenario import OPERATIONS, Scenario, request_share
-from swiftchute.fakes.gateway import Gateway
+from swiftchute.fakes.gateway import FakeGateway
 
 STARTUP_POLLS = 100
 STARTUP_POLL_INTERVAL_S = 0.1
@@ -104,10 +104,10 @@
                 self._tasks.append(asyncio.ensure_future(outcome))
         await asyncio.sleep(max(begin + self._scenario.duration - time.monotonic(), 0))
 
-    def _start_load(self, gateway: Gateway) -> None:
+    def _start_load(self, gateway: FakeGateway) -> None:
         for operation in OPERATIONS:
             rate = gateway.client.request_rate_per_s * request_share(self._scenario, operation)
-            load = gateway.load(operation, rate, self._scenario.duration)
+            load = gateway.generate_load(operation, rate, self._scenario.duration)
             self._tasks.append(asyncio.ensure_future(load))
 
     def _result(self, end: int) -> Result:
@@ -115,15 +115,15 @@
         records = [gateway.record for gateway in fleet.gateways]
         ends: dict[str, int] = {}
         for record in records:
-            for name, count in record.ends.items():
+            for name, count in record.results.items():
                 ends[name] = ends.get(name, 0) + count
         return Result(
             evidence=self._evidence(end),
             ends=ends,
             replayed=0,
             changed=[],
-            fell=[backend.address for backend in fleet.backends for _ in backend.fell],
-            lost=sum(record.lost for record in records),
+            fell=[backend.address for backend in fleet.backends for _ in backend.crash_times_s],
+            lost=sum(record.dropped_rows for record in records),
             notes=self._actions.notes,
             failed=self._failed_tasks(),
         )
@@ -136,9 +136,9 @@
         return Evidence(
             fleet.settings(),
             list(fleet.list.observations),
-            [order for record in records for order in record.orders],
-            [attempt for record in records for attempt in record.tries],
-            [stream for record in records for stream in record.streams],
+            [order for record in records for order in record.responses],
+            [attempt for record in records for attempt in record.attempts],
+            [stream for record in records for stream in record.stream_events],
             [receipt for backend in fleet.backends for receipt in backend.receipts],
             {
                 c.node: (
@@ -150,12 +150,12 @@
                 )
                 for c in clients
             },
-            {backend.address: backend.facts.cores * backend.speed for backend in fleet.backends},
+            {backend.address: backend.profile.cores * backend.speed for backend in fleet.backends},
             self._actions.unavailable_spans(end),
             end,
             fleet.dialled,
-            {node: c.answers for node, c in dns_clients.items() if not c.resolver.overstay},
-            frozenset(node for node, c in dns_clients.items() if c.resolver.overstay),
+            {node: c.answers for node, c in dns_clients.items() if not c.resolver.overstay_s},
+            frozenset(node for node, c in dns_clients.items() if c.resolver.overstay_s),
         )
 
     def _failed_tasks(self) -> list[str]:
@@ -182,4 +182,4 @@
     def _traffic(self) -> tuple[int, int]:
         """Return how many requests backends received and how many attempts gateways made."""
         receipts = sum(len(backend.receipts) for backend in self._fleet.backends)
-        return receipts, sum(len(gateway.record.tries) for gateway in self._fleet.gateways)
+        return receipts, sum(len(gateway.record.attempts) for gateway in self._fleet.gateways)
--- a/swiftchute/fakes/__init__.py
+++ b/swiftchute/fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for drills: price workers, gateways, and a relay that troubles what passes between them."""
+"""Fakes of outside systems for drills and tests: backends, gateways, DNS clients, and a faulty network."""
--- a/swiftchute/fakes/backend.py
+++ b/swiftchute/fakes/backend.py
@@ -1,8 +1,8 @@
-"""A stand-in price worker: a gRPC server on loopback that does pretended work and writes receipts.
+"""A fake backend: a gRPC server on loopback that does pretended work and writes receipts.
 
-It has cores, a waiting room, a cold start that grows to full, and it falls over if more work is brought than
-it may get while cold. It can die, hang, go silent, be slow, fail quickly and drain. Any method ending in an
-operation's name is answered; the request's bytes are `id|try|gateway`.
+It has cores, a queue and a warm-up, and crashes if it gets more work than it can do while it warms up. It can
+crash, hang, stop reading, be slow, pause and fail quickly. Any method that ends in an operation's name is
+answered; the request's bytes are `request id|attempt|gateway`.
 """
 
 import asyncio
@@ -10,6 +10,7 @@
 import time
 from collections import deque
 from dataclasses import dataclass
+from enum import StrEnum
 from typing import Any
 
 from grpclib.const import Cardinality, Handler, Status
@@ -19,78 +20,136 @@
 from swiftchute.xds.server import Breakable, Raw
 
 SERVICE = "/swiftchute.fakes.Worker/"
-RECEIPTS_MOST = 200_000
+MAX_RECEIPTS = 200_000
+WORK_JITTER = (0.85, 1.15)  # factors of an operation's work
+HANG_S = 3600
+
+
+class BackendEvent(StrEnum):
+    """What a receipt says of a request, or of the backend itself."""
+
+    ARRIVED = "came"
+    STARTED = "ran"  # from then on it may have taken effect
+    QUEUE_FULL = "full"
+    FAILED = "errored"  # before it ran
+    CRASHED = "fell"  # the backend, of too much work while warming up
+
+
+class Behaviour(StrEnum):
+    """How a backend treats requests."""
+
+    NORMAL = "well"
+    HANG = "hang"
+    FAIL_EARLY = "fail"  # before a request runs
+    FAIL_LATE = "fail late"  # after it ran
 
 
 @dataclass(frozen=True)
 class Receipt:
-    """One try that reached a worker: when, what, from whom, and what became of it; `work` in seconds at full
-    speed. Each has a receipt "came", and one more: "ran" (from then on it may have taken effect), "full" or
-    "errored". "fell" is of the worker itself."""
-
-    at: int
-    server: str
+    """One event of an attempt that reached a backend, or of the backend.
+
+    Every attempt has a receipt `ARRIVED`, and one more: `STARTED`, `QUEUE_FULL` or `FAILED`.
+
+    Attributes:
+        time_ns: when, monotonic.
+        endpoint: the backend's address.
+        operation: the attempt's operation; "" for the backend itself, as the next two.
+        request_id: the request that it belongs to.
+        attempt: its number, from 0.
+        gateway: who sent it.
+        work_s: its work at full speed.
+        event: what happened.
+    """
+
+    time_ns: int
+    endpoint: str
     operation: str
-    inv: str
+    request_id: str
     attempt: int
     gateway: str
-    work: float
-    end: str
+    work_s: float
+    event: BackendEvent
 
 
 @dataclass(frozen=True)
-class Facts:
-    """What a worker is like, and the figures of the rule on cold servers."""
-
-    work: dict[str, float]  # seconds by operation
+class BackendProfile:
+    """What a backend can do.
+
+    Attributes:
+        work_s: work of a request by operation.
+        cores: requests that it works on at once.
+        queue_capacity: requests that may wait for a core.
+        start_capacity_fraction: its capacity at a start, as a fraction of full capacity.
+        warmup_s: time until it has full capacity.
+        overload_multiple: of its capacity, the work that crashes it while it warms up.
+        overload_window_s: time over which that work is summed.
+    """
+
+    work_s: dict[str, float]
     cores: int = 4
-    room: int = 40
-    start_capacity: float = 0.2
-    warm_within: float = 8.0
-    fall_multiple: float = 2.5
-    fall_span: float = 2.0
-
-
-class Worker:
-    """One worker; `receipts` outlive its deaths."""
-
-    def __init__(self, facts: Facts, zone: str, speed: float, seed: int) -> None:
-        """It listens from `start` on."""
-        self.facts, self.zone, self.speed = facts, zone, speed
-        self.random = random.Random(seed)
-        self.receipts: deque[Receipt] = deque(maxlen=RECEIPTS_MOST)
-        self.server: Breakable | None = None
+    queue_capacity: int = 40
+    start_capacity_fraction: float = 0.2
+    warmup_s: float = 8.0
+    overload_multiple: float = 2.5
+    overload_window_s: float = 2.0
+
+
+class FakeBackend:
+    """One backend.
+
+    Attributes:
+        address: "host:port"; kept over restarts.
+        receipts: outlive its crashes.
+        server: its gRPC server, None while it is down.
+        started_at_s: monotonic time of a start with a warm-up, None without one.
+        behaviour: how it treats requests.
+        slowdown: factor of the time that work takes.
+        crash_times_s: when it crashed of too much work.
+    """
+
+    def __init__(self, profile: BackendProfile, zone: str, speed: float, seed: int) -> None:
+        """It listens from `start` on; `speed` is work done per second on a core."""
+        self.profile = profile
+        self.zone = zone
+        self.speed = speed
         self.address = ""
-        self.started: float | None = None  # monotonic seconds of a cold start; None: warm long since
-        self.mode = "well"  # "hang", "fail" (before it runs), "fail late" (after)
-        self.factor = 1.0
-        self.still = 0.0  # until when it stands still
-        self.fell: list[float] = []
-        self.held = 0
-        self.recent: deque[tuple[float, float]] = deque()
+        self.receipts: deque[Receipt] = deque(maxlen=MAX_RECEIPTS)
+        self.server: Breakable | None = None
+        self.started_at_s: float | None = None
+        self.behaviour = Behaviour.NORMAL
+        self.slowdown = 1.0
+        self.crash_times_s: list[float] = []
+        self._random = random.Random(seed)
+        self._paused_until_s = 0.0
+        self._in_flight = 0
+        self._recent_work: deque[tuple[float, float]] = deque()  # arrival and work, both in s
 
     def __mapping__(self) -> dict[str, Handler]:
-        """A handler an operation."""
+        """A handler for each operation, as grpclib asks for."""
         return {
-            SERVICE + op: Handler(
-                lambda stream, op=op: self._serve(stream, op), Cardinality.UNARY_UNARY, bytes, bytes
+            SERVICE + operation: Handler(
+                lambda stream, operation=operation: self._serve(stream, operation),
+                Cardinality.UNARY_UNARY,
+                bytes,
+                bytes,
             )
-            for op in self.facts.work
+            for operation in self.profile.work_s
         }
 
-    async def start(self, cold: bool = False, host: str = "127.0.0.1") -> None:
+    async def start(self, warm_up: bool = False, host: str = "127.0.0.1") -> None:
         """Listen, at the same address as before if it ran before."""
-        before, _, port = self.address.rpartition(":")
-        host = before or host
+        previous_host, _, port = self.address.rpartition(":")
         self.server = Breakable([self], codec=Raw())
-        await self.server.start(host, int(port or 0), reuse_address=True)
+        await self.server.start(previous_host or host, int(port or 0), reuse_address=True)
         self.address = "{}:{}".format(*self.server._server.sockets[0].getsockname()[:2])
-        self.cores = asyncio.Semaphore(self.facts.cores)
-        self.started = time.monotonic() if cold else None
-        self.mode, self.factor, self.held = "well", 1.0, 0
-        self.recent.clear()
-
-    async def die(self) -> None:
+        self._cores = asyncio.Semaphore(self.profile.cores)
+        self.started_at_s = time.monotonic() if warm_up else None
+        self.behaviour = Behaviour.NORMAL
+        self.slowdown = 1.0
+        self._in_flight = 0
+        self._recent_work.clear()
+
+    async def kill(self) -> None:
         """Close the socket and break all connections."""
         if self.server is not None:
             server, self.server = self.server, None
@@ -98,51 +157,52 @@
             server.break_all()
             server.close()
 
-    def mute(self) -> None:
-        """Read nothing more on what is open, and answer nothing on what comes."""
-        self.mode = "hang"
+    def stop_reading(self) -> None:
+        """Read nothing more on open connections, and answer nothing on new ones."""
+        self.behaviour = Behaviour.HANG
         for protocol in list(self.server.made) if self.server is not None else ():
             if protocol.connection is not None and not protocol.connection.is_closing():
                 protocol.connection._transport.pause_reading()
 
-    def pause(self, length: float) -> None:
-        """Stand still for so long: nothing that runs goes on."""
-        self.still = max(self.still, time.monotonic() + length)
+    def pause(self, duration_s: float) -> None:
+        """Let all work that runs stop for so long."""
+        self._paused_until_s = max(self._paused_until_s, time.monotonic() + duration_s)
 
-    def capacity(self, now: float) -> float:
-        """The share of its full capacity that it has now."""
-        if self.started is None:
+    def capacity_fraction(self, now_s: float) -> float:
+        """The fraction of full capacity that it has now."""
+        if self.started_at_s is None:
             return 1.0
-        least = self.facts.start_capacity
-        return min(1.0, least + (1 - least) * (now - self.started) / self.facts.warm_within)
+        minimum = self.profile.start_capacity_fraction
+        return min(1.0, minimum + (1 - minimum) * (now_s - self.started_at_s) / self.profile.warmup_s)
 
-    def _brought(self, work: float, now: float) -> None:
-        """Rule four as a budget: more work than multiple x capacity x span within the span, and it
-        falls over."""
-        if self.started is None or now - self.started > self.facts.warm_within:
+    def _check_overload(self, work_s: float, now_s: float) -> None:
+        """Crash while warming up, if the work within the window exceeds the multiple of the capacity."""
+        profile = self.profile
+        if self.started_at_s is None or now_s - self.started_at_s > profile.warmup_s:
             return
-        span = self.facts.fall_span
-        self.recent.append((now, work))
-        while self.recent[0][0] < now - span:
-            self.recent.popleft()
-        full = self.facts.cores * self.speed
-        if sum(w for _, w in self.recent) > self.facts.fall_multiple * self.capacity(now) * full * span:
-            self.fell.append(now)
-            self._receipt("", b"", 0.0, "fell")
-            asyncio.ensure_future(self.die())
-
-    def _receipt(self, operation: str, data: bytes, work: float, end: str) -> None:
-        inv, attempt, gateway = (*data.decode("utf-8", "replace").split("|"), "0", "")[:3]
+        window_s = profile.overload_window_s
+        self._recent_work.append((now_s, work_s))
+        while self._recent_work[0][0] < now_s - window_s:
+            self._recent_work.popleft()
+        full_capacity = profile.cores * self.speed
+        limit = profile.overload_multiple * self.capacity_fraction(now_s) * full_capacity * window_s
+        if sum(work for _, work in self._recent_work) > limit:
+            self.crash_times_s.append(now_s)
+            self._write_receipt("", b"", 0.0, BackendEvent.CRASHED)
+            asyncio.ensure_future(self.kill())
+
+    def _write_receipt(self, operation: str, data: bytes, work_s: float, event: BackendEvent) -> None:
+        request_id, attempt, gateway = (*data.decode("utf-8", "replace").split("|"), "0", "")[:3]
         self.receipts.append(
             Receipt(
                 time.monotonic_ns(),
                 self.address,
                 operation,
-                inv,
+                request_id,
                 int(attempt) if attempt.isdigit() else 0,
                 gateway,
-                work,
-                end,
+                work_s,
+                event,
             )
         )
 
@@ -150,28 +210,33 @@
         data: Any = await stream.recv_message()
         if data is None:
             return
-        work = self.facts.work[operation] * self.random.uniform(0.85, 1.15)
-        self._receipt(operation, data, work, "came")  # before it waits: one that falls over has met them all
-        self._brought(work, time.monotonic())
-        if self.mode == "fail":
-            self._receipt(operation, data, work, "errored")
+        work_s = self.profile.work_s[operation] * self._random.uniform(*WORK_JITTER)
+        # before it waits: a backend that crashes has a receipt of each
+        self._write_receipt(operation, data, work_s, BackendEvent.ARRIVED)
+        self._check_overload(work_s, time.monotonic())
+        if self.behaviour is Behaviour.FAIL_EARLY:
+            self._write_receipt(operation, data, work_s, BackendEvent.FAILED)
             raise GRPCError(Status.INTERNAL, "fails quickly")
-        if self.held >= self.facts.cores + self.facts.room:
-            self._receipt(operation, data, work, "full")
+        if self._in_flight >= self.profile.cores + self.profile.queue_capacity:
+            self._write_receipt(operation, data, work_s, BackendEvent.QUEUE_FULL)
             raise GRPCError(Status.RESOURCE_EXHAUSTED, "waiting room full")
-        self.held += 1
-        cores = self.cores
+        self._in_flight += 1
+        cores = self._cores
         try:
             async with cores:
-                self._receipt(operation, data, work, "ran")  # from here on it may have taken effect
-                if self.mode == "hang":
-                    await asyncio.sleep(3600)
-                if self.mode == "fail late":
-                    raise GRPCError(Status.INTERNAL, "failed after it ran")
-                await asyncio.sleep(work * self.factor / (self.speed * self.capacity(time.monotonic())))
-                while (left := self.still - time.monotonic()) > 0:
-                    await asyncio.sleep(left)
+                self._write_receipt(operation, data, work_s, BackendEvent.STARTED)
+                await self._work(work_s)
         finally:
-            if cores is self.cores:
-                self.held -= 1
+            if cores is self._cores:  # not restarted meanwhile
+                self._in_flight -= 1
         await stream.send_message(data)
+
+    async def _work(self, work_s: float) -> None:
+        if self.behaviour is Behaviour.HANG:
+            await asyncio.sleep(HANG_S)
+        if self.behaviour is Behaviour.FAIL_LATE:
+            raise GRPCError(Status.INTERNAL, "failed after it ran")
+        speed = self.speed * self.capacity_fraction(time.monotonic())
+        await asyncio.sleep(work_s * self.slowdown / speed)
+        while (remaining_s := self._paused_until_s - time.monotonic()) > 0:
+            await asyncio.sleep(remaining_s)
--- a/swiftchute/fakes/gateway.py
+++ b/swiftchute/fakes/gateway.py
@@ -1,145 +1,138 @@
-"""A stand-in gateway: dials planners, follows its tables, calls workers, reports what it met.
+"""A fake gateway: connects to the control plane, follows its tables, calls backends and reports load.
 
-It records what passes on its sockets: each response as it was received (`Order`), each try as it was sent
-(`Try`), and when its streams opened and broke. The checker of a drill reads these and nothing of a planner's.
+It forwards by the proxy's own router and server, and records what passes on its sockets.
 """
 
 import asyncio
 import time
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 
 from swiftchute.fakes.backend import SERVICE
-from swiftchute.proxy.control_client import ControlPlaneClient
+from swiftchute.fakes.traffic_record import AttemptRecord, ReceivedResponse, StreamEvent, TrafficRecord
+from swiftchute.proxy.control_client import KEEPALIVE_S, RECONNECT_DELAY_S, ControlPlaneClient
 from swiftchute.proxy.http_framing import HttpMessage
 from swiftchute.proxy.request import ActiveRequest, RequestRouter
 from swiftchute.proxy.response_headers import RequestInfo
 from swiftchute.proxy.retry import AttemptOutcome, RequestResult
 from swiftchute.proxy.server import ProxyServer
-from swiftchute.proxy.settings import Idempotency, PoolLimits, ProxyLimits, RouteSettings, ServerSettings
+from swiftchute.proxy.settings import (
+    NS_PER_S,
+    Idempotency,
+    PoolLimits,
+    ProxyLimits,
+    RouteSettings,
+    ServerSettings,
+)
 from swiftchute.proxy.xds_client import XdsClient
 
-RECORD_MOST = 500_000
-WAITING_MOST = 200
-S = 1_000_000_000
-TIMEOUT = 4 * S  # of an invocation whose route names none
-ENDS = {
+MAX_IN_FLIGHT = 200
+REQUEST_TIMEOUT_NS = 4 * NS_PER_S  # of a request whose route sets none
+EJECTION_FAILURES = 5
+MAX_RESULT_CHARS = 80
+RESULT_NAMES = {
     RequestResult.ANSWERED: "succeeded",
     RequestResult.NOT_ADMITTED: "rate-limited",
     RequestResult.AT_CAPACITY: "gateway full",
 }
-_HEADERS = [(b":method", b"POST"), (b":scheme", b"http"), (b":authority", b"worker"),
-            (b"content-type", b"application/grpc+proto"), (b"user-agent", b"swiftchute-standin")]  # fmt: skip
-_SETTINGS = ServerSettings(
-    pool=PoolLimits(2, 100, initial_streams=100, max_waiting=200, idle_timeout_ns=60 * S),
-    silence_timeout_ns=60 * S,
-    connect_timeout_ns=S,
+_REQUEST_HEADERS = [
+    (b":method", b"POST"),
+    (b":scheme", b"http"),
+    (b":authority", b"worker"),
+    (b"content-type", b"application/grpc+proto"),
+    (b"user-agent", b"swiftchute-standin"),
+]
+_SERVER_SETTINGS = ServerSettings(
+    pool=PoolLimits(
+        max_connections=2,
+        max_streams=100,
+        initial_streams=100,
+        max_waiting=200,
+        idle_timeout_ns=60 * NS_PER_S,
+    ),
+    silence_timeout_ns=60 * NS_PER_S,
+    connect_timeout_ns=NS_PER_S,
     max_message_bytes=2**20,
     drain_timeout_ns=0,
 )
 
 
 @dataclass(frozen=True)
-class Order:
-    """A response as it came from the socket, on the gateway's n-th stream, to the planner at `planner`."""
-
-    at: int
-    gateway: str
-    stream: int
-    planner: str
-    delta: bool
-    data: bytes
-
-
-@dataclass(frozen=True)
-class Try:
-    """A try as it went to a worker, and how it ended."""
+class OperationValue:
+    """What an answer to an operation is worth.
 
-    at: int
-    gateway: str
-    server: str
-    operation: str
-    inv: str
-    attempt: int
-    end: str
-    took: float
+    Attributes:
+        latency_objective_s: an answer after it is late.
+        value: of an answer in time.
+        late_value_fraction: of that value, for a late answer.
+    """
 
+    latency_objective_s: float
+    value: float
+    late_value_fraction: float
 
-@dataclass(frozen=True)
-class Stream:
-    """A stream that opened (`on`) or broke."""
 
-    at: int
-    gateway: str
-    stream: int
-    planner: str
-    on: bool
+NO_VALUE = OperationValue(0.0, 0.0, 0.0)
 
 
-@dataclass
-class Record:
-    """What passed on a gateway's sockets, bounded; `lost` counts what was past the bound."""
+class FakeGateway(ControlPlaneClient):
+    """One gateway.
 
-    orders: list[Order] = field(default_factory=list)
-    tries: list[Try] = field(default_factory=list)
-    streams: list[Stream] = field(default_factory=list)
-    bare: list[tuple[int, str, str]] = field(default_factory=list)  # invocations that found no line
-    ends: dict[str, int] = field(default_factory=dict)
-    asked: float = 0.0  # billed value of what came, and of what was answered in time
-    earned: float = 0.0
-    lost: int = 0
-
-    def add(self, rows: list, row: object) -> None:
-        """Keep a row, or count it as lost."""
-        if len(rows) < RECORD_MOST:
-            rows.append(row)
-        else:
-            self.lost += 1
-
-
-class Gateway(ControlPlaneClient):
-    """One gateway. `planners` are addresses in the order of dialling."""
+    Attributes:
+        router: routes its requests.
+        proxy: forwards them.
+        record: what passed on its sockets.
+        reading: while it is cleared, the gateway does not read its stream.
+        acknowledgement_delay_s: delay of each acknowledgement.
+    """
 
     def __init__(
         self,
         client: XdsClient,
-        planners: list[tuple[str, int]],
+        servers: list[tuple[str, int]],
         seed: int,
-        avoids_after: int = 5,
-        reconnect_delay_s: tuple[float, float] = (0.1, 0.6),
-        keepalive_s: float = 1.0,
-        worth: dict[str, tuple[float, float, float]] | None = None,
+        ejection_failures: int = EJECTION_FAILURES,
+        reconnect_delay_s: tuple[float, float] = RECONNECT_DELAY_S,
+        keepalive_s: float = KEEPALIVE_S,
+        values: dict[str, OperationValue] | None = None,
     ) -> None:
-        """`worth`: by operation the latency objective in seconds, the billed value and the part that a late
-        answer earns; the others as `Link`'s."""
-        super().__init__(client, planners, seed, reconnect_delay_s, keepalive_s)
-        self.worth = worth or {}
-        self.record = Record()
+        """As `ControlPlaneClient`.
+
+        Args:
+            client: the state of the xDS client.
+            servers: host and port of the control plane's servers, in the order of connecting.
+            seed: of all random decisions.
+            ejection_failures: consecutive failures that eject an endpoint.
+            reconnect_delay_s: bounds of the delay before the next connection.
+            keepalive_s: interval of pings to the control plane.
+            values: what answers are worth, by operation.
+        """
+        super().__init__(client, servers, seed, reconnect_delay_s, keepalive_s)
+        self.record = TrafficRecord()
         limits = ProxyLimits(
-            max_in_flight=WAITING_MOST, ejection_failures=avoids_after, retry_budget_fraction=1.0
+            max_in_flight=MAX_IN_FLIGHT, ejection_failures=ejection_failures, retry_budget_fraction=1.0
         )
-        # a plain proxy does as its tables say, whatever the operation: the rules are the planner's to keep
-        self.core = RequestRouter(client, {}, limits, self.random.getrandbits(32), Idempotency.IDEMPOTENT)
-        self.proxy = _Recorded(self)
-        self.count = 0
-        self.reading = asyncio.Event()  # cleared: it stops reading its stream
+        # it does as its tables say, whatever the operation: the rules are the control plane's to keep
+        self.router = RequestRouter(client, {}, limits, self.random.getrandbits(32), Idempotency.IDEMPOTENT)
+        self.proxy = _RecordingProxy(self)
+        self.reading = asyncio.Event()
         self.reading.set()
-        self.ack_delay = 0.0
-        self.waiting = 0
+        self.acknowledgement_delay_s = 0.0
+        self._values = values or {}
+        self._request_count = 0
+        self._in_flight = 0
 
-    # -- streams
+    def start(self) -> None:
+        """Connect, and reconnect until `stop`."""
+        self.router.update_tables()
+        super().start()
 
     async def stop(self) -> None:
         """End everything."""
         await super().stop()
         await self.proxy.stop()
 
-    def start(self) -> None:
-        """Dial and go on until `stop`."""
-        self.core.update_tables()
-        super().start()
-
-    async def die(self) -> None:
-        """Its process is gone, and with it its tables; `start` brings it back with its standing table."""
+    async def kill(self) -> None:
+        """Lose the connection and all tables; `start` continues with the static endpoints."""
         await super().stop()
         client = self.client
         fresh = XdsClient(
@@ -151,99 +144,121 @@
             client.validate,
         )
         fresh.static_endpoints = client.static_endpoints
-        self.client = self.core.client = fresh
-        self.core.update_tables()
+        self.client = self.router.client = fresh
+        self.router.update_tables()
 
     def on_applied(self) -> None:
-        """What was taken in holds from the next invocation on."""
-        self.core.update_tables()
+        """Put the received tables in force for the next request."""
+        self.router.update_tables()
 
-    def on_stream_opened(self, planner: str, stream: int) -> None:
+    def on_stream_opened(self, server: str, stream: int) -> None:
         """Record a stream that opened."""
-        self._streamed(planner, stream, True)
+        self._record_stream_event(server, stream, opened=True)
 
-    def on_stream_closed(self, planner: str, stream: int) -> None:
-        """Record a stream that broke."""
-        self._streamed(planner, stream, False)
+    def on_stream_closed(self, server: str, stream: int) -> None:
+        """Record a stream that ended."""
+        self._record_stream_event(server, stream, opened=False)
 
-    def _streamed(self, planner: str, stream: int, on: bool) -> None:
-        row = Stream(time.monotonic_ns(), self.client.node, stream, planner, on)
-        self.record.add(self.record.streams, row)
-
-    def on_response(self, planner: str, stream: int, data: bytes) -> None:
+    def on_response(self, server: str, stream: int, data: bytes) -> None:
         """Record a response."""
-        row = Order(time.monotonic_ns(), self.client.node, stream, planner, self.client.delta, data)
-        self.record.add(self.record.orders, row)
+        row = ReceivedResponse(time.monotonic_ns(), self.client.node, stream, server, self.client.delta, data)
+        self.record.add(self.record.responses, row)
 
     async def before_receiving(self) -> None:
-        """Stand still for as long as a drill asks."""
+        """Wait while the gateway does not read."""
         await self.reading.wait()
 
     async def before_acknowledging(self) -> None:
-        """Answer as late as a drill asks."""
-        if self.ack_delay:
-            await asyncio.sleep(self.ack_delay)
-
-    # -- invocations
-
-    async def load(self, operation: str, rate: float, seconds: float) -> None:
-        """Invocations at random, `rate` a second on average; at most `WAITING_MOST` are in hand at once."""
-        until = time.monotonic() + seconds
-        while (now := time.monotonic()) < until:
-            await asyncio.sleep(min(self.random.expovariate(rate), until - now + 0.001))
-            if self.waiting < WAITING_MOST:
-                self.waiting += 1
-                task = asyncio.ensure_future(self.invoke(operation))
-                task.add_done_callback(self._done)
+        """Delay the acknowledgement."""
+        if self.acknowledgement_delay_s:
+            await asyncio.sleep(self.acknowledgement_delay_s)
+
+    async def generate_load(self, operation: str, rate_per_s: float, duration_s: float) -> None:
+        """Send requests at random times; past `MAX_IN_FLIGHT` they are counted and not sent.
+
+        Args:
+            operation: of the requests.
+            rate_per_s: requests a second on average.
+            duration_s: for so long.
+        """
+        end_s = time.monotonic() + duration_s
+        while (now_s := time.monotonic()) < end_s:
+            await asyncio.sleep(min(self.random.expovariate(rate_per_s), end_s - now_s + 0.001))
+            if self._in_flight < MAX_IN_FLIGHT:
+                self._in_flight += 1
+                task = asyncio.ensure_future(self.send_request(operation))
+                task.add_done_callback(self._on_request_done)
             else:
-                self._end("gateway full", operation)
-
-    def _done(self, task: asyncio.Future) -> None:
-        self.waiting -= 1
-        if not task.cancelled() and task.exception():
-            self._end(f"fault {task.exception()!r}"[:80])
-
-    def _end(self, end: str, operation: str = "", took: float = 0.0) -> str:
-        self.record.ends[end] = self.record.ends.get(end, 0) + 1
-        objective, value, late = self.worth.get(operation, (0.0, 0.0, 0.0))
-        self.record.asked += value
-        if end == "succeeded":
-            self.record.earned += value if took <= objective else late * value
-        return end
-
-    async def ready(self, operation: str) -> None:
-        """Let the core know an operation, if no listener has named it yet."""
-        if operation not in self.core.routes:
-            self.core.routes[operation] = RouteSettings(operation, TIMEOUT, Idempotency.IDEMPOTENT)
-            self.core.update_tables()
-
-    async def invoke(self, operation: str) -> str:
-        """One invocation: returns how it ended."""
-        self.count += 1
-        began, inv = time.monotonic(), f"{self.client.node}-{self.count}"
-        await self.ready(operation)
-        body = f"{inv}|0|{self.client.node}".encode()
-        headers = [(b":path", (SERVICE + operation).encode()), *_HEADERS]
-        message = HttpMessage(0, headers, bytes(1) + len(body).to_bytes(4, "big") + body)
-        result, _ = await self.proxy.route_request(message, RequestInfo(operation, True, None), inv, True)
+                self._count_result(RESULT_NAMES[RequestResult.AT_CAPACITY], operation)
+
+    async def prepare(self, operation: str) -> None:
+        """Make an operation known to the router, if no listener has named it yet."""
+        if operation not in self.router.routes:
+            route = RouteSettings(operation, REQUEST_TIMEOUT_NS, Idempotency.IDEMPOTENT)
+            self.router.routes[operation] = route
+            self.router.update_tables()
+
+    async def send_request(self, operation: str) -> str:
+        """Send one request; returns how it ended."""
+        self._request_count += 1
+        started_s = time.monotonic()
+        request_id = f"{self.client.node}-{self._request_count}"
+        await self.prepare(operation)
+        result, _ = await self.proxy.route_request(
+            self._message(operation, request_id), RequestInfo(operation, True, None), request_id, True
+        )
         if result is RequestResult.NO_ENDPOINT:
-            self.record.add(self.record.bare, (time.monotonic_ns(), self.client.node, operation))
-        return self._end(ENDS.get(result, result.value), operation, time.monotonic() - began)
+            row = (time.monotonic_ns(), self.client.node, operation)
+            self.record.add(self.record.unroutable, row)
+        name = RESULT_NAMES.get(result, result.value)
+        return self._count_result(name, operation, time.monotonic() - started_s)
+
+    def _message(self, operation: str, request_id: str) -> HttpMessage:
+        """A gRPC request, its message uncompressed and with its length before it."""
+        body = f"{request_id}|0|{self.client.node}".encode()
+        headers = [(b":path", (SERVICE + operation).encode()), *_REQUEST_HEADERS]
+        return HttpMessage(0, headers, bytes(1) + len(body).to_bytes(4, "big") + body)
+
+    def _on_request_done(self, task: asyncio.Future) -> None:
+        self._in_flight -= 1
+        if not task.cancelled() and task.exception():
+            self._count_result(f"fault {task.exception()!r}"[:MAX_RESULT_CHARS])
+
+    def _count_result(self, name: str, operation: str = "", latency_s: float = 0.0) -> str:
+        record = self.record
+        record.results[name] = record.results.get(name, 0) + 1
+        value = self._values.get(operation, NO_VALUE)
+        record.requested_value += value.value
+        if name == RESULT_NAMES[RequestResult.ANSWERED]:
+            late = latency_s > value.latency_objective_s
+            record.earned_value += value.late_value_fraction * value.value if late else value.value
+        return name
 
+    def _record_stream_event(self, server: str, stream: int, opened: bool) -> None:
+        row = StreamEvent(time.monotonic_ns(), self.client.node, stream, server, opened)
+        self.record.add(self.record.stream_events, row)
 
-class _Recorded(ProxyServer):
-    """The proxy that a stand-in's invocations go through; its tries are recorded as they were sent."""
 
-    def __init__(self, gateway: Gateway) -> None:
-        super().__init__(gateway.core, _SETTINGS)
-        self.gateway = gateway
+class _RecordingProxy(ProxyServer):
+    """The proxy that a fake gateway's requests go through; it records the attempts."""
+
+    def __init__(self, gateway: FakeGateway) -> None:
+        super().__init__(gateway.router, _SERVER_SETTINGS)
+        self._gateway = gateway
 
     def on_attempt_ended(self, request: ActiveRequest, outcome: AttemptOutcome) -> None:
-        """Record a try, as of when it was written; one that was withdrawn before that is none."""
+        """Record an attempt as of when it was sent, unless its endpoint was withdrawn before that."""
         if outcome is AttemptOutcome.WITHDRAWN:
             return
-        at = request.attempt_sent_ns or request.attempt_started_ns
-        kind = ENDS.get(outcome.result, outcome.result.value)
-        row = Try(at, self.gateway.client.node, request.endpoint or "", request.route.name, request.caller,
-                  request.retries, kind, (self.clock() - at) / S)  # fmt: skip
-        self.gateway.record.add(self.gateway.record.tries, row)
+        sent_at_ns = request.attempt_sent_ns or request.attempt_started_ns
+        row = AttemptRecord(
+            time_ns=sent_at_ns,
+            gateway=self._gateway.client.node,
+            endpoint=request.endpoint or "",
+            operation=request.route.name,
+            request_id=request.caller,
+            attempt=request.retries,
+            result=RESULT_NAMES.get(outcome.result, outcome.result.value),
+            latency_s=(self.clock() - sent_at_ns) / NS_PER_S,
+        )
+        self._gateway.record.add(self._gateway.record.attempts, row)
--- a/swiftchute/fakes/relay.py
+++ b/swiftchute/fakes/relay.py
@@ -1,100 +1,133 @@
-"""A TCP relay on loopback that troubles what passes: it delays, paces, cuts and refuses. One a
-gateway and planner."""
+"""A TCP relay on loopback that disturbs what passes: it delays, slows, cuts and refuses.
+
+A drill has one for each gateway and server of the control plane.
+"""
 
 import asyncio
 from collections import deque
+from typing import Any
 
-HELD_MOST = 2**20  # bytes waiting in one direction past which it stops reading
+MAX_BUFFERED_BYTES = 2**20  # in one direction; past it the relay stops reading
+CONNECT_TIMEOUT_S = 2
+TIMER_TOLERANCE_S = 0.0005
 
 
-class _Side(asyncio.Protocol):
-    """One socket of a pair; what comes in goes out at the other, late if told so."""
+class _RelaySide(asyncio.Protocol):
+    """One socket of a pair; what is received here is sent by the other side, late if so configured."""
 
-    def __init__(self, relay: "Relay") -> None:
-        self.relay, self.transport, self.other = relay, None, None
-        self.queue: deque[tuple[float, bytes]] = deque()
-        self.held, self.last, self.timer = 0, 0.0, None
+    def __init__(self, relay: "Relay", other: "_RelaySide | None" = None) -> None:
+        """Without `other` it is the side that accepted, which connects the other one."""
+        self._relay = relay
+        self._other = other
+        self._transport: Any = None
+        self._queue: deque[tuple[float, bytes]] = deque()  # due time of the event loop, and data
+        self._buffered_bytes = 0
+        self._last_due_s = 0.0
+        self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = transport
-        if self.other is None:  # the dialling side: find the target
-            if self.relay.refusing:
-                transport.abort()
-                return
-            self.relay.pairs.add(self)
-            self.other = _Side(self.relay)
-            self.other.other = self
-            asyncio.ensure_future(self._dial())
-        else:
-            self.other._flush()
-
-    async def _dial(self) -> None:
+        """The socket is connected."""
+        self._transport = transport
+        if self._other is not None:
+            self._other._send_due()
+            return
+        if self._relay.refusing:
+            self.abort()
+            return
+        self._relay.sides.add(self)
+        self._other = _RelaySide(self._relay, self)
+        asyncio.ensure_future(self._connect(self._other))
+
+    def data_received(self, data: bytes) -> None:
+        """Queue bytes for the other side."""
+        relay = self._relay
+        due_s = max(asyncio.get_running_loop().time() + relay.delay_s, self._last_due_s)
+        if relay.rate_bytes_per_s:
+            due_s += len(data) / relay.rate_bytes_per_s
+        self._last_due_s = due_s
+        self._buffered_bytes += len(data)
+        self._queue.append((due_s, data))
+        if self._buffered_bytes > MAX_BUFFERED_BYTES:
+            self._transport.pause_reading()
+        self._send_due()
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Close the other side as well."""
+        self._relay.sides.discard(self)
+        if self._timer is not None:
+            self._timer.cancel()
+        if self._other is not None and self._other._transport is not None:
+            self._other._transport.close()
+
+    def abort(self) -> None:
+        """Break the connection, if there is one."""
+        if self._transport is not None:
+            self._transport.abort()
+
+    def abort_pair(self) -> None:
+        """Break both sides."""
+        self.abort()
+        if self._other is not None:
+            self._other.abort()
+
+    async def _connect(self, other: "_RelaySide") -> None:
         try:
-            async with asyncio.timeout(2):
-                await asyncio.get_running_loop().create_connection(lambda: self.other, *self.relay.target)
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                await asyncio.get_running_loop().create_connection(lambda: other, *self._relay.target)
         except (OSError, TimeoutError):
-            self.transport.abort()
+            self.abort()
 
-    def data_received(self, data: bytes) -> None:
-        relay, loop = self.relay, asyncio.get_running_loop()
-        when = max(loop.time() + relay.delay, self.last)
-        if relay.pace:
-            when += len(data) / relay.pace
-        self.last = when
-        self.held += len(data)
-        self.queue.append((when, data))
-        if self.held > HELD_MOST:
-            self.transport.pause_reading()
-        self._flush()
-
-    def _flush(self) -> None:
+    def _send_due(self) -> None:
+        """Send by the other side what is due, and set a timer for the rest."""
         loop = asyncio.get_running_loop()
-        if self.other is None or self.other.transport is None or self.timer is not None:
+        if self._other is None or self._other._transport is None or self._timer is not None:
             return
-        while self.queue and self.queue[0][0] <= loop.time() + 0.0005:
-            _, data = self.queue.popleft()
-            if self.held > HELD_MOST >= self.held - len(data):
-                self.transport.resume_reading()
-            self.held -= len(data)
-            self.other.transport.write(data)
-        if self.queue:
-            self.timer = loop.call_at(self.queue[0][0], self._due)
-
-    def _due(self) -> None:
-        self.timer = None
-        self._flush()
-
-    def connection_lost(self, why: Exception | None) -> None:
-        self.relay.pairs.discard(self)
-        if self.timer is not None:
-            self.timer.cancel()
-        if self.other is not None and self.other.transport is not None:
-            self.other.transport.close()
+        while self._queue and self._queue[0][0] <= loop.time() + TIMER_TOLERANCE_S:
+            _, data = self._queue.popleft()
+            if self._buffered_bytes > MAX_BUFFERED_BYTES >= self._buffered_bytes - len(data):
+                self._transport.resume_reading()
+            self._buffered_bytes -= len(data)
+            self._other._transport.write(data)
+        if self._queue:
+            self._timer = loop.call_at(self._queue[0][0], self._on_timer)
+
+    def _on_timer(self) -> None:
+        self._timer = None
+        self._send_due()
 
 
 class Relay:
-    """Listens on a port of its own and passes on to `target`."""
+    """Listens on a port of its own and forwards to `target`.
+
+    Attributes:
+        target: host and port.
+        delay_s: of what passes, in both directions.
+        rate_bytes_per_s: limit of either direction; 0 means no limit.
+        refusing: new connections are broken at once.
+        sides: the accepting side of each open pair.
+    """
 
     def __init__(self, target: tuple[str, int]) -> None:
-        """`delay` in seconds and `pace` in bytes a second (0: any) hold for both directions."""
-        self.target, self.delay, self.pace, self.refusing = target, 0.0, 0.0, False
-        self.pairs: set[_Side] = set()
-        self.server: asyncio.Server | None = None
+        """It listens from `start` on."""
+        self.target = target
+        self.delay_s = 0.0
+        self.rate_bytes_per_s = 0.0
+        self.refusing = False
+        self.sides: set[_RelaySide] = set()
+        self._server: asyncio.Server | None = None
 
     async def start(self, host: str = "127.0.0.1") -> tuple[str, int]:
-        """Listen; returns the address to dial."""
-        self.server = await asyncio.get_running_loop().create_server(lambda: _Side(self), host, 0)
-        return self.server.sockets[0].getsockname()[:2]
+        """Listen; returns the address to connect to."""
+        self._server = await asyncio.get_running_loop().create_server(lambda: _RelaySide(self), host, 0)
+        return self._server.sockets[0].getsockname()[:2]
 
     def cut(self) -> None:
-        """Break what is open, at both ends."""
-        for side in list(self.pairs):
-            for end in (side, side.other):
-                if end is not None and end.transport is not None:
-                    end.transport.abort()
+        """Break all open connections, at both ends."""
+        for side in list(self.sides):
+            side.abort_pair()
 
     async def stop(self) -> None:
-        """Cut and stop listening."""
+        """Break all connections and stop listening."""
         self.cut()
-        if self.server is not None:
-            self.server.close()
+        if self._server is not None:
+            self._server.close()
--- a/tests/dns/test_server.py
+++ b/tests/dns/test_server.py
@@ -17,7 +17,7 @@
 
 from swiftchute.config import load
 from swiftchute.daemon.service import CannotListen, Service
-from swiftchute.fakes.resolver import Line, Resolver, Srv
+from swiftchute.fakes.resolver import CachingResolver, SrvPicker, SrvRecord
 from swiftchute.observability.logging import setup
 from swiftchute.policy import Reconciler
 
@@ -170,8 +170,8 @@
     for rows, table in run(act).values():
         assert len(set(table.values())) > 2
         names = {r: str(r.target).partition(".")[0][3:].replace("-", ".") for r in rows}
-        lines = tuple(Line(r.priority, r.weight, f"{names[r]}:{r.port}") for r in rows)
-        picker = Srv(lines)
+        lines = tuple(SrvRecord(r.priority, r.weight, f"{names[r]}:{r.port}") for r in rows)
+        picker = SrvPicker(lines)
         picks = [picker.pick(chance) for _ in range(20_000)]
         expected = {n: 20_000 * w / sum(table.values()) for n, w in table.items()}
         assert stats.chisquare([picks.count(n) for n in expected], list(expected.values())).pvalue > 1e-4
@@ -183,10 +183,10 @@
             silent.bind(("127.0.0.1", 0))
             async with Running(tmp_path, many(3)) as world:
                 await world.until(lambda r: len(targets(r)) == 3)
-                resolver = Resolver([silent.getsockname(), world.at["north"]], ORIGIN, 7)
-                resolver.at = 0
+                resolver = CachingResolver([silent.getsockname(), world.at["north"]], ORIGIN, 7)
+                resolver.current_server = 0
                 found = await asyncio.gather(*(resolver.lookup(op) for op in ("none", "lot-estimate")))
-                assert [len(made.lines) for made in found] == [0, 3]
+                assert [len(made.records) for made in found] == [0, 3]
 
     run(act)
 
@@ -288,14 +288,14 @@
     """A client library nobody here wrote, asking this server (`dns://authority/name`): it takes addresses."""
     import grpc
 
-    from swiftchute.fakes.backend import SERVICE, Facts, Worker
+    from swiftchute.fakes.backend import SERVICE, BackendEvent, BackendProfile, FakeBackend
 
     async def act():
-        facts = Facts({"lot-estimate": 0.01})
-        first = Worker(facts, "north", 1.0, 1)
+        facts = BackendProfile({"lot-estimate": 0.01})
+        first = FakeBackend(facts, "north", 1.0, 1)
         await first.start(host="127.77.0.1")
         port = int(first.address.rpartition(":")[2])
-        second = Worker(facts, "north", 1.0, 2)
+        second = FakeBackend(facts, "north", 1.0, 2)
         second.address = f"127.77.0.2:{port}"
         await second.start(host="127.77.0.2")
         try:
@@ -312,11 +312,11 @@
                             call(f"inv-{k}|0|g".encode(), timeout=5, wait_for_ready=True)
 
                 await asyncio.to_thread(calls)
-                ran = [sum(r.end == "ran" for r in w.receipts) for w in (first, second)]
+                ran = [sum(r.event is BackendEvent.STARTED for r in w.receipts) for w in (first, second)]
                 assert sum(ran) == 20
                 assert min(ran) > 0
         finally:
-            await first.die()
-            await second.die()
+            await first.kill()
+            await second.kill()
 
     run(act)
--- a/tests/drill/test_scenario.py
+++ b/tests/drill/test_scenario.py
@@ -128,7 +128,7 @@
 def test_a_planner_killed_with_half_a_push_out_keeps_the_rules_after_its_return(played):
     result, verdicts = played["half-push", "process"]
     assert not broken(result, verdicts), text(result, verdicts)
-    streams = [s for s in result.evidence.streams if s.on]
+    streams = [s for s in result.evidence.streams if s.opened]
     assert len(streams) >= 2 * len(
         result.evidence.gateways
     )  # all came back to it, and once more after the cut
@@ -145,7 +145,7 @@
 def test_a_planner_killed_between_a_rollbacks_order_and_its_answers_keeps_the_rules(played):
     result, verdicts = played["rollback-cut", "process"]
     assert not broken(result, verdicts), text(result, verdicts)
-    assert len({s.planner for s in result.evidence.streams}) > 12  # its gateways were on the other one too
+    assert len({s.server for s in result.evidence.streams}) > 12  # its gateways were on the other one too
     assert "tables ordered back" in result.notes[0]
     assert not result.notes[0].startswith("0 ")
 
@@ -176,8 +176,8 @@
     """And a proxy that favours one server is caught: its tries of a server here are told as another's."""
     evidence = played["queue", "kept"][0].evidence  # a day on which nobody is avoided
     assert shares(evidence).chance > 1e-4
-    favoured = evidence.tries[0].server
-    bent = [replace(t, server=favoured) if k % 5 == 0 else t for k, t in enumerate(evidence.tries)]
+    favoured = evidence.tries[0].endpoint
+    bent = [replace(t, endpoint=favoured) if k % 5 == 0 else t for k, t in enumerate(evidence.tries)]
     assert shares(replace(evidence, tries=bent)).chance < 1e-6
 
 
--- a/tests/proxy/test_server.py
+++ b/tests/proxy/test_server.py
@@ -15,7 +15,7 @@
 from swiftchute.config.proxy import load as load_proxy
 from swiftchute.daemon.proxy import Daemon
 from swiftchute.daemon.service import Service
-from swiftchute.fakes.backend import SERVICE, Facts, Worker
+from swiftchute.fakes.backend import SERVICE, BackendEvent, BackendProfile, FakeBackend
 from swiftchute.observability.logging import setup
 from swiftchute.policy import Reconciler
 from swiftchute.proxy.endpoint_table import EndpointTable
@@ -29,7 +29,7 @@
 
 S = 1_000_000_000
 SETTINGS = ServerSettings()
-FACTS = Facts({"read": 0.02, "pay": 0.02}, room=10_000)
+FACTS = BackendProfile({"read": 0.02, "pay": 0.02}, queue_capacity=10_000)
 
 
 class Odd(asyncio.Protocol):
@@ -134,7 +134,7 @@
 
 
 async def workers(count):
-    made = [Worker(FACTS, "z", 1.0, k) for k in range(count)]
+    made = [FakeBackend(FACTS, "z", 1.0, k) for k in range(count)]
     for w in made:
         await w.start()
     return made
@@ -145,7 +145,7 @@
 
 
 def ran(worker, op=None):
-    return sum(r.end == "ran" and op in (None, r.operation) for r in worker.receipts)
+    return sum(r.event is BackendEvent.STARTED and op in (None, r.operation) for r in worker.receipts)
 
 
 def test_calls_go_by_weight_and_answers_come_back(tmp_path):
@@ -229,7 +229,7 @@
 def test_a_table_that_changes_under_way_holds_for_the_next_and_a_withdrawn_server_gets_no_more():
     async def act():
         one, two = await workers(2)
-        one.factor = 20.0  # 0.4 s
+        one.slowdown = 20.0  # 0.4 s
         async with World({one.address: 1}) as world:
             first = asyncio.ensure_future(world.call())
             await asyncio.sleep(0.1)
@@ -266,7 +266,7 @@
     async def act():
         made = await workers(2)
         for w in made:
-            w.facts = Facts({"read": 0.0, "pay": 0.0}, room=10_000)
+            w.profile = BackendProfile({"read": 0.0, "pay": 0.0}, queue_capacity=10_000)
         limits = ProxyLimits(max_in_flight=500, ejection_failures=0)
         async with World(
             {w.address: 1 for w in made},
--- a/tests/xds/test_server.py
+++ b/tests/xds/test_server.py
@@ -17,8 +17,8 @@
 
 from swiftchute.config import load
 from swiftchute.daemon.service import Service
-from swiftchute.fakes.backend import Facts, Worker
-from swiftchute.fakes.gateway import Gateway
+from swiftchute.fakes.backend import BackendProfile, FakeBackend
+from swiftchute.fakes.gateway import FakeGateway
 from swiftchute.observability.logging import setup
 from swiftchute.policy import Reconciler
 from swiftchute.proxy.xds_client import XdsClient
@@ -78,7 +78,7 @@
 
     async def start(self, workers=4, make=Reconciler, port=0):
         for k in range(workers):
-            worker = Worker(Facts({"lot-estimate": 0.0005}), "north", 1.0, k)
+            worker = FakeBackend(BackendProfile({"lot-estimate": 0.0005}), "north", 1.0, k)
             await worker.start()
             self.workers.append(worker)
         if workers:
@@ -138,7 +138,7 @@
 
     async def main():
         address = await place.start()
-        good = Gateway(XdsClient("good", "north", 5.0), [address], 1)
+        good = FakeGateway(XdsClient("good", "north", 5.0), [address], 1)
         good.start()
         await until(lambda: good.client.tables)
         nobody, moon = XdsClient("", "north", 1.0), XdsClient("m", "moon", 1.0)
@@ -159,9 +159,9 @@
         writer.write(b"GET / HTTP/1.1\r\n\r\n" * 50)
         await asyncio.wait_for(reader.read(), 5)  # closed by the planner
         writer.close()
-        double = Gateway(XdsClient("good", "north", 5.0), [address], 2, reconnect_delay_s=(60, 61))
+        double = FakeGateway(XdsClient("good", "north", 5.0), [address], 2, reconnect_delay_s=(60, 61))
         double.start()
-        await until(lambda: good.record.streams[-1].on is False)  # the newer stream has the node
+        await until(lambda: good.record.stream_events[-1].opened is False)  # the newer stream has the node
         await until(lambda: double.client.tables)
         await double.stop()
         await until(lambda: good.stream_count > 1 and good.connected_to)
@@ -184,7 +184,7 @@
             {"targets": [f"10.0.{k // 250}.{k % 250}:80"], "labels": {"zone": "north"}} for k in range(2000)
         ]
         place.list.write_text(json.dumps(rows))
-        good = Gateway(XdsClient("good", "north", 5.0, delta=False), [address], 1)
+        good = FakeGateway(XdsClient("good", "north", 5.0, delta=False), [address], 1)
         good.start()
         with pytest.raises(GRPCError, match="nothing read for 1 s"):
             await _unread(address, place.service.front)
@@ -253,7 +253,7 @@
 
     async def main():
         for k, weight in enumerate((4.0, 2.0, 1.0, 1.0)):
-            worker = Worker(Facts({"lot-estimate": 0.0002}), "north", 1.0, k)
+            worker = FakeBackend(BackendProfile({"lot-estimate": 0.0002}), "north", 1.0, k)
             await worker.start()
             place.workers.append(worker)
             Shaped.weights[worker.address] = weight
@@ -274,11 +274,11 @@
         told = time.monotonic_ns()
         ends = [e async for e in _while(calls, 1.5)]
         assert {e for _, e in ends} == {"ok"}
-        late = max((r.at for r in drained.receipts), default=0) - told
+        late = max((r.time_ns for r in drained.receipts), default=0) - told
         assert late < 3 * 10**9  # the grace; nothing comes afterwards
         before = len(drained.receipts)
 
-        await dying.die()
+        await dying.kill()
         ends = [e async for e in _while(calls, 1.0)]
         lost = [e for _, e in ends if e != "ok"]
         assert len(lost) <= 2  # what was under way at its death; the client leaves it by itself
@@ -301,7 +301,7 @@
         assert len(drained.receipts) == before
         await calls.aclose()
         for worker in place.workers:
-            await worker.die()
+            await worker.kill()
         await place.stop()
 
     run(main())
@@ -321,7 +321,7 @@
     async def main():
         address = await place.start()
         gateways = [
-            Gateway(XdsClient(f"g{k}", "north", 5.0), [address], k, reconnect_delay_s=(60, 61))
+            FakeGateway(XdsClient(f"g{k}", "north", 5.0), [address], k, reconnect_delay_s=(60, 61))
             for k in range(2)
         ]
         for gateway in gateways:
