--- a/swiftchute/fakes/backend.py
+++ b/swiftchute/fakes/backend.py
@@ -17,7 +17,7 @@
 from grpclib.exceptions import GRPCError
 from grpclib.server import Stream
 
-from swiftchute.xds.server import Breakable, Raw
+from swiftchute.xds.server import AbortableServer, RawCodec
 
 SERVICE = "/swiftchute.fakes.Worker/"
 MAX_RECEIPTS = 200_000
@@ -114,7 +114,7 @@
         self.speed = speed
         self.address = ""
         self.receipts: deque[Receipt] = deque(maxlen=MAX_RECEIPTS)
-        self.server: Breakable | None = None
+        self.server: AbortableServer | None = None
         self.started_at_s: float | None = None
         self.behaviour = Behaviour.NORMAL
         self.slowdown = 1.0
@@ -139,7 +139,7 @@
     async def start(self, warm_up: bool = False, host: str = "127.0.0.1") -> None:
         """Listen, at the same address as before if it ran before."""
         previous_host, _, port = self.address.rpartition(":")
-        self.server = Breakable([self], codec=Raw())
+        self.server = AbortableServer([self], codec=RawCodec())
         await self.server.start(previous_host or host, int(port or 0), reuse_address=True)
         self.address = "{}:{}".format(*self.server._server.sockets[0].getsockname()[:2])
         self._cores = asyncio.Semaphore(self.profile.cores)
--- a/tests/platform/test_session_manager.py
+++ b/tests/platform/test_session_manager.py
@@ -13,7 +13,7 @@
 )
 from swiftchute.platform import session_manager
 from swiftchute.platform.proxy_session import MAX_FIRST_MESSAGE_BYTES, ProxySession
-from swiftchute.policy import S
+from swiftchute.policy.units import NS_PER_S as S
 from tests.support.sessions import ACK, AGENT, DEMAND, HELLO, MS, OUTCOMES, World, errors, text
 
 
@@ -77,7 +77,7 @@
     (word,) = errors(session)
     assert word["msg"] == "error"
     assert word["cause"]
-    world.send(session, HELLO)  # nothing more is heard
+    world.send(session, HELLO)  # nothing more is handled
     assert not world.manager.sessions_by_proxy
     assert world.events(ProxyConnected) == []
 
