--- /dev/null
+++ b/tests/proxy/test_daemon.py
@@ -0,0 +1,145 @@
+"""A proxy process with a control plane: tables, load reports, and the cache for a start without it."""
+
+import asyncio
+import json
+
+import pytest
+from grpclib.client import Channel
+
+from swiftchute.config import load
+from swiftchute.config.proxy import load as load_proxy
+from swiftchute.daemon.proxy import Daemon
+from swiftchute.daemon.service import Service
+from swiftchute.observability.logging import setup
+from swiftchute.policy import Reconciler
+from swiftchute.xds.server import RawCodec
+from tests.support.proxy import call, run, start_backends
+
+CONTROL_PLANE = """
+service {{
+  zones = ["z"]
+  zone = "z"
+  proxies = 1
+  standing_lines = 6
+  seed = 7
+}}
+operation "read" {{
+  latency_objective = "1s"
+  integration_timeout = "2s"
+  billed_value = 1
+  repeats = "idempotent"
+}}
+rules {{
+  drain_grace = "3s"
+  start_capacity = 0.2
+  warm_within = "8s"
+  fall_multiple = 2.5
+  fall_span = "2s"
+  bare_limit = "3s"
+}}
+channel {{
+  pace = 10000
+  limit = 20000
+  message_lines = 6
+}}
+reports {{
+  period = "200ms"
+  lines = 200
+}}
+list "file" {{
+  path = "{list}"
+  every = "20ms"
+}}
+xds {{
+  listen = "127.0.0.1:{port}"
+}}
+"""
+PROXY = """
+proxy {{
+  name = "gw"
+  zone = "z"
+  listen = "127.0.0.1:0"
+  planners = ["127.0.0.1:{port}"]
+  keep = "{keep}"
+  form = "{form}"
+  drain = "1s"
+}}
+operation "read" {{
+  timeout = "2s"
+  repeats = "idempotent"
+}}
+"""
+
+
+class RunningService:
+    """A service as a task of this event loop."""
+
+    def __init__(self, service):
+        self.service = service
+
+    async def __aenter__(self):
+        ready = asyncio.get_running_loop().create_future()
+        self.task = asyncio.ensure_future(self.service.run(ready.set_result, signals=False))
+        await asyncio.wait({ready, self.task}, return_when=asyncio.FIRST_COMPLETED)
+        if self.task.done():
+            self.task.result()
+        self.address = ready.result()
+        return self
+
+    async def __aexit__(self, *_):
+        self.task.cancel()
+        await asyncio.gather(self.task, return_exceptions=True)
+
+
+@pytest.mark.parametrize("form", ["delta", "sotw"])
+def test_a_proxy_follows_the_control_plane_and_continues_and_restarts_without_it(tmp_path, form):
+    async def scenario():
+        first, second = await start_backends(2)
+        endpoint_list = tmp_path / "list.json"
+
+        def publish(states):
+            rows = [{"targets": [n], "labels": {"zone": "z", "state": s}} for n, s in states.items()]
+            (tmp_path / "new").write_text(json.dumps(rows))
+            (tmp_path / "new").replace(endpoint_list)
+
+        async def wait_for_table(daemon, endpoints):
+            for _ in range(400):
+                routing = daemon.router.tables.get("read")
+                if routing is not None and set(routing.table.weights) == endpoints:
+                    return
+                await asyncio.sleep(0.02)
+            raise AssertionError(daemon.router.tables)
+
+        async def send_calls(address, count):
+            channel = Channel(*address, codec=RawCodec())
+            try:
+                return [await call(channel, body=b"%d|0|g" % k) for k in range(count)]
+            finally:
+                channel.close()
+
+        def make_daemon(port):
+            path = tmp_path / "proxy.hcl"
+            path.write_text(PROXY.format(port=port, keep=tmp_path / "kept", form=form))
+            return Daemon(load_proxy(str(path)), setup("error"))
+
+        publish({first.address: "ready", second.address: "ready"})
+        settings = tmp_path / "planner.hcl"
+        settings.write_text(CONTROL_PLANE.format(list=endpoint_list, port=0))
+        async with RunningService(Service(load(str(settings)), setup("error"), Reconciler)) as control_plane:
+            daemon = make_daemon(control_plane.address[1])
+            async with RunningService(daemon) as proxy:
+                await wait_for_table(daemon, {first.address, second.address})
+                assert await send_calls(proxy.address, 20) == ["ok"] * 20
+                await asyncio.sleep(0.6)
+                assert control_plane.service.controller.observed_traffic.good  # its load reports arrived
+                publish({first.address: "draining", second.address: "ready"})
+                await wait_for_table(daemon, {second.address})
+                await control_plane.__aexit__()
+                await asyncio.sleep(0.3)
+                assert await send_calls(proxy.address, 5) == ["ok"] * 5
+        daemon = make_daemon(1)  # no control plane answers now
+        async with RunningService(daemon) as proxy:
+            assert await send_calls(proxy.address, 5) == ["ok"] * 5
+            assert set(daemon.router.tables["read"].table.weights) == {second.address}
+
+    run(scenario)
--- a/tests/proxy/test_recorded_behaviour.py
+++ b/tests/proxy/test_recorded_behaviour.py
@@ -10,7 +10,7 @@
 
 import pytest
 from envoy.config.cluster.v3.cluster_pb2 import Cluster
-from envoy.config.core.v3.health_check_pb2 import DRAINING
+from envoy.config.router.v3.health_check_pb2 import DRAINING
 from envoy.config.endpoint.v3.endpoint_components_pb2 import LbEndpoint
 from envoy.config.endpoint.v3.endpoint_pb2 import ClusterLoadAssignment
 from envoy.config.listener.v3.listener_pb2 import Listener
@@ -101,28 +101,30 @@
         "key": RouteSettings("key", S, Idempotency.WITH_KEY),
         "pay": RouteSettings("pay", 4 * S, Idempotency.SIDE_EFFECTING),
     }
-    core = RequestRouter(client, operations, limits, seed)
-    names_ = [*operations, "new", "none"]
+    router = RequestRouter(client, operations, limits, seed)
+    operation_names = [*operations, "new", "none"]
     now, active = NOW, []
     client.resources[names.LDS]["new"] = ("1", None)
     for step in range(count):
         now += chance.randrange(S // 20)
         if step % 60 == 0:
-            client.tables = {op: random_table(chance, op) for op in names_[:4] if chance.random() < 0.9}
+            client.tables = {
+                op: random_table(chance, op) for op in operation_names[:4] if chance.random() < 0.9
+            }
             client.static_endpoints = dict.fromkeys(chance.sample(ENDPOINTS, chance.randint(0, 2)), 1)
             withdrawn = ClusterLoadAssignment()
             address = withdrawn.endpoints.add().lb_endpoints.add().endpoint.address.socket_address
             address.address, address.port_value = chance.choice(ENDPOINTS).split(":")[0], 80
             client.resources[names.EDS][names.WITHDRAWN] = ("1", withdrawn)
-            core.update_tables()
+            router.update_tables()
             digest.add(
                 "tables",
-                sorted(core.known_endpoints),
+                sorted(router.known_endpoints),
                 sorted(client.withdrawn_endpoints()),
-                sorted(core.tables),
+                sorted(router.tables),
             )
         if chance.random() < 0.6 or not active:
-            request = core.admit(chance.choice(names_), f"caller-{chance.randrange(20)}", now)
+            request = router.admit(chance.choice(operation_names), f"caller-{chance.randrange(20)}", now)
             if isinstance(request, Rejection):
                 digest.add("rejected", str(request.cause))
                 continue
@@ -132,28 +134,30 @@
             outcome = chance.choice(OUTCOMES)
             if outcome is None:
                 active.remove(request)
-                core.abandon(request, now)
-                digest.add("abandoned", core.in_flight)
+                router.abandon(request, now)
+                digest.add("abandoned", router.in_flight)
                 continue
-            if core.attempt_ended(request, outcome, now):
+            if router.attempt_ended(request, outcome, now):
                 active.remove(request)
-                digest.add("ended", outcome.result.value, request.retries, core.in_flight)
+                digest.add("ended", outcome.result.value, request.retries, router.in_flight)
                 continue
-        attempt = core.next_attempt(request, now)
+        attempt = router.next_attempt(request, now)
         if attempt is None:
             active.remove(request)
-            core.abandon(request, now)
-            digest.add("nothing left", core.in_flight)
+            router.abandon(request, now)
+            digest.add("nothing left", router.in_flight)
         else:
             digest.add(attempt.endpoint, attempt.deadline_ns, request.retries, request.deadline_ns)
-        budget = core.retry_budget
-        digest.add(round(budget.tokens, 9), budget.granted, budget.denied, sorted(core.ejector.ejected(now)))
+        budget = router.retry_budget
+        digest.add(
+            round(budget.tokens, 9), budget.granted, budget.denied, sorted(router.ejector.ejected(now))
+        )
     digest.add(
-        core.ejector.ejection_count,
-        sorted(core.in_flight_by_endpoint.items()),
-        sorted((str(result), count) for result, count in core.attempt_counts.items()),
+        router.ejector.ejection_count,
+        sorted(router.in_flight_by_endpoint.items()),
+        sorted((str(result), count) for result, count in router.attempt_counts.items()),
     )
-    digest.add(sorted((str(cause), many) for cause, many in core.rejection_counts.items()))
+    digest.add(sorted((str(cause), many) for cause, many in router.rejection_counts.items()))
     rows = (
         (
             cluster,
@@ -394,8 +398,8 @@
         made = response_headers.forwarded_request(HttpMessage(3, REQUEST, b"body", [(b"x", b"y")]), rpc, left)
         digest.add(made.stream_id, made.headers, made.body, made.trailers)
     for rpc in (True, False):
-        for why in list(RequestResult)[1:-1]:
-            made = response_headers.local_response(why, rpc)
+        for result in list(RequestResult)[1:-1]:  # in the order of the recording
+            made = response_headers.local_response(result, rpc)
             digest.add(made.stream_id, made.headers, made.body, made.trailers)
     for path in (b"/", b"/a/b%20c?d", b"", b"/x/"):
         for timeout in (b"1H", b"2M", b"3S", b"4m", b"5u", b"6n", b"7x", b"", b"123456789S"):
