--- a/tests/proxy/test_recorded_behaviour.py
+++ b/tests/proxy/test_recorded_behaviour.py
@@ -10,7 +10,7 @@
 
 import pytest
 from envoy.config.cluster.v3.cluster_pb2 import Cluster
-from envoy.config.router.v3.health_check_pb2 import DRAINING
+from envoy.config.core.v3.health_check_pb2 import DRAINING
 from envoy.config.endpoint.v3.endpoint_components_pb2 import LbEndpoint
 from envoy.config.endpoint.v3.endpoint_pb2 import ClusterLoadAssignment
 from envoy.config.listener.v3.listener_pb2 import Listener
