--- a/tests/policy/test_command_digests.py
+++ b/tests/policy/test_command_digests.py
@@ -29,7 +29,8 @@
 )
 from swiftchute.api.settings import Settings
 from swiftchute.policy import Reconciler
-from tests.conftest import FACTS, Written, operation
+from tests.support.policy import RecordedCommands
+from tests.support.settings import FACTS, operation
 
 S = 1_000_000_000
 ROUNDS = 400
@@ -170,7 +171,7 @@
     generator, written = EventGenerator(5, settings.key_range_count, endpoints), []
     for step in range(ROUNDS):
         events = generator.first_events() if step == 0 else generator.events(step)
-        sink = Written()
+        sink = RecordedCommands()
         reconciler.reconcile(generator.now_ns, events, sink)
         generator.read(sink.all)
         written += [(verb, arguments if verb != "log" else ()) for verb, arguments in sink.all]
--- a/tests/policy/test_key_ranges.py
+++ b/tests/policy/test_key_ranges.py
@@ -2,6 +2,7 @@
 
 import pytest
 
+from swiftchute.api.endpoints import ListScope
 from swiftchute.api.events import (
     EndpointListUpdate,
     KeyRangeAssigned,
@@ -11,31 +12,34 @@
     ProxyConnected,
     TimerFired,
 )
+from tests.support.policy import list_changes
 
 S = 1_000_000_000
 
 
-def rounds(made):
+def rounds(harness):
     """The fixed list of events, one list a round."""
 
     def listed(scope, **states):
-        return EndpointListUpdate(scope, [made.server(name, state=state) for name, state in states.items()])
+        return EndpointListUpdate(
+            scope, [harness.endpoint(name, state=state) for name, state in states.items()]
+        )
 
     ready = dict.fromkeys(("a", "b", "c"), "ready")
     return [
         [KeyRangeAssigned(1), KeyRangeAssigned(2), KeyRangeAssigned(3)],  # before any list
-        [listed("held", **ready)],
+        [listed(ListScope.CACHED, **ready)],
         [KeyRangeAssigned(4), KeyRangeEntryRestored(4, "b", 0.5), KeyRangeEntryRestored(4, "c", 2.0)],
         [KeyRangeDemandReport(1, "read", 40, 1, S), ProxyConnected(0, "east", 10.0, True)],
-        [listed("changes", a="draining")],
-        [listed("changes", a="gone")],
+        [listed(ListScope.DELTA, a="draining")],
+        [listed(ListScope.DELTA, a="gone")],
         [KeyRangeRevoked(2), KeyRangeEntryRestored(5, "a", 1.0)],  # restored without an assignment
-        [listed("changes", a="ready", d="ready"), TimerFired(1)],
-        [listed("whole", d="ready", c="draining")],  # b is removed without draining
+        [listed(ListScope.DELTA, a="ready", d="ready"), TimerFired(1)],
+        [listed(ListScope.SNAPSHOT, d="ready", c="draining")],  # b is removed without draining
         [KeyRangeAssigned(3), KeyRangeEntryRestored(3, "c", 1.0), KeyRangeRevoked(9)],
         [listed("lost")],
-        [listed("changes", d="gone")],  # none is left
-        [listed("whole", e="ready", f="ready")],
+        [listed(ListScope.DELTA, d="gone")],  # none is left
+        [listed(ListScope.SNAPSHOT, e="ready", f="ready")],
         [KeyRangeAssigned(1)],
     ]
 
@@ -62,10 +66,10 @@
 
 
 @pytest.mark.parametrize("single_owner", [False, True])
-def test_commands_for_a_fixed_list_of_key_range_events(bench, single_owner):
-    made = bench(key_range_count=5, single_owner=single_owner)
-    for number, events in enumerate(rounds(made)):
-        written = made.turn(*events, wait=0.1).all
+def test_commands_for_a_fixed_list_of_key_range_events(make_harness, single_owner):
+    harness = make_harness(key_range_count=5, single_owner=single_owner)
+    for number, events in enumerate(rounds(harness)):
+        written = harness.run_round(*events, wait_s=0.1).all
         # with a single owner a new owner takes the old one's place, and no entry is written to remove it
         weights = [entry for entry in WRITTEN[number] if entry[2] or not single_owner]
         timers = [("start_timer", (100_000_000, 1))] if number in TIMER_ROUNDS else []
@@ -76,7 +80,16 @@
         assert [verb for verb, _ in written].count("log") == (number in LOG_ROUNDS)
 
 
-def test_key_ranges_write_no_tables_and_assign_no_proxies(bench):
-    made = bench(key_range_count=5)
-    verbs = {verb for events in rounds(made) for verb, _ in made.turn(*events, wait=1.5).all}
+def test_key_ranges_write_no_tables_and_assign_no_proxies(make_harness):
+    harness = make_harness(key_range_count=5)
+    verbs = {verb for events in rounds(harness) for verb, _ in harness.run_round(*events, wait_s=1.5).all}
     assert verbs == {"set_weight", "start_timer", "subscribe", "log"}
+
+
+def test_key_range_keeps_its_entry_until_the_endpoint_drains(make_harness):
+    harness = make_harness(key_range_count=2, single_owner=True)
+    records = [harness.endpoint("e0"), harness.endpoint("e1")]
+    given = [KeyRangeAssigned(1), KeyRangeEntryRestored(1, "e0", 1.0)]
+    assert harness.run_round(EndpointListUpdate(ListScope.CACHED, records), *given).of("set_weight") == []
+    commands = harness.run_round(list_changes([harness.endpoint("e0", state="draining")]))
+    assert commands.of("set_weight") == [(1, "e1", 1)]
