--- a/tests/simulator/test_host.py
+++ b/tests/simulator/test_host.py
@@ -1,10 +1,11 @@
-"""The adapter: framing both ways, bad input, starts and ends, faults."""
+"""The host: framing both ways, malformed input, starts and stops, faults."""
 
 import io
 import json
 
 import pytest
 
+from swiftchute.api.endpoints import ListScope
 from swiftchute.api.events import EndpointListUpdate, EndpointLoadReport
 from swiftchute.simulator.host import serve
 
@@ -26,8 +27,8 @@
 HELLO = {"HELLO": {"init_seed": 7, "profile_data": PROFILE}}
 
 
-class Noted:
-    """A decision module that notes its rounds and answers with what the test gave it."""
+class RecordingPolicy:
+    """A policy that records its rounds, and issues the commands that the test gives it."""
 
     rounds: list = []
     act = None
@@ -35,20 +36,20 @@
     def __init__(self, settings, seed):
         self.settings, self.seed = settings, seed
 
-    def reconcile(self, now, calls, writer):
-        Noted.rounds.append((self.seed, now, calls))
-        if Noted.act:
-            Noted.act(writer)
+    def reconcile(self, now_ns, events, commands):
+        RecordingPolicy.rounds.append((self.seed, now_ns, events))
+        if RecordingPolicy.act:
+            RecordingPolicy.act(commands)
 
 
 @pytest.fixture
 def play():
-    """Feed lines; returns the exit code, the replies and what went to standard error."""
-    Noted.rounds, Noted.act = [], None
+    """Feed lines; returns the exit code, the replies and the error output."""
+    RecordingPolicy.rounds, RecordingPolicy.act = [], None
 
     def run(*texts):
         replies, errors = io.StringIO(), io.StringIO()
-        code = serve(io.BytesIO("".join(t + "\n" for t in texts).encode()), replies, errors, Noted)
+        code = serve(io.BytesIO("".join(t + "\n" for t in texts).encode()), replies, errors, RecordingPolicy)
         return code, [json.loads(line) for line in replies.getvalue().splitlines()], errors.getvalue()
 
     return run
@@ -64,7 +65,7 @@
     assert play('{"now_us":1,"serial":4,"groups":[]}') == (0, [{"serial": 4, "groups": []}], "")
 
 
-def test_events_become_calls_in_our_words_and_units(play):
+def test_events_are_decoded_in_whole_names_and_nanoseconds(play):
     digest = {
         "az": "east",
         "server": "a:1",
@@ -77,23 +78,23 @@
     entry = {"server": "a:1", "az": "east", "model": "k", "pack": 2, "health": "ready", "share": 1.5,
              "last_start_us": None}  # fmt: skip
     play(batch(HELLO, {"FLEET": {"serial": 1, "scope": "warm_copy", "items": [entry]}}, {"DIGEST": digest}))
-    ((seed, now, calls),) = Noted.rounds
-    assert (seed, now) == (7, 5000)
-    assert calls == [
-        EndpointListUpdate("held", [("a:1", "east", "k", 2, "ready", 1.5, 0)]),
+    ((seed, now_ns, events),) = RecordingPolicy.rounds
+    assert (seed, now_ns) == (7, 5000)
+    assert events == [
+        EndpointListUpdate(ListScope.CACHED, [("a:1", "east", "k", 2, "ready", 1.5, 0)]),
         EndpointLoadReport("east", "a:1", 4, 1, 250000, 500000, None),
     ]
 
 
-def test_decisions_become_actions(play):
-    def act(writer):
-        writer.set_weight(1, "a:1", 0.5)
-        writer.assign_table(4, 1, 3)
-        writer.set_admission(None, 0, 0.75, 1)
-        writer.send_to_peer(None, b"hi")
-        writer.start_timer(1500, 2)
+def test_commands_are_encoded_as_actions(play):
+    def act(commands):
+        commands.set_weight(1, "a:1", 0.5)
+        commands.assign_table(4, 1, 3)
+        commands.set_admission(None, 0, 0.75, 1)
+        commands.send_to_peer(None, b"hi")
+        commands.start_timer(1500, 2)
 
-    Noted.act = act
+    RecordingPolicy.act = act
     code, replies, _ = play(batch(HELLO))
     assert (code, replies[0]["serial"]) == (0, 9)
     assert replies[0]["groups"] == [{"planner_id": 3, "outbox": [
@@ -105,14 +106,14 @@
     ]}]  # fmt: skip
 
 
-def test_restart_within_a_batch_starts_from_nothing(play):
-    left = {"DROPPED_OFF": {"client_lb": 1}}
-    play(batch(HELLO), batch(left, {"EXIT": {}}, {"HELLO": HELLO["HELLO"] | {"init_seed": 8}}))
-    assert Noted.rounds[-1] == (8, 5000, [])
+def test_restart_within_a_batch_drops_earlier_events(play):
+    disconnected = {"DROPPED_OFF": {"client_lb": 1}}
+    play(batch(HELLO), batch(disconnected, {"EXIT": {}}, {"HELLO": HELLO["HELLO"] | {"init_seed": 8}}))
+    assert RecordingPolicy.rounds[-1] == (8, 5000, [])
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "message"),
     [
         ("{nonsense", "line 1: not JSON"),
         ('{"serial":1,"groups":[]}', "line 1: not a batch"),
@@ -125,18 +126,18 @@
         (batch(HELLO, 5), "line 1, planner 3, event 2: not an event"),
     ],
 )
-def test_bad_input_is_named_in_one_line_and_ends_the_run(play, text, said):
+def test_malformed_input_is_reported_in_one_line_and_ends_the_run(play, text, message):
     code, replies, errors = play(text)
     assert (code != 0, replies) == (True, [])
-    assert said in errors
+    assert message in errors
     assert errors.count("\n") == 1
 
 
-def test_exception_in_the_module_becomes_the_fault_of_its_instance(play):
-    def act(writer):
+def test_exception_in_a_policy_becomes_the_fault_of_its_instance(play):
+    def act(commands):
         raise ValueError("no such thing")
 
-    Noted.act = act
+    RecordingPolicy.act = act
     code, replies, errors = play(batch(HELLO))
     assert code == 0
     assert replies[0]["groups"][0]["outbox"] == [{"FAULT": {"msg": "ValueError: no such thing"}}]
