--- a/swiftchute/platform/server.py
+++ b/swiftchute/platform/server.py
@@ -20,7 +20,6 @@
 from swiftchute.platform.discovery_client import DiscoveryClient, DiscoveryConnection, OpenConnection
 from swiftchute.platform.endpoint_list import EndpointList, ListUpdate
 from swiftchute.platform.errors import DiscoveryError, SettingsError
-from swiftchute.platform.logging import EventLog
 from swiftchute.platform.round_schedule import RoundSchedule
 from swiftchute.platform.session_manager import SessionManager
 from swiftchute.platform.settings import Configuration
@@ -46,7 +45,7 @@
         self,
         configuration: Configuration,
         environment: Mapping[str, str],
-        log: EventLog | Callable[..., None],
+        log: Callable[..., None],
     ) -> None:
         """Build the state machines; nothing is opened yet.
 
