--- a/swiftchute/platform/proxy_session.py
+++ b/swiftchute/platform/proxy_session.py
@@ -10,7 +10,9 @@
 
 from collections import deque
 from enum import Enum
-from typing import Any, NamedTuple, Protocol
+from typing import Any, Protocol
+
+import msgspec
 
 from swiftchute.platform import wire_messages
 from swiftchute.platform.errors import MalformedMessageError, UnreadableMessageError
@@ -30,7 +32,7 @@
         """Count a malformed message of a client that is known."""
 
 
-class PendingNonce(NamedTuple):
+class PendingNonce(msgspec.Struct, frozen=True, gc=False):
     """A nonce that the proxy has not acknowledged."""
 
     nonce: int
--- a/swiftchute/platform/push_encoder.py
+++ b/swiftchute/platform/push_encoder.py
@@ -157,7 +157,8 @@
         self, written: ProxyContent, desired: dict[int, TableContent], eject: list[str], restore: list[str]
     ) -> None:
         written.tables = desired or written.tables
-        written.ejected = (written.ejected | set(eject)) - set(restore)
+        if eject or restore:
+            written.ejected = written.ejected.union(eject).difference(restore)
         if written.foreign:
-            settled = written.settled | set(eject) | set(restore)
+            settled = written.settled.union(eject, restore)
             written.settled = settled & (self.listed.started_ns.keys() | written.ejected)
