--- a/swiftchute/controller/controller.py
+++ b/swiftchute/controller/controller.py
@@ -195,7 +195,7 @@
         """A good list brought these entries."""
         self.news += 1
         barred = set(self.barred)
-        for entry in news.entries:
+        for entry in news.endpoints:
             server, zone, state = entry.endpoint, entry.zone, entry.state
             self.facts[server] = EndpointStatus(zone, state, entry.started_ns, entry.weight, entry.kind)
             if len(self.facts) > FACTS_MOST:  # those gone are forgotten; to the guard they are gone still
@@ -205,7 +205,7 @@
         if len(barred) > FACTS_MOST:
             barred &= self.facts.keys()
         self.barred = frozenset(barred)
-        self.news_of_list(news.scope, news.entries)
+        self.news_of_list(news.scope, news.endpoints)
 
     # -- a turn
 
--- a/swiftchute/daemon/service.py
+++ b/swiftchute/daemon/service.py
@@ -9,7 +9,8 @@
 from swiftchute.config import Config
 from swiftchute.controller.controller import Core, Keep
 from swiftchute.daemon.commands import Commands
-from swiftchute.discovery.endpoint_list import EndpointList, EndpointListError
+from swiftchute.discovery.endpoint_list import EndpointList
+from swiftchute.discovery.errors import EndpointListError
 from swiftchute.discovery.sources import FileSource, HttpSource
 from swiftchute.dns.frontend import Front as DnsFront
 from swiftchute.dns.server import Shell as DnsShell
@@ -80,23 +81,31 @@
 
     def _took(self, text: bytes) -> None:
         try:
-            news = self.registry.read(text)
+            news = self.registry.update(text)
         except EndpointListError as why:
             self.log.warning(
-                "list refused", cause=str(why), kept=len(self.registry.held), bad=self.registry.bad
+                "list refused",
+                cause=str(why),
+                kept=len(self.registry.endpoints),
+                bad=self.registry.rejected_count,
             )
             return
         if news is None:
             return
-        for passed in news.passed[:16]:
+        for passed in news.skipped[:16]:
             self.log.warning("entry passed over", cause=passed)
-        self.log.info("list", scope=news.scope, entries=len(news.entries), passed=len(news.passed))
+        self.log.info("list", scope=news.scope, entries=len(news.endpoints), passed=len(news.skipped))
         self.core.listed(news)
         self.kick()
 
     def _failed(self, cause: str) -> None:
-        self.registry.bad += 1
-        self.log.warning("list unreadable", cause=cause, kept=len(self.registry.held), bad=self.registry.bad)
+        self.registry.rejected_count += 1
+        self.log.warning(
+            "list unreadable",
+            cause=cause,
+            kept=len(self.registry.endpoints),
+            bad=self.registry.rejected_count,
+        )
 
     def kick(self) -> None:
         """Something came in: have a turn soon."""
--- a/swiftchute/discovery/endpoint_list.py
+++ b/swiftchute/discovery/endpoint_list.py
@@ -1,130 +1,128 @@
-"""Lists in Prometheus' service discovery form (file_sd, http_sd), and the last good one. No I/O, no clock.
+"""Endpoint lists in Prometheus' service discovery format, and the last good one. No I/O, no clock.
 
-    registry = Registry(zones, wall_offset)
-    news = registry.read(text)     # News, or raises BadList; the last good list stays
+    endpoint_list = EndpointList(zones, clock_offset_ns)
+    change = endpoint_list.update(text)  # EndpointListChange, or raises EndpointListError
 
-A list is a JSON array of `{"targets": ["host:port", ..], "labels": {..}}`. Labels, all strings as in the
-form's page: `zone` (needed), `kind`, `cell`, `state` (ready or draining; a server that is not named is gone),
-`weight`, `start` (seconds since 1970, of the server's last start).
+A list (file_sd, http_sd) is a JSON array of `{"targets": ["host:port", ..], "labels": {..}}`. Labels, all
+strings as in the format's page: `zone` (required), `kind`, `cell`, `state` (ready or draining; an endpoint
+that is not named is removed), `weight`, `start` (seconds since 1970 of the endpoint's last start).
 """
 
-import ipaddress
-import math
 from dataclasses import dataclass, field
 
 import msgspec
 
-from swiftchute.api.endpoints import EndpointRecord, EndpointState
+from swiftchute.api.endpoints import EndpointRecord, EndpointState, ListScope
+from swiftchute.discovery.errors import EndpointListError, InvalidEndpointError
+from swiftchute.discovery.targets import parse_target
 
-S = 1_000_000_000
-SERVERS_MOST = 100_000
-_STATES = ("ready", "draining")
+MAX_TARGETS = 100_000
+MAX_SHOWN_CHARS = 64  # of a target that a message quotes
 
 
-class EndpointListError(Exception):
-    """A list that cannot be believed; its text says what is wrong and where."""
-
-
-@dataclass(frozen=True)
+@dataclass(frozen=True, slots=True)
 class EndpointListChange:
-    """What a good list brings: "held" for the first, else "changes"; and entries that were passed
-    over, with why."""
+    """What an accepted list changes.
 
-    scope: str
-    entries: tuple[EndpointRecord, ...]
-    passed: tuple[str, ...]
+    Attributes:
+        scope: `CACHED` for the first list, `DELTA` for those that follow.
+        endpoints: New, changed and removed endpoints, sorted.
+        skipped: One text for each target that was ignored, with the cause.
+    """
 
+    scope: ListScope | str
+    endpoints: tuple[EndpointRecord, ...]
+    skipped: tuple[str, ...]
 
-class _Group(msgspec.Struct):
+
+class _TargetGroup(msgspec.Struct):
     targets: list[str]
     labels: dict[str, str] = {}
 
 
 @dataclass
 class EndpointList:
-    """The last good list; `offset` is wall clock minus the planner's clock, fixed, so that a start
-    stays one figure."""
+    """The last good endpoint list, and how many lists were accepted and rejected.
+
+    Attributes:
+        zones: Names of the zones that endpoints may lie in.
+        clock_offset_ns: Wall clock minus the control plane's clock, fixed so that a start time stays the
+            same from list to list.
+        endpoints: The last good list by target.
+    """
 
     zones: tuple[str, ...]
-    offset: int
-    held: dict[str, EndpointRecord] = field(default_factory=dict)
-    read_once: bool = False
-    good: int = 0
-    bad: int = 0
-
-    def read(self, text: bytes) -> EndpointListChange | None:
-        """Take in a list; None if nothing changed. Raises `EndpointListError`; the last good list stays."""
+    clock_offset_ns: int
+    endpoints: dict[str, EndpointRecord] = field(default_factory=dict)
+    has_list: bool = False
+    accepted_count: int = 0
+    rejected_count: int = 0
+
+    def update(self, text: bytes) -> EndpointListChange | None:
+        """Replace the list by a new one.
+
+        Args:
+            text: The list as JSON.
+
+        Returns:
+            What changed, or None if nothing did.
+
+        Raises:
+            EndpointListError: The list is rejected; the last good one stays.
+        """
         try:
-            return self._read(text)
+            return self._accept(_decode_groups(text))
         except EndpointListError:
-            self.bad += 1
+            self.rejected_count += 1
             raise
 
-    def _read(self, text: bytes) -> EndpointListChange | None:
-        try:
-            groups = msgspec.json.decode(text, type=list[_Group])
-        except (msgspec.DecodeError, UnicodeDecodeError) as why:
-            raise EndpointListError(f"not a list of targets: {why}") from None
-        if sum(len(g.targets) for g in groups) > SERVERS_MOST:
-            raise EndpointListError(f"more than {SERVERS_MOST} targets")
+    def _accept(self, groups: list[_TargetGroup]) -> EndpointListChange | None:
+        found, skipped = self._read_groups(groups)
+        if not found and self.endpoints:
+            raise EndpointListError("no server in it: a list empties no pool; drain servers instead")
+        removed = [
+            record._replace(state=EndpointState.REMOVED)
+            for target, record in self.endpoints.items()
+            if target not in found
+        ]
+        changed = [record for target, record in found.items() if self.endpoints.get(target) != record]
+        scope = ListScope.DELTA if self.has_list else ListScope.CACHED
+        self.endpoints = found
+        self.has_list = True
+        self.accepted_count += 1
+        endpoints = tuple(sorted([*changed, *removed]))
+        if not endpoints and not skipped and scope != ListScope.CACHED:
+            return None
+        return EndpointListChange(scope, endpoints, tuple(skipped))
+
+    def _read_groups(self, groups: list[_TargetGroup]) -> tuple[dict[str, EndpointRecord], list[str]]:
+        """Return the endpoints by target, and a text for each target that is skipped.
+
+        A target that cannot be read does not hide the drains beside it: its last good record stays. Of two
+        records of one target the one that takes it out of service counts.
+        """
         found: dict[str, EndpointRecord] = {}
-        passed = []
+        skipped = []
         for place, group in enumerate(groups, 1):
             for target in group.targets:
                 try:
-                    entry = self._entry(target, group.labels)
-                except ValueError as why:
-                    # One bad entry must not hold up the drains that the others tell of; what the last good
-                    # list said of this server stands.
-                    passed.append(f"group {place}, target {target[:64]!r}: {why}")
-                    if target not in self.held:
+                    record = parse_target(target, group.labels, self.zones, self.clock_offset_ns)
+                except InvalidEndpointError as error:
+                    skipped.append(f"group {place}, target {target[:MAX_SHOWN_CHARS]!r}: {error}")
+                    if target not in self.endpoints:
                         continue
-                    entry = self.held[target]
-                twin = found.get(target)
-                if (
-                    twin is None or twin.state == EndpointState.READY
-                ):  # named twice: the word that takes it out counts
-                    found[target] = entry
-        if not found and self.held:
-            raise EndpointListError("no server in it: a list empties no pool; drain servers instead")
-        gone = [e._replace(state=EndpointState.REMOVED) for n, e in self.held.items() if n not in found]
-        changed = [e for n, e in found.items() if self.held.get(n) != e]
-        scope = "changes" if self.read_once else "held"
-        self.held, self.read_once, self.good = found, True, self.good + 1
-        entries = tuple(sorted([*changed, *gone]))
-        return (
-            EndpointListChange(scope, entries, tuple(passed))
-            if entries or passed or scope == "held"
-            else None
-        )
-
-    def _entry(self, target: str, labels: dict[str, str]) -> EndpointRecord:
-        host, _, port = target.rpartition(":")
-        try:
-            ipaddress.ip_address(host.strip("[]"))
-            number = int(port)
-        except ValueError:
-            raise ValueError("not address:port") from None
-        if not 0 < number < 65_536:
-            raise ValueError(f"port {number}")
-        zone, state = labels.get("zone", ""), labels.get("state", "ready")
-        if zone not in self.zones:
-            raise ValueError(f"label zone: {zone[:64]!r} is none of {', '.join(self.zones)}")
-        if state not in _STATES:
-            raise ValueError(f"label state: {state[:64]!r} is neither ready nor draining")
-        weight, start = self._number(labels, "weight", 1.0), self._number(labels, "start", 0.0)
-        cell = self._number(labels, "cell", 0.0)
-        if weight == 0:
-            raise ValueError("label weight: 0; drain the server instead")
-        started = int(start * S) - self.offset if start else 0
-        return EndpointRecord(target, zone, labels.get("kind", ""), int(cell), state, weight, started)
-
-    @staticmethod
-    def _number(labels: dict[str, str], label: str, default: float) -> float:
-        try:
-            value = float(labels.get(label, default))
-        except ValueError:
-            value = math.nan
-        if not 0 <= value < 1e12:
-            raise ValueError(f"label {label}: {labels[label][:64]!r} is no figure of 0 or more")
-        return value
+                    record = self.endpoints[target]
+                earlier = found.get(target)
+                if earlier is None or earlier.state == EndpointState.READY:
+                    found[target] = record
+        return found, skipped
+
+
+def _decode_groups(text: bytes) -> list[_TargetGroup]:
+    try:
+        groups = msgspec.json.decode(text, type=list[_TargetGroup])
+    except (msgspec.DecodeError, UnicodeDecodeError) as error:
+        raise EndpointListError(f"not a list of targets: {error}") from None
+    if sum(len(group.targets) for group in groups) > MAX_TARGETS:
+        raise EndpointListError(f"more than {MAX_TARGETS} targets")
+    return groups
--- a/swiftchute/discovery/sources.py
+++ b/swiftchute/discovery/sources.py
@@ -1,96 +1,149 @@
-"""Sources of lists: a file that is watched, or a URL that is asked. Each calls `took(text)` or
-`failed(cause)`."""
+"""Sources of endpoint lists: a file that is watched, or a URL that is polled.
+
+Each source calls `on_list(text)` with a list it read, or `on_failure(cause)`.
+"""
 
 import asyncio
 import os
 import random
 from collections.abc import Callable
+from typing import NamedTuple
 
 import httpx
 
-S = 1_000_000_000
-BYTES_MOST = 64 * 2**20  # a longer list is refused unread
+from swiftchute.discovery.backoff import Backoff
+from swiftchute.discovery.errors import SourceError
+
+NS_PER_S = 1_000_000_000
+MAX_LIST_BYTES = 64 * 2**20
+HTTP_OK = 200
+FIRST_BACKOFF_INTERVALS = 2  # bound of the wait after the first failed poll, in poll intervals
+MAX_BACKOFF_INTERVALS = 8  # bound of the wait after any number of failed polls, in poll intervals
+RESPONSE_TIMEOUTS = 2  # a whole response may take so many times the timeout of one of its reads
+
+
+class _FileStamp(NamedTuple):
+    modified_ns: int
+    size_bytes: int
+    inode: int
 
 
 class FileSource:
-    """A file_sd file, looked at every `every` ns and read when it was changed or replaced."""
+    """A file_sd file, read whenever it was changed or replaced."""
 
     def __init__(
-        self, path: str, every: int, took: Callable[[bytes], None], failed: Callable[[str], None]
+        self,
+        path: str,
+        interval_ns: int,
+        on_list: Callable[[bytes], None],
+        on_failure: Callable[[str], None],
     ) -> None:
-        """Nothing is read before `run`."""
-        self.path, self.every, self.took, self.failed = path, every, took, failed
-        self.seen: tuple[int, int, int] | None = None
-        self.told = ""
+        """Read nothing yet.
+
+        Args:
+            path: Path of the file.
+            interval_ns: Time from one look at the file to the next, nanoseconds.
+            on_list: Called with the content of a changed file.
+            on_failure: Called with the cause of a failure, once until the cause changes.
+        """
+        self.path = path
+        self.interval_ns = interval_ns
+        self.on_list = on_list
+        self.on_failure = on_failure
+        self._last_stamp: _FileStamp | None = None
+        self._last_failure = ""
 
-    def look(self) -> None:
-        """Read the file if it is not the one read last; a failure is told once until it changes."""
+    def poll(self) -> None:
+        """Read the file if it changed since it was last read."""
         try:
-            with open(self.path, "rb") as source:
-                at = os.fstat(source.fileno())
-                stamp = (at.st_mtime_ns, at.st_size, at.st_ino)
-                if stamp == self.seen:
-                    return
-                if at.st_size > BYTES_MOST:
-                    raise OSError(f"{at.st_size} bytes; {BYTES_MOST} at most")
-                text = source.read(BYTES_MOST)
-        except OSError as why:
-            self.seen = None
-            if str(why) != self.told:
-                self.told = str(why)
-                self.failed(f"{self.path}: {why.strerror or why}")
+            text = self._read_if_changed()
+        except OSError as error:
+            self._last_stamp = None
+            if str(error) != self._last_failure:
+                self._last_failure = str(error)
+                self.on_failure(f"{self.path}: {error.strerror or error}")
             return
-        self.seen, self.told = stamp, ""
-        self.took(text)
+        if text is not None:
+            self._last_failure = ""
+            self.on_list(text)
+
+    def _read_if_changed(self) -> bytes | None:
+        with open(self.path, "rb") as file:
+            status = os.fstat(file.fileno())
+            stamp = _FileStamp(status.st_mtime_ns, status.st_size, status.st_ino)
+            if stamp == self._last_stamp:
+                return None
+            if stamp.size_bytes > MAX_LIST_BYTES:
+                raise OSError(f"{stamp.size_bytes} bytes; {MAX_LIST_BYTES} at most")
+            text = file.read(MAX_LIST_BYTES)
+        self._last_stamp = stamp
+        return text
 
     async def run(self) -> None:
-        """Look until cancelled."""
+        """Poll until cancelled."""
         while True:
-            self.look()
-            await asyncio.sleep(self.every / S)
+            self.poll()
+            await asyncio.sleep(self.interval_ns / NS_PER_S)
 
 
 class HttpSource:
-    """An http_sd URL, asked every `every` ns; after failures the wait doubles, up to eight times, by
-    chance."""
+    """An http_sd URL, polled at an interval, and after failures with exponential backoff."""
 
     def __init__(
         self,
         url: str,
-        every: int,
-        timeout: int,
-        took: Callable[[bytes], None],
-        failed: Callable[[str], None],
+        interval_ns: int,
+        timeout_ns: int,
+        on_list: Callable[[bytes], None],
+        on_failure: Callable[[str], None],
         seed: int,
     ) -> None:
-        """Nothing is asked before `run`."""
-        self.url, self.every, self.timeout, self.took, self.failed = url, every, timeout / S, took, failed
-        self.random, self.lost = random.Random(seed), 0
+        """Request nothing yet.
 
-    async def _ask(self, client: httpx.AsyncClient) -> bytes:
-        text = bytearray()
-        async with client.stream("GET", self.url) as answer:
-            if answer.status_code != 200:
-                raise ValueError(f"status {answer.status_code}")
-            async for part in answer.aiter_bytes():
-                text += part
-                if len(text) > BYTES_MOST:
-                    raise ValueError(f"more than {BYTES_MOST} bytes")
-        return bytes(text)
+        Args:
+            url: Address of the list.
+            interval_ns: Time from one poll to the next, nanoseconds.
+            timeout_ns: Longest time of connecting, and of each read of a response, nanoseconds.
+            on_list: Called with the body of each response.
+            on_failure: Called with the cause of each failed poll.
+            seed: Seed of the jitter of the backoff.
+        """
+        self.url = url
+        self.interval_ns = interval_ns
+        self.timeout_s = timeout_ns / NS_PER_S
+        self.on_list = on_list
+        self.on_failure = on_failure
+        self._backoff = Backoff(
+            FIRST_BACKOFF_INTERVALS * interval_ns, MAX_BACKOFF_INTERVALS * interval_ns, random.Random(seed)
+        )
 
     async def run(self) -> None:
-        """Ask until cancelled."""
-        async with httpx.AsyncClient(timeout=self.timeout, trust_env=False) as client:
+        """Poll until cancelled."""
+        async with httpx.AsyncClient(timeout=self.timeout_s, trust_env=False) as client:
             while True:
-                try:
-                    # the time-out is for the whole answer: one that drips must not stop the asking
-                    async with asyncio.timeout(2 * self.timeout):
-                        text = await self._ask(client)
-                except (httpx.HTTPError, ValueError, TimeoutError) as why:
-                    self.lost += 1
-                    self.failed(f"{self.url}: {why or type(why).__name__}")
-                else:
-                    self.lost = 0
-                    self.took(text)
-                wait = self.every * min(2**self.lost, 8) / S
-                await asyncio.sleep(wait * self.random.uniform(0.5, 1.0) if self.lost else wait)
+                wait_ns = await self._poll(client)
+                await asyncio.sleep(wait_ns / NS_PER_S)
+
+    async def _poll(self, client: httpx.AsyncClient) -> int:
+        """Request the list once; return the time until the next poll, nanoseconds."""
+        try:
+            # the client's timeout is one of each read: a response that drips would never end by it
+            async with asyncio.timeout(RESPONSE_TIMEOUTS * self.timeout_s):
+                text = await self._fetch(client)
+        except (httpx.HTTPError, ValueError, TimeoutError) as error:
+            self.on_failure(f"{self.url}: {error or type(error).__name__}")
+            return self._backoff.next_wait_ns()
+        self._backoff.reset()
+        self.on_list(text)
+        return self.interval_ns
+
+    async def _fetch(self, client: httpx.AsyncClient) -> bytes:
+        text = bytearray()
+        async with client.stream("GET", self.url) as response:
+            if response.status_code != HTTP_OK:
+                raise SourceError(f"status {response.status_code}")
+            async for chunk in response.aiter_bytes():
+                text += chunk
+                if len(text) > MAX_LIST_BYTES:
+                    raise SourceError(f"more than {MAX_LIST_BYTES} bytes")
+        return bytes(text)
--- a/swiftchute/safety/offline.py
+++ b/swiftchute/safety/offline.py
@@ -5,7 +5,8 @@
 import msgspec
 
 from swiftchute.api.settings import Settings
-from swiftchute.discovery.endpoint_list import EndpointList, EndpointListError
+from swiftchute.discovery.endpoint_list import EndpointList
+from swiftchute.discovery.errors import EndpointListError
 from swiftchute.safety.validator import (
     EndpointStatus,
     Observations,
@@ -51,14 +52,14 @@
     """What a list says of each server; starts are wall clock, so ages are as of now."""
     registry = EndpointList(zones, 0)
     try:
-        news = registry.read(_bytes(path))
+        news = registry.update(_bytes(path))
     except EndpointListError as why:
         raise InputFileError(f"{path}: {why}") from None
-    if news is not None and news.passed:
-        raise InputFileError(f"{path}: {news.passed[0]}")
+    if news is not None and news.skipped:
+        raise InputFileError(f"{path}: {news.skipped[0]}")
     return {
         e.endpoint: EndpointStatus(e.zone, e.state, e.started_ns, e.weight, e.kind)
-        for e in registry.held.values()
+        for e in registry.endpoints.values()
     }
 
 
--- /dev/null
+++ b/tests/discovery/test_sources.py
@@ -0,0 +1,64 @@
+"""Sources of endpoint lists: files that vanish or are replaced, URLs that fail, hang or drip."""
+
+import asyncio
+import os
+
+from swiftchute.discovery.sources import FileSource, HttpSource
+
+S, MS = 1_000_000_000, 1_000_000
+
+
+def test_a_missing_file_is_reported_once_and_read_when_it_is_back(tmp_path):
+    lists, failures, path = [], [], tmp_path / "list.json"
+    source = FileSource(str(path), S, lists.append, failures.append)
+    source.poll()
+    source.poll()
+    assert len(failures) == 1
+    path.write_bytes(b"[]")
+    source.poll()
+    source.poll()
+    assert lists == [b"[]"]
+    other = tmp_path / "new.json"  # replaced as a whole, with the same size
+    other.write_bytes(b"{}")
+    os.replace(other, path)
+    source.poll()
+    assert lists == [b"[]", b"{}"]
+
+
+def test_error_responses_and_responses_that_hang_or_end_early_fail_within_the_timeout():
+    """Each response in turn: an error, a good list, one that never ends, one cut short."""
+    lists, failures, requests = [], [], []
+
+    async def serve(reader, writer):
+        await reader.readuntil(b"\r\n\r\n")
+        requests.append(1)
+        kind = len(requests)
+        if kind == 1:
+            writer.write(b"HTTP/1.1 503 Busy\r\ncontent-length: 0\r\n\r\n")
+        elif kind == 2:
+            writer.write(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n[]")
+        elif kind == 3:
+            writer.write(b"HTTP/1.1 200 OK\r\ncontent-length: 1000\r\n\r\n")
+            for _ in range(100):
+                writer.write(b"[")
+                await asyncio.sleep(0.02)
+        else:
+            writer.write(b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\n[")
+        writer.close()
+
+    async def run():
+        server = await asyncio.start_server(serve, "127.0.0.1", 0)
+        port = server.sockets[0].getsockname()[1]
+        source = HttpSource(f"http://127.0.0.1:{port}/", 10 * MS, 100 * MS, lists.append, failures.append, 1)
+        task = asyncio.ensure_future(source.run())
+        for _ in range(300):
+            await asyncio.sleep(0.01)
+            if len(failures) >= 3:
+                break
+        task.cancel()
+        server.close()
+
+    asyncio.run(run())
+    assert lists == [b"[]"]
+    assert "503" in failures[0]
+    assert len(failures) >= 3
