--- a/swiftchute/versions/delivery.py
+++ b/swiftchute/versions/delivery.py
@@ -25,14 +25,14 @@
     policy."""
 
     version: bytes
-    lines: tuple[tuple[str, str, float], ...]
-    levels: tuple[tuple[float, int], ...]
+    entries: tuple[tuple[str, str, float], ...]
+    admission: tuple[tuple[float, int], ...]
 
 
 class Holding(Protocol):
     """What a proxy holds: (operation, table name) pairs, and the tables' contents by name."""
 
-    bound: tuple[tuple[str, str], ...]
+    tables_by_operation: tuple[tuple[str, str], ...]
     contents: dict[str, Any]
 
 
@@ -148,7 +148,7 @@
     """Return by endpoint the greatest share that any table of these holdings gives it."""
     greatest: dict[str, float] = {}
     for holding in holdings:
-        for operation, table in holding.bound:
+        for operation, table in holding.tables_by_operation:
             if operation in operations:
                 for endpoint, share in _admitted_shares(holding.contents[table], endpoints).items():
                     greatest[endpoint] = max(greatest.get(endpoint, 0.0), share)
@@ -157,9 +157,9 @@
 
 def _admitted_shares(content: Content, endpoints: Collection[str]) -> Mapping[str, float]:
     """Return by endpoint the part of a table's requests that it gets, rejected requests counted."""
-    weights = [(endpoint, weight) for endpoint, _, weight in content.lines if endpoint in endpoints]
+    weights = [(endpoint, weight) for endpoint, _, weight in content.entries if endpoint in endpoints]
     if not weights:
         return {}
-    rate = min(max((rate for rate, _ in content.levels), default=1.0), 1.0)
-    total = sum(weight for _, _, weight in content.lines)
+    rate = min(max((rate for rate, _ in content.admission), default=1.0), 1.0)
+    total = sum(weight for _, _, weight in content.entries)
     return {endpoint: rate * weight / total for endpoint, weight in weights}
