--- a/swiftchute/controller/controller.py
+++ b/swiftchute/controller/controller.py
@@ -589,8 +589,8 @@
         raise PinError(f"no proxy is on a table {name!r}; in use are {used or 'none'}")
 
     def pin(self, name: str, asked: str, span: int, levels: bool, cause: str, now: int) -> VersionChange:
-        """Hold a table at a kept version for so long. Raises `UnknownVersionError` or `PinError`; nothing changes
-        then."""
+        """Hold a table at a kept version for so long. Raises `UnknownVersionError` or `PinError`;
+        nothing changes then."""
         if not MIN_PIN_NS <= span <= MAX_PIN_NS:
             raise PinError(
                 f"{span / NS_PER_S:g} s: a pin lasts {MIN_PIN_NS // NS_PER_S} to {MAX_PIN_NS // NS_PER_S} s"
