--- a/swiftchute/daemon/commands.py
+++ b/swiftchute/daemon/commands.py
@@ -90,10 +90,11 @@
         pin = self.controller.pins.by_table.get(table)
         return self._change(change) | {
             "levels": [
-                [op, rate / encoding.ADMISSION_RATE_SCALE, tries] for op, rate, tries in content.admission
+                [row.operation, row.rate_millionths / encoding.ADMISSION_RATE_SCALE, row.retry_policy]
+                for row in content.admission
             ],
             "lines": [
-                [entry.endpoint, entry.zone, entry.weight_units / encoding.WEIGHT_SCALE]
+                [entry.endpoint, entry.zone, _weight(entry)]
                 for entry in content.entries
             ],
             "pinned": None if pin is None else {
@@ -112,14 +113,16 @@
             "after": two.version.hex(),
             "lines": [
                 [
-                    server,
-                    was[server].weight_units / encoding.WEIGHT_SCALE if server in was else None,
-                    units / encoding.WEIGHT_SCALE,
+                    entry.endpoint,
+                    _weight(was[entry.endpoint]) if entry.endpoint in was else None,
+                    _weight(entry),
                 ]
-                for server, _, units in step.changed
+                for entry in step.changed
             ]
-            + [[server, was[server].weight_units / encoding.WEIGHT_SCALE, None] for server in step.removed],
-            "levels": None if step.admission is None else {"before": old.admission, "after": new.admission},
+            + [[endpoint, _weight(was[endpoint]), None] for endpoint in step.removed],
+            "levels": None
+            if step.admission is None
+            else {"before": _admission_rows(old), "after": _admission_rows(new)},
             "bytes": len(encoding.encode(step)),
             "whole": len(encoding.encode(new)),
         }
@@ -145,3 +148,11 @@
         """The module's orders count again."""
         self.controller.release(table, self.clock())
         self.done()
+
+
+def _weight(entry: encoding.TableEntry) -> float:
+    return entry.weight_units / encoding.WEIGHT_SCALE
+
+
+def _admission_rows(table: encoding.Table) -> list[tuple[str, int, int]]:
+    return [(row.operation, row.rate_millionths, row.retry_policy) for row in table.admission]
--- a/swiftchute/dns/zone_transfer.py
+++ b/swiftchute/dns/zone_transfer.py
@@ -80,7 +80,7 @@
                     table = self.history.content(kept)
                     if table is None:
                         return None
-                    kept = tuple((server, z, units / WEIGHT_SCALE) for server, z, units in table.entries)
+                    kept = tuple((e.endpoint, e.zone, e.weight_units / WEIGHT_SCALE) for e in table.entries)
                 contents.setdefault(zone, {})[op] = kept
         return Records(self.names, contents, entry.cold, self.ttl, serial, self.shape)
 
--- a/swiftchute/versions/encoding.py
+++ b/swiftchute/versions/encoding.py
@@ -10,7 +10,8 @@
 
 import hashlib
 from collections.abc import Iterable
-from typing import Any, NamedTuple
+from itertools import starmap
+from typing import Any
 
 import msgspec
 
@@ -23,7 +24,7 @@
 ADMISSION_RATE_SCALE = 1_000_000  # an admission rate is stored as a whole number of millionths
 
 
-class OperationAdmission(NamedTuple):
+class OperationAdmission(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True, gc=False):
     """Admission of one operation, as it is stored."""
 
     operation: str
@@ -31,7 +32,7 @@
     retry_policy: int
 
 
-class TableEntry(NamedTuple):
+class TableEntry(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True, gc=False):
     """One endpoint of a table, as it is stored."""
 
     endpoint: str
@@ -82,25 +83,14 @@
         admission: Operation, admission rate (0 to 1) and retry policy.
         entries: Endpoint, zone and weight.
     """
-    return Table(
-        tuple(
-            sorted(
-                OperationAdmission(operation, _rate_millionths(rate), retry_policy)
-                for operation, rate, retry_policy in admission
-            )
-        ),
-        tuple(
-            sorted(TableEntry(endpoint, zone, _weight_units(weight)) for endpoint, zone, weight in entries)
-        ),
+    admission_rows = sorted(
+        (operation, round(min(max(rate, 0.0), 1.0) * ADMISSION_RATE_SCALE), retry_policy)
+        for operation, rate, retry_policy in admission
     )
-
-
-def _rate_millionths(rate: float) -> int:
-    return round(min(max(rate, 0.0), 1.0) * ADMISSION_RATE_SCALE)
-
-
-def _weight_units(weight: float) -> int:
-    return max(round(weight * WEIGHT_SCALE), 1)
+    entry_rows = sorted(
+        (endpoint, zone, max(round(weight * WEIGHT_SCALE), 1)) for endpoint, zone, weight in entries
+    )
+    return Table(tuple(starmap(OperationAdmission, admission_rows)), tuple(starmap(TableEntry, entry_rows)))
 
 
 def encode(content: Table | Delta) -> bytes:
@@ -126,7 +116,9 @@
             give equal content two versions.
     """
     table = _decode(data, Table)
-    if encode(table) != data or not _sorted_once(table.entries) or not _sorted_once(table.admission):
+    endpoints = [entry.endpoint for entry in table.entries]
+    operations = [row.operation for row in table.admission]
+    if encode(table) != data or not _is_sorted_set(endpoints) or not _is_sorted_set(operations):
         raise EncodingError("not in canonical form")
     for entry in table.entries:
         if entry.weight_units < 1:
@@ -153,9 +145,9 @@
     return content
 
 
-def _sorted_once(rows: tuple[Any, ...]) -> bool:
-    """Return whether rows are sorted and none has the name of another."""
-    return list(rows) == sorted({row[0]: row for row in rows}.values())
+def _is_sorted_set(names: list[str]) -> bool:
+    """Return whether names are sorted and none occurs twice."""
+    return names == sorted(set(names))
 
 
 def make_delta(before: Table, after: Table) -> Delta:
@@ -185,7 +177,7 @@
         entries.pop(endpoint, None)
     entries |= {entry.endpoint: entry for entry in delta.changed}
     admission = before.admission if delta.admission is None else delta.admission
-    after = Table(admission, tuple(sorted(entries.values())))
+    after = Table(admission, tuple(entries[endpoint] for endpoint in sorted(entries)))
     target_version = version_of(after)
     if target_version != delta.target_version:
         raise DeltaMismatchError(
--- a/swiftchute/versions/known_bugs.py
+++ b/swiftchute/versions/known_bugs.py
@@ -32,7 +32,7 @@
             return response
         entries = {entry.endpoint: entry for entry in self.table.entries} if self.table else {}
         entries |= {entry.endpoint: entry for entry in message.update.changed}
-        self.table = Table((), tuple(sorted(entries.values())))
+        self.table = Table((), tuple(entries[endpoint] for endpoint in sorted(entries)))
         return Response(message.number, message.version)
 
 
--- a/swiftchute/versions/model_checker.py
+++ b/swiftchute/versions/model_checker.py
@@ -204,7 +204,7 @@
         versions = []
         for number in range(count):
             changing = TableEntry("ab"[number % 2], "z", number + 1)
-            table = Table((), tuple(sorted([*common, changing])))
+            table = Table((), tuple(sorted([*common, changing], key=lambda entry: entry.endpoint)))
             change = self.history.record("t", table, 0, "health")
             assert change is not None, "each version differs from the one before"
             versions.append(change.version)
--- a/tests/versions/test_encoding.py
+++ b/tests/versions/test_encoding.py
@@ -28,7 +28,7 @@
 
 
 def test_no_weight_is_rounded_away_beside_a_million():
-    assert [w for _, _, w in made(a=1e6, b=1e-9).entries] == [10**10, 1]
+    assert [entry.weight_units for entry in made(a=1e6, b=1e-9).entries] == [10**10, 1]
 
 
 def test_truncated_bytes_and_those_of_another_format_are_rejected():
