--- a/swiftchute/safety/publish_gate.py
+++ b/swiftchute/safety/publish_gate.py
@@ -120,13 +120,7 @@
         Returns:
             The tables that nobody ordered to change and that are to be published anew.
         """
-        for number in urgent:
-            self._backoff.reset(number)
-        waiting = {
-            number
-            for number in self._backoff.waiting(now_ns)
-            if number in self.allowed and number in proposed
-        }
+        waiting = self._waiting(proposed, urgent, now_ns)
         self.held_tables = waiting & set(ordered)
         if ordered and waiting.issuperset(ordered) and list_revision == self.list_revision:
             self.counts["waited"] = self.counts.get("waited", 0) + 1
@@ -141,11 +135,7 @@
             for number, table in proposed.items()
         }
         tables = self._validate(asked, statuses, observations, now_ns)
-        self.violations += [
-            self._quota_violation(number, quota_used)
-            for number, quota_used in over_quota.items()
-            if number in ordered
-        ]
+        self._report_over_quota(over_quota, ordered)
         self._violation_log.record(self.violations, now_ns)
         if self.enforce:
             self._backoff.record(set(ordered) - waiting, self._corrected_tables(), now_ns)
@@ -153,6 +143,16 @@
             tables = {n: AllowedTable(dict(asked[n].weights), asked[n].admission_rate) for n in tables}
         return self._update_allowed(tables, set(ordered), waiting, now_ns)
 
+    def _waiting(self, proposed: Mapping[int, Proposal], urgent: Collection[int], now_ns: int) -> set[int]:
+        """Return the published tables that wait after rejected orders; urgent ones wait no longer."""
+        for number in urgent:
+            self._backoff.reset(number)
+        return {
+            number
+            for number in self._backoff.waiting(now_ns)
+            if number in self.allowed and number in proposed
+        }
+
     def _validate(
         self,
         proposed: Mapping[int, Proposal],
@@ -178,10 +178,15 @@
             if number in self.allowed and table.quota_used >= self._rules.max_quota_fraction
         }
 
-    def _quota_violation(self, number: int, quota_used: float) -> Violation:
+    def _report_over_quota(self, over_quota: Mapping[int, float], ordered: Collection[int]) -> None:
         is_warning = Rule.QUOTA_USED in self._rules.warn_only
         outcome = Outcome.WARNED if is_warning else Outcome.CORRECTED
-        return Violation(Rule.QUOTA_USED, number, (), quota_used, self._rules.max_quota_fraction, outcome)
+        limit = self._rules.max_quota_fraction
+        self.violations += [
+            Violation(Rule.QUOTA_USED, number, (), quota_used, limit, outcome)
+            for number, quota_used in over_quota.items()
+            if number in ordered
+        ]
 
     def _corrected_tables(self) -> set[int]:
         return {violation.table for violation in self.violations if violation.outcome == Outcome.CORRECTED}
--- a/swiftchute/versions/__init__.py
+++ b/swiftchute/versions/__init__.py
@@ -1,2 +1,1 @@
-"""Tables in versions: content, deltas, history, ways back, who holds what. Decisions and state only: no
-I/O."""
+"""Versions of endpoint tables: content, deltas, history, rollback, delivery, canaries. No I/O."""
--- a/swiftchute/versions/canary.py
+++ b/swiftchute/versions/canary.py
@@ -54,8 +54,7 @@
     ) -> bool:
         """Process a change of a table's weights that may be delayed for some proxies.
 
-        A change within a trial goes to the proxies on the canary alone; one that moves as much as a trial
-        needs starts its time again, within the longest time of a trial.
+        A change within a trial goes to the proxies on the canary alone; a large one restarts its time.
 
         Args:
             table: Name of the table.
@@ -82,6 +81,7 @@
             return True
         if not self._needs_trial(old_shares, new_shares, len(proxies)):
             return False
+        self.counts["trials"] += 1
         self.open_trials[table] = Trial(
             baseline_weights=baseline,
             baseline_starts={endpoint: starts[endpoint] for endpoint in baseline},
@@ -89,9 +89,8 @@
             previous_version=versions[0],
             version=versions[1],
             started_at_ns=now_ns,
-            canary_proxies=set(_least_busy(proxies, self._canary_size(len(proxies)))),
+            canary_proxies=self._select(proxies),
         )
-        self.counts["trials"] += 1
         return True
 
     def _change_trial(
@@ -116,6 +115,11 @@
         """Return how many of a table's proxies apply a change first."""
         return max(1, round(self.limits.proxy_fraction * proxy_count))
 
+    def _select(self, proxies: Mapping[Hashable, float]) -> set[Hashable]:
+        """Return the proxies with the fewest requests: a bad change harms the fewest there."""
+        by_rate = sorted(proxies, key=lambda proxy: (proxies[proxy], str(proxy)))
+        return set(by_rate[: self._canary_size(len(proxies))])
+
     def close(self, table: str) -> None:
         """End the trial of a table: all proxies hold its newest content."""
         self.open_trials.pop(table, None)
@@ -187,12 +191,11 @@
         trial = self.open_trials.get(table)
         if trial is None or trial.canary_proxies:
             return False
-        size = self._canary_size(len(proxies))
-        if size >= len(proxies) or trial.selections >= MAX_SELECTIONS:
+        if self._canary_size(len(proxies)) >= len(proxies) or trial.selections >= MAX_SELECTIONS:
             trial.completed_cause = "nobody is left to try it"
             return False
         trial.selections += 1
-        trial.canary_proxies = set(_least_busy(proxies, size))
+        trial.canary_proxies = self._select(proxies)
         trial.discard_reports()
         return True
 
@@ -222,8 +225,3 @@
         old_shares.get(endpoint, 0.0) > new_shares.get(endpoint, 0.0) + SHARE_TOLERANCE
         for endpoint in endpoints
     )
-
-
-def _least_busy(proxies: Mapping[Hashable, float], count: int) -> list[Hashable]:
-    """Return the proxies with the fewest requests: a bad change harms the fewest there."""
-    return sorted(proxies, key=lambda proxy: (proxies[proxy], str(proxy)))[:count]
--- a/swiftchute/versions/known_bugs.py
+++ b/swiftchute/versions/known_bugs.py
@@ -16,7 +16,7 @@
 class _SenderAcceptsAnyResponse(Sender):
     def on_response(self, response: Response) -> bool:
         self.in_flight = None
-        self.held = response.held_version
+        self.held_version = response.held_version
         return True
 
 
--- a/swiftchute/versions/model_checker.py
+++ b/swiftchute/versions/model_checker.py
@@ -46,7 +46,7 @@
         """Return a value that is equal for equal states."""
         sender, receiver = self.sender, self.receiver
         return (
-            sender.held,
+            sender.held_version,
             sender.in_flight,
             sender.number,
             tuple(sender.rejected),
@@ -110,7 +110,7 @@
             if self.sender.in_flight is not None:
                 self.sender.on_timeout()
             self.send()
-            if not self.messages and self.receiver.held_version == self.sender.wanted:
+            if not self.messages and self.receiver.held_version == self.sender.wanted_version:
                 return True
         return False
 
@@ -265,7 +265,7 @@
 
     def _restart_sender(self, proxy: ProxyState) -> None:
         """Restart the control plane: it has its tables, and knows of the proxy only what that says."""
-        wanted = proxy.sender.wanted
+        wanted = proxy.sender.wanted_version
         proxy.sender = self.make_sender(self.history)
         if wanted is not None:
             proxy.sender.set_wanted(wanted)
@@ -279,7 +279,7 @@
             if held not in known_versions:
                 return "a proxy holds what the planner never made"
             is_idle = proxy.sender.in_flight is None and not proxy.messages
-            if is_idle and proxy.sender.held not in (None, held):
+            if is_idle and proxy.sender.held_version not in (None, held):
                 return "the planner takes a proxy to hold what it does not"
             if not proxy.copy().reaches_wanted():
                 return "on a good way a proxy does not come to the wanted version"
--- a/swiftchute/versions/sync.py
+++ b/swiftchute/versions/sync.py
@@ -59,15 +59,15 @@
             history: Holds the versions that may be wanted.
         """
         self.history = history
-        self.wanted: bytes | None = None
-        self.held: bytes | None = None
+        self.wanted_version: bytes | None = None
+        self.held_version: bytes | None = None
         self.in_flight: Message | None = None
         self.number = 0
         self.rejected: deque[bytes] = deque(maxlen=MAX_REJECTED_VERSIONS)
 
     def set_wanted(self, version: bytes) -> None:
         """Set the version that the proxy is to hold."""
-        self.wanted = version
+        self.wanted_version = version
 
     def next_message(self) -> Message | None:
         """Return the message to send now; None if there is none.
@@ -75,13 +75,13 @@
         Raises:
             UnknownVersionError: The wanted version is not kept.
         """
-        if self.in_flight is not None or self.wanted is None or self.wanted in self.rejected:
+        if self.in_flight is not None or self.wanted_version is None or self.wanted_version in self.rejected:
             return None
-        update = self.history.update_between(self.held, self.wanted)
+        update = self.history.update_between(self.held_version, self.wanted_version)
         if update is None:
             return None
         self.number += 1
-        self.in_flight = Message(self.number, self.wanted, update)
+        self.in_flight = Message(self.number, self.wanted_version, update)
         return self.in_flight
 
     def on_response(self, response: Response) -> bool:
@@ -91,18 +91,18 @@
         if not response.accepted:
             self.rejected.append(self.in_flight.version)
         self.in_flight = None
-        self.held = response.held_version
+        self.held_version = response.held_version
         return True
 
     def on_timeout(self) -> None:
         """Give up the message in flight: it may have been applied or not."""
         self.in_flight = None
-        self.held = None
+        self.held_version = None
 
     def reset(self, claimed_version: bytes | None) -> None:
         """Start a new stream: what was in flight is lost, and the proxy says what it holds."""
         self.in_flight = None
-        self.held = claimed_version
+        self.held_version = claimed_version
         self.number = 0
         self.rejected.clear()
 
--- a/tests/versions/test_sync.py
+++ b/tests/versions/test_sync.py
@@ -35,7 +35,7 @@
     message = sender.next_message()
     assert sender.next_message() is None  # one is under way at a time
     sender.on_response(receiver.on_message(message))
-    assert (sender.held, receiver.held_version) == (two, two)
+    assert (sender.held_version, receiver.held_version) == (two, two)
     sender.set_wanted(one)
     assert sender.next_message() is None
     sender.reset(receiver.held_version)
