--- a/tests/safety/test_no_endpoint.py
+++ b/tests/safety/test_no_endpoint.py
@@ -22,7 +22,7 @@
     assert validate({1: proposal(a=1.0)}, statuses).tables[1][0] == {"w": 1.0}
     local = validate({1: proposal(a=1.0, local=True)}, statuses)
     assert violated(local) == {"barred server", "no open server"}
-    assert local.tables[1][0] == {"a": 1.0}  # no table is safe: what there is stays, under a named exception
+    assert local.tables[1][0] == {"a": 1.0}  # no table is safe: it stays
 
 
 def test_a_zone_whose_endpoints_are_replaced_at_once_uses_other_zones():
@@ -43,7 +43,6 @@
 
 
 def test_removed_endpoints_that_respond_are_open_where_removal_is_not_binding():
-    """A list called most of a zone gone while it served: tables of those servers were refused as cold."""
     settings = Settings(**(FACTS | {"operations": SETTINGS.operations, "removal_is_binding": False}))
     statuses = {"a": status(), "g": status(state="gone"), "h": status(state="gone")}
     asked = {1: proposal(g=1.0, h=1.0)}
--- a/tests/safety/test_observed_traffic.py
+++ b/tests/safety/test_observed_traffic.py
@@ -11,18 +11,15 @@
 
 
 def test_a_peak_rate_is_a_mean_and_not_the_highest_report():
-    """Taken from single sums it was half too high, and a cold server fell over under the guard (2.54
-    of 2.50)."""
     traffic, statuses = ObservedTraffic(), {"a": status()}
     for k in range(20):
         traffic.observe_event(EndpointLoadReport("east", "a", 9 if k % 5 else 27, 0, 1, S, None), k * S)
         full = peak_by_kind(traffic.peak_rates(statuses, lambda n: True, k * S))
     assert full == {"east": pytest.approx((4 * 9 + 27) / 5)}
-    assert traffic.peak_rates(statuses, lambda n: True, 300 * S) == {}  # old news is none
+    assert traffic.peak_rates(statuses, lambda n: True, 300 * S) == {}  # reports and samples have expired
 
 
 def test_the_peak_rate_of_a_kind_is_that_of_its_busiest_zone():
-    """Taken by zone alone, a cold server of a zone that gets little had a tenth of its budget."""
     traffic = ObservedTraffic()
     statuses = {"a": status(), "w": status("west")}
     statuses = {
--- a/tests/safety/test_publish_gate.py
+++ b/tests/safety/test_publish_gate.py
@@ -20,12 +20,12 @@
     statuses = {"a": status(), "b": status(), "c": status()}
     known, now = Observations({"east": 10.0}), NOW
     gate.review({1: proposal(a=1.0, b=1.0, c=1.0)}, {1}, statuses, known, now)
-    for k in range(4000):  # a decider that empties its table in every other round, 5 ms apart
+    for k in range(4000):  # a policy that empties its table in every other round, 5 ms apart
         now += 5_000_000
         gate.review({1: proposal(a=1.0, b=1.0, c=1.0) if k % 2 else proposal()}, {1}, statuses, known, now)
-    assert gate.counts["waited"] > 3500  # 20 s: not judged
+    assert gate.counts["waited"] > 3500  # of 4000 reviews, 20 s
     waits = [fields for event, fields in gate.take_events() if event == "table waits"]
-    assert len(waits) == 1  # told once
+    assert len(waits) == 1  # logged once
     assert gate.allowed[1][0].keys() == {"a", "b", "c"}
 
 
@@ -53,7 +53,7 @@
     good = {1: proposal(a=1.0, b=2.0)}
     gate.review(good, {1}, statuses, known, now + 5_000_000)
     assert gate.allowed[1][0]["b"] == 1.0  # it waits
-    for k in range(1, 13):  # looked over once a second without an order
+    for k in range(1, 13):  # reviewed once a second without an order
         gate.review(good, (), statuses, known, now + k * S)
     assert gate.allowed[1][0]["b"] == 2.0
 
--- a/tests/safety/test_recorded_verdicts.py
+++ b/tests/safety/test_recorded_verdicts.py
@@ -30,19 +30,19 @@
     return Settings(**(FACTS | {"operations": operations, "removal_is_binding": removal_is_binding}))
 
 
-def draw_facts(draw):
-    facts = {}
+def draw_statuses(draw):
+    statuses = {}
     for place in range(draw.randint(1, 8)):
         age_s = draw.choice(AGES_S)
         started = 0 if age_s is None else NOW_NS - int(age_s * SECOND_NS)
         state = draw.choice(("ready", "ready", "ready", "ready", "draining", "gone"))
-        facts[f"s{place}"] = EndpointStatus(
+        statuses[f"s{place}"] = EndpointStatus(
             draw.choice(ZONES), state, started, draw.choice((0.5, 1.0, 1.0, 4.0)), draw.choice(KINDS)
         )
-    return facts
+    return statuses
 
 
-def draw_lines(draw, names, bad_share=0.05):
+def draw_weights(draw, names, bad_share=0.05):
     chosen = draw.sample(names, draw.randint(0, len(names)))
     return {n: draw.choice(BAD_WEIGHTS if draw.random() < bad_share else WEIGHTS) for n in chosen}
 
@@ -55,7 +55,7 @@
         for _ in range(draw.choice((0, 0, 1, 2)))
     )
     return Proposal(
-        draw_lines(draw, names, bad_share),
+        draw_weights(draw, names, bad_share),
         draw.choice((1.0, 1.0, 0.5, 0.1)),
         frozenset(draw.choice(((), ("east",), ("west",), ZONES))),
         draw.random() < 0.3,
@@ -65,10 +65,10 @@
     )
 
 
-def draw_known(draw, names, numbers):
+def draw_observations(draw, names, numbers):
     full = {kind: draw.choice((1.0, 12.0, 60.0)) for kind in KINDS if draw.random() < 0.8}
     used = {(z, k): draw.choice((0.5, 8.0)) for z in ZONES for k in KINDS if draw.random() < 0.5}
-    then = {number: draw_lines(draw, names, 0.0) for number in numbers if draw.random() < 0.7}
+    then = {number: draw_weights(draw, names, 0.0) for number in numbers if draw.random() < 0.7}
     return Observations(
         full,
         used,
@@ -91,15 +91,15 @@
     )
 
 
-def finding(violation):
-    """A finding as a plain tuple of builtins."""
+def plain_violation(violation):
+    """A violation as a plain tuple of builtins."""
     return (
         str(violation.rule), violation.table, violation.endpoints, violation.value, violation.limit,
         str(violation.outcome),
     )  # fmt: skip
 
 
-def plain(tables):
+def plain_tables(tables):
     """Tables as plain builtins, in their order of iteration."""
     return [(number, list(lines.items()), level) for number, (lines, level) in tables.items()]
 
@@ -109,16 +109,18 @@
     rules_found = set()
     for world in range(3000):
         draw = random.Random(world)
-        facts = draw_facts(draw)
-        names = [*facts, "stranger"]
+        statuses = draw_statuses(draw)
+        names = [*statuses, "stranger"]
         numbers = range(draw.randint(1, 4))
         proposed = {number: draw_proposal(draw, names) for number in numbers}
-        before = {number: draw_lines(draw, names, 0.0) for number in numbers if draw.random() < 0.7}
-        known = draw_known(draw, names, numbers)
+        before = {number: draw_weights(draw, names, 0.0) for number in numbers if draw.random() < 0.7}
+        observations = draw_observations(draw, names, numbers)
         validator = Validator(settings_with(draw.random() < 0.5), draw_rules(draw))
-        verdict = validator.validate(proposed, before, facts, known, NOW_NS)
+        verdict = validator.validate(proposed, before, statuses, observations, NOW_NS)
         rules_found |= {violation.rule for violation in verdict.violations}
-        digest.update(repr((plain(verdict.tables), [finding(r) for r in verdict.violations])).encode())
+        digest.update(
+            repr((plain_tables(verdict.tables), [plain_violation(r) for r in verdict.violations])).encode()
+        )
     assert rules_found == {
         "bad weight", "barred server", "own zone", "empty pool", "no warm server", "one line", "cold budget",
         "overfull pool", "large step", "no open server", "only cold servers", "late list",
@@ -134,26 +136,33 @@
         enforce = draw.random() < 0.8
         bad_share = 0.05 if enforce else 0.0  # a controller drops bad weights before its gate
         gate = PublishGate(settings_with(True), draw_rules(draw), enforce, seed)
-        now, news = NOW_NS, 0
-        facts = draw_facts(draw)
-        names = [*facts, "stranger"]
+        now, list_revision = NOW_NS, 0
+        statuses = draw_statuses(draw)
+        names = [*statuses, "stranger"]
         proposed = {number: draw_proposal(draw, names, bad_share) for number in range(3)}
         for _ in range(60):
             now += draw.choice((5_000_000, 100_000_000, SECOND_NS))
             if draw.random() < 0.1:
-                facts, news = draw_facts(draw), news + 1
-                names = [*facts, "stranger"]
-            touched = {number for number in proposed if draw.random() < 0.5}
-            for number in touched:
+                statuses, list_revision = draw_statuses(draw), list_revision + 1
+                names = [*statuses, "stranger"]
+            ordered = {number for number in proposed if draw.random() < 0.5}
+            for number in ordered:
                 proposed[number] = draw_proposal(draw, names, bad_share)
-            urgent = {number for number in touched if draw.random() < 0.05}
-            known = draw_known(draw, names, ())
-            moved = gate.review(proposed, touched, facts, known, now, news, urgent)
+            urgent = {number for number in ordered if draw.random() < 0.05}
+            observations = draw_observations(draw, names, ())
+            changed = gate.review(proposed, ordered, statuses, observations, now, list_revision, urgent)
             explained = gate.explain(1, proposed[1].weights, proposed[1].admission_rate, "", now)
-            # findings that end together are told in the order of a set
+            # violations that end together are logged in the order of a set
             events = sorted(map(tuple, gate.take_events()), key=repr)
-            review = (moved, sorted(gate.held_tables), plain(gate.allowed), gate.due, events, explained)
-            digest.update(repr((review, [finding(r) for r in gate.violations])).encode())
+            review = (
+                changed,
+                sorted(gate.held_tables),
+                plain_tables(gate.allowed),
+                gate.due,
+                events,
+                explained,
+            )
+            digest.update(repr((review, [plain_violation(r) for r in gate.violations])).encode())
         digest.update(repr((sorted(gate.counts.items()), gate.max_queue_delay_ns)).encode())
     assert digest.hexdigest() == REVIEWS_SHA256
 
@@ -162,13 +171,13 @@
     digest = hashlib.sha256()
     for seed in range(20):
         draw = random.Random(seed)
-        facts, seen, now = draw_facts(draw), ObservedTraffic(), NOW_NS
-        names = [*facts, "stranger"]
+        statuses, traffic, now = draw_statuses(draw), ObservedTraffic(), NOW_NS
+        names = [*statuses, "stranger"]
         for _ in range(150):
             now += draw.choice((0, 300_000_000, SECOND_NS, 3 * SECOND_NS))
             attempts = draw.randint(0, 50)
             failures = draw.randint(0, attempts)
-            seen.observe_event(
+            traffic.observe_event(
                 EndpointLoadReport(
                     draw.choice(ZONES),
                     draw.choice(names),
@@ -180,16 +189,16 @@
                 ),
                 now,
             )
-            seen.observe_event(
+            traffic.observe_event(
                 DemandReport(draw.choice("pqr"), draw.choice(("read", "write")), attempts, 0, SECOND_NS), now
             )
             if draw.random() < 0.05:
-                seen.observe_event(ProxyDisconnected(draw.choice("pqr")), now)
+                traffic.observe_event(ProxyDisconnected(draw.choice("pqr")), now)
             warm = frozenset(draw.sample(names, len(names) - 1))
-            used = seen.peak_rates(facts, warm.__contains__, now)
+            used = traffic.peak_rates(statuses, warm.__contains__, now)
             row = (
-                list(used.items()), list(peak_by_kind(used).items()), seen.request_rate("pq", ("read",), now),
-                sorted(seen.responding_endpoints(now)), sorted(seen.failing_zones(facts, now)),
+                list(used.items()), list(peak_by_kind(used).items()), traffic.request_rate("pq", ("read",), now),
+                sorted(traffic.responding_endpoints(now)), sorted(traffic.failing_zones(statuses, now)),
             )  # fmt: skip
             digest.update(repr(row).encode())
     assert digest.hexdigest() == TRAFFIC_SHA256
--- a/tests/safety/test_slow_start.py
+++ b/tests/safety/test_slow_start.py
@@ -54,7 +54,7 @@
     assert violated(half) == {"cold budget"}
     weights, _ = half.tables[1]
     assert 8.0 * weights["c"] / sum(weights.values()) == pytest.approx(2.5, rel=0.01)
-    # what its own proxies got in that zone is its own by use, however few they are
+    # what its own proxies get in that zone counts in full, however few they are
     assert (
         validate(
             asked,
@@ -72,7 +72,7 @@
         {"a": 1.0},
         {"a": 1.0, "c": 1.0},
     )  # table 1 gives c away, table 2 takes it; 5 a second at most
-    goes = (PendingShare(1.0, {"c": 0.5}),)  # all of the proxies on table 1 still go by its old lines
+    goes = (PendingShare(1.0, {"c": 0.5}),)  # all of the proxies on table 1 still apply its old weights
     first = Proposal(gives, 1.0, frozenset({"east"}), request_rate=8.0, pending=goes)
     second = proposal(demand=8.0, **takes)
     assert validate({1: first}, statuses, before).violations == []
@@ -112,7 +112,6 @@
 
 
 def test_a_table_with_only_an_endpoint_that_warms_up_leaves_other_tables_none_of_its_limit():
-    """Found by 20,000 generated worlds: what such a table brings was taken for what proxies still go by."""
     statuses = {"a": status("west"), "c": status(age=0)}
     alone = proposal(local=True, demand=10.0, c=1.0)
     verdict = validate({1: alone, 2: proposal(demand=5.0, a=1.0, c=1.0)}, statuses, {2: {"a": 1.0, "c": 1.0}})
--- a/tests/safety/test_stale_list.py
+++ b/tests/safety/test_stale_list.py
@@ -12,7 +12,7 @@
 
 
 def enumerated_worst_case(weights, rate, budget, k):
-    """Every choice of up to `k` workers that differ from the list, each of them cold or gone."""
+    """Every choice of up to `k` endpoints that differ from the list, each of them restarted or removed."""
     most = 0.0
     for count in range(1, k + 1):
         for chosen in itertools.combinations(weights, count):
--- a/tests/safety/test_validator.py
+++ b/tests/safety/test_validator.py
@@ -21,14 +21,14 @@
 
 
 def capacity(f, now):
-    """How much of its full work a server can do: by the settings' words, evenly from the start's share."""
+    """The part of its capacity that an endpoint has: by the settings, evenly from the part at a start."""
     if f.started_ns == 0:
         return 1.0
     return min(1.0, 0.2 + 0.8 * max(0.0, (now - f.started_ns) / (16 * S)))
 
 
 def violated_rules(tables, levels, zones, local, demand, statuses, full, now):
-    """Names of the rules that tables as they stand would break, by enumeration of every line."""
+    """Names of the rules that tables as they are would break, by enumeration of every entry."""
     broken = set()
     ready = [n for n, f in statuses.items() if f.state == "ready"]
     for t, weights in tables.items():
@@ -132,14 +132,14 @@
         NOW,
     )
     named = violated(verdict)
-    if not asked:  # nothing safe is refused: it goes out to the letter
+    if not asked:  # nothing safe is corrected: it is published exactly
         assert named <= {"no open server"}
         assert {
             t: (dict(p.weights), p.admission_rate) for t, p in rows.items()
         } == verdict.tables or "no open server" in named
     elif "bad weight" not in asked:
-        emptied = {"empty pool", "no warm server"}  # a table of barred servers alone is both
-        assert asked - emptied <= named | {*EXCEPTIONS, "cold budget"}  # every refusal names the rule broken
+        emptied = {"empty pool", "no warm server"}  # a table of closed endpoints alone is both
+        assert asked - emptied <= named | {*EXCEPTIONS, "cold budget"}  # every violation names the rule
         assert not asked & emptied or named & {*emptied, "no open server"}
     if "no open server" not in named:
         assert not after, (asked, after)  # nothing unsafe passes
--- a/tests/safety/test_zone_limits.py
+++ b/tests/safety/test_zone_limits.py
@@ -15,7 +15,7 @@
 
 
 def zone_loads(tables, demand, statuses):
-    """Invocations a second by zone, line by line."""
+    """Requests per second by zone, entry by entry."""
     found = dict.fromkeys(ZONES, 0.0)
     for t, weights in tables.items():
         for n, w in weights.items():
@@ -41,7 +41,7 @@
 
 
 def exceeded_limits(new, old, then, demand, statuses, full, ill):
-    """Zones that a change puts past a limit, from the rules' words."""
+    """Rules that a change breaks, from their words."""
     a, b, c = (zone_loads(x, demand, statuses) for x in (old, new, then))
     can = {z: full * sum(f.zone == z for f in statuses.values()) for z in ZONES}
     broken = set()
--- a/tests/support/safety.py
+++ b/tests/support/safety.py
@@ -15,7 +15,7 @@
 def status(zone="east", state="ready", age=None, weight=1.0):
     return EndpointStatus(
         zone, state, 0 if age is None else NOW - int(age * S), weight, zone
-    )  # a kind a zone
+    )  # the kind is the zone
 
 
 def proposal(zones=("east",), level=1.0, local=False, demand=10.0, **weights):
--- a/tests/versions/test_canary.py
+++ b/tests/versions/test_canary.py
@@ -28,7 +28,7 @@
 
 
 def feed(trials, first, rest, at=NOW + S, requests=2 * MIN_REQUESTS):
-    """Both sides report so many failures of `requests`, after the first have acknowledged."""
+    """Both sides report so many failures of `requests`, after the canary proxies have acknowledged."""
     for p in ("p0", "p1"):
         trials.on_acknowledged(p, {"t": b"2"}, NOW + S)
     trials.on_report("p0", "t", ReportTotals(requests, first), at)
@@ -61,9 +61,9 @@
 
 
 def test_a_trial_rolls_back_at_once_when_reports_are_much_worse_and_not_by_chance(trials):
-    feed(trials, 9, 1)  # 15% against 2%: surely worse at the end, not yet in the midst of many looks
+    feed(trials, 9, 1)  # 15% against 2%: certainly worse at the end, not yet at one of many looks
     assert trials.take_finished(NOW + 2 * S) == []
-    # 2.6 standard errors: neither sure nor as good, it waits for more
+    # 2.6 standard errors: neither certainly worse nor as good, it waits for more
     assert trials.take_finished(NOW + 6 * S) == []
     assert [end.rolled_back for _, end in trials.take_finished(NOW + 30 * S)] == [True]
     again = CanaryTrials(LIMITS)
@@ -75,12 +75,10 @@
 
 
 def test_only_reports_of_time_under_the_new_table_count(trials):
-    trials.on_acknowledged("p0", {"t": b"1"}, NOW)  # it still holds the old
+    trials.on_acknowledged("p0", {"t": b"1"}, NOW)  # it still holds the old version
     trials.on_report("p0", "t", ReportTotals(100, 100), NOW + S)
     trials.on_acknowledged("p0", {"t": b"2"}, NOW + 2 * S)
-    trials.on_report(
-        "p0", "t", ReportTotals(100, 100), NOW + 2 * S - 1
-    )  # a report of a time that began before
+    trials.on_report("p0", "t", ReportTotals(100, 100), NOW + 2 * S - 1)  # of a window that began before
     trials.on_report("p7", "t", ReportTotals(100, 0), NOW + 3 * S)
     assert trials.take_finished(NOW + 4 * S) == []
     trials.on_report("p0", "t", ReportTotals(100, 100), NOW + 2 * S)
@@ -94,7 +92,7 @@
 
 
 def test_a_trial_rolls_back_when_half_of_its_proxies_reject_it(trials):
-    trials.on_rejected("p7", "t")  # one that is not first
+    trials.on_rejected("p7", "t")  # not on the canary
     assert trials.take_finished(NOW) == []
     trials.on_rejected("p0", "t")
     ((_, end),) = trials.take_finished(NOW)
@@ -117,7 +115,7 @@
     made = CanaryTrials(LIMITS)
     cold = frozenset("d")
     assert not made.on_table_changed("t", EVEN, SKEWED, (b"1", b"2"), PROXIES, OLD, cold, NOW)
-    # nor within a trial: more for a cold server may be tried, less may not wait
+    # nor within a trial: a greater share may be tried, a smaller one may not wait
     assert not trials.on_table_changed(
         "t", EVEN, {"a": 1.0, "b": 1.0}, (b"2", b"3"), PROXIES, OLD, cold, NOW + S
     )
@@ -129,7 +127,7 @@
     other = EVEN | {"b": 50.0}
     assert trials.on_table_changed("t", SKEWED, other, (b"2", b"3"), PROXIES, OLD, frozenset(), NOW + 4 * S)
     assert trials.take_finished(NOW + 6 * S) == []
-    assert trials.due == NOW + 30 * S  # its longest is counted from its first beginning
+    assert trials.due == NOW + 30 * S  # its longest time is counted from its start
     assert trials.on_table_changed("t", SKEWED, EVEN, (b"3", b"1"), PROXIES, OLD, frozenset(), NOW + 7 * S)
     assert [end.cause for _, end in trials.take_finished(NOW + 7 * S)] == ["what was tried is taken back"]
 
--- a/tests/versions/test_canary_of_controller.py
+++ b/tests/versions/test_canary_of_controller.py
@@ -58,7 +58,7 @@
 
 
 def report(controller, at, errored):
-    """Every proxy reports a second; `errored` of the first's hundred invocations."""
+    """Every proxy reports a second; `errored` of a hundred requests fail on the canary."""
     for p in PROXIES:
         bad = errored if controller.canaries.is_canary("0.1", p) else 0
         controller.on_load_report(
@@ -91,7 +91,7 @@
     assert {"p0", "p1"} <= pushed
     assert [name for name, _ in events] == ["canary over", "table pinned"]
     assert all(held(controller, p)["a"] == 1.0 for p in PROXIES)
-    play(NOW + 4 * S, ("set_weight", 1, "a", 12.0))  # the module's orders are shown beside it, and wait
+    play(NOW + 4 * S, ("set_weight", 1, "a", 12.0))  # commands of the policy wait
     assert all(held(controller, p)["a"] == 1.0 for p in PROXIES)
 
 
@@ -118,7 +118,7 @@
         assert "b" not in held(controller, p)
     assert held(controller, "p7") == {"a": 1.0, "c": 1.0, "d": 1.0}
     assert held(controller, "p0")["a"] == 9.0
-    # it comes back as another process: to those behind it is out until the trial is over
+    # it comes back restarted: it stays out of the baseline until the trial is over
     controller.on_list_update(
         EndpointListChange("changes", (EndpointRecord("b", "east", "", 0, "ready", 1.0, NOW + 2 * S),), ())
     )
--- a/tests/versions/test_history.py
+++ b/tests/versions/test_history.py
@@ -59,7 +59,7 @@
     step = history.update_between(one, two)
     assert isinstance(step, Delta)
     assert version_of(apply_delta(step, made(**many))) == two
-    # a proxy that never had it, or claims a version of the future or of another controller: the whole
+    # a proxy that never had it, or claims a version of the future or of another controller: the whole table
     for claim in (None, b"\0" * 16, version_of(made(z=9.0))):
         assert history.update_between(claim, two) == made(**many | {"s3": 2.0})
     with pytest.raises(UnknownVersionError, match="not kept"):
--- a/tests/versions/test_sync.py
+++ b/tests/versions/test_sync.py
@@ -33,7 +33,7 @@
     two = history.record("t", made(a=2.0), NOW, "health").version
     sender.set_wanted(two)
     message = sender.next_message()
-    assert sender.next_message() is None  # one is under way at a time
+    assert sender.next_message() is None  # one is in flight at a time
     sender.on_response(receiver.on_message(message))
     assert (sender.held_version, receiver.held_version) == (two, two)
     sender.set_wanted(one)
@@ -57,8 +57,8 @@
         self.weights, self.now = {"a": 1.0}, NOW
         self.made_bytes = set()
         self.held_bytes = [b"", b""]  # what each proxy holds
-        self.known_versions = [None, None]  # what the planner knows that it holds
-        self.in_flight = [[], []]  # under way to each
+        self.known_versions = [None, None]  # what the controller knows that it holds
+        self.in_flight = [[], []]  # to each proxy
         self.responses = [[], []]
         self.change({"a": 1.0})
 
@@ -85,7 +85,7 @@
 
     @rule(proxy=st.integers(0, 1), place=st.integers(0, 3), duplicated=st.booleans())
     def arrive(self, proxy, place, duplicated):
-        """One of what is under way, in any order, perhaps to come again."""
+        """Deliver one message, in any order, perhaps to come again."""
         way = self.in_flight[proxy]
         if way:
             data = way[place % len(way)]
@@ -101,7 +101,7 @@
                 held = decode_table(self.held_bytes[proxy]) if self.held_bytes[proxy] else Table()
                 self.held_bytes[proxy] = encode(apply_delta(encoding.decode_delta(data), held))
             except DeltaMismatchError:
-                pass  # answered by what it does hold
+                pass  # the response names what it holds
         self.responses[proxy] = [*self.responses[proxy], encoding.version_of_bytes(self.held_bytes[proxy])][
             -4:
         ]
@@ -116,7 +116,7 @@
 
     @rule(proxy=st.integers(0, 1))
     def reconnect(self, proxy):
-        """The stream breaks: what was under way is lost, and the proxy says what it holds."""
+        """The stream breaks: what was in flight is lost, and the proxy says what it holds."""
         self.in_flight[proxy], self.responses[proxy] = [], []
         self.known_versions[proxy] = (
             encoding.version_of_bytes(self.held_bytes[proxy]) if self.held_bytes[proxy] else None
@@ -138,7 +138,7 @@
             self.known_versions[proxy] is None
             or encoding.version_of_bytes(self.held_bytes[proxy]) != self.wanted
         ):
-            self.reconnect(proxy)  # an old acknowledgement came last: the next claim sets it right
+            self.reconnect(proxy)  # an old response came last: the next claim corrects it
             self.send(proxy)
             for data in self.in_flight[proxy]:
                 self.deliver(proxy, data)
--- a/tests/versions/test_versions_of_controller.py
+++ b/tests/versions/test_versions_of_controller.py
@@ -55,7 +55,7 @@
     assert [c.admission[0][0] for c in controller.tables_of("p").contents.values()] == [0.5]
     (row,) = controller.explain(NOW + 3 * S)
     assert [(line["server"], line["why"][:8]) for line in row["lines"]] == [("a", "held at ")]
-    # the module's orders meanwhile change nothing, and a drain leaves the pinned table
+    # commands of the policy change nothing meanwhile, and a drain leaves the pinned table
     play(NOW + 4 * S, ("set_weight", 1, "a", 70.0))
     assert weights(controller)["a"] == 1.0
     controller.on_list_update(EndpointListChange(
