--- a/tests/safety/test_recorded_verdicts.py
+++ b/tests/safety/test_recorded_verdicts.py
@@ -197,7 +197,8 @@
             warm = frozenset(draw.sample(names, len(names) - 1))
             used = traffic.peak_rates(statuses, warm.__contains__, now)
             row = (
-                list(used.items()), list(peak_by_kind(used).items()), traffic.request_rate("pq", ("read",), now),
+                list(used.items()), list(peak_by_kind(used).items()),
+                traffic.request_rate("pq", ("read",), now),
                 sorted(traffic.responding_endpoints(now)), sorted(traffic.failing_zones(statuses, now)),
             )  # fmt: skip
             digest.update(repr(row).encode())
