--- a/swiftchute/versions/table_log.py
+++ b/swiftchute/versions/table_log.py
@@ -18,17 +18,17 @@
 
 
 class ChangeCause(StrEnum):
-    """Why a table changed."""
-
-    START = "start"
-    LIST = "list"
-    HEALTH = "health"
-    LEVEL = "level"
-    GUARD = "guard"
-    ROLLBACK = "rollback"
-    PIN = "pin"
-    RELEASE = "release"
-    CANARY = "canary"
+    """Cause of a new version of a table."""
+
+    START = "start"  # the first version of the table
+    LIST = "list"  # the endpoint list changed
+    HEALTH = "health"  # the policy changed weights for another reason
+    LEVEL = "level"  # only admission rates or retry policies changed
+    GUARD = "guard"  # the safety rules changed it
+    CANARY = "canary"  # a canary began or ended
+    PIN = "pin"  # an operator pinned the table
+    ROLLBACK = "rollback"  # an operator or the controller went back to an earlier version
+    RELEASE = "release"  # a pin ended
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/controller/test_digest.py
+++ b/tests/controller/test_digest.py
@@ -11,13 +11,13 @@
 
 from swiftchute.api.endpoints import EndpointRecord
 from swiftchute.api.settings import Settings
-from swiftchute.controller.controller import Controller, RetentionSettings
+from swiftchute.controller.controller import Controller
 from swiftchute.controller.load_aggregation import LoadReport
+from swiftchute.controller.version_state import RetentionSettings
 from swiftchute.discovery.endpoint_list import EndpointListChange
 from swiftchute.policy import Reconciler
 from swiftchute.safety.proposal import SafetyRules
-from swiftchute.versions.history import UnknownVersionError
-from swiftchute.versions.pinning import PinError
+from swiftchute.versions.errors import PinError, UnknownVersionError
 from tests.conftest import FACTS, operation
 
 NS_PER_S = 1_000_000_000
@@ -83,7 +83,7 @@
         self.note(
             "explain",
             [
-                (c.table, c.serial, c.version, c.parent, c.cause, c.changed_count, c.removed_count)
+                (c.table, c.serial, c.version, c.parent, str(c.cause), c.changed_count, c.removed_count)
                 for c in self.controller.history.changes(None, 1000)
             ],
         )
@@ -115,7 +115,7 @@
     def tables(self, proxy):
         held = self.controller.tables_of(proxy)
         contents = [
-            (name, tuple(made.entries), made.admission, made.version)
+            (name, tuple(tuple(entry) for entry in made.entries), made.admission, made.version)
             for name, made in sorted(held.contents.items())
         ]
         return held.tables_by_operation, contents, sorted(held.baseline_tables)
@@ -281,16 +281,16 @@
             "explain": "6c2a20b55ef42be3",
         },
         {
-            "canary": 8,
-            "canary over": 3,
-            "channel full": 8,
+            "canary started": 8,
+            "canary ended": 3,
+            "egress queue full": 8,
             "guard": 142,
-            "mode": 4,
-            "module fault": 6,
-            "module started": 6,
-            "module waits": 1,
-            "order mended": 1,
-            "stood still": 1,
+            "condition changed": 4,
+            "policy crashed": 6,
+            "policy restarted": 6,
+            "policy restart delayed": 1,
+            "invalid weights ignored": 1,
+            "event loop stalled": 1,
             "table pinned": 4,
             "table released": 2,
         },
@@ -304,12 +304,12 @@
         },
         {
             "guard": 14,
-            "mode": 4,
-            "module fault": 6,
-            "module started": 6,
-            "module waits": 1,
-            "order mended": 1,
-            "stood still": 1,
+            "condition changed": 4,
+            "policy crashed": 6,
+            "policy restarted": 6,
+            "policy restart delayed": 1,
+            "invalid weights ignored": 1,
+            "event loop stalled": 1,
             "table pinned": 4,
             "table released": 2,
         },
@@ -322,15 +322,15 @@
             "explain": "9f30eb9b1c40349a",
         },
         {
-            "canary": 12,
-            "canary over": 7,
-            "channel full": 10,
+            "canary started": 12,
+            "canary ended": 7,
+            "egress queue full": 10,
             "guard": 162,
-            "mode": 2,
-            "module fault": 7,
-            "module started": 7,
-            "module waits": 2,
-            "stood still": 1,
+            "condition changed": 2,
+            "policy crashed": 7,
+            "policy restarted": 7,
+            "policy restart delayed": 2,
+            "event loop stalled": 1,
             "table pinned": 4,
             "table released": 2,
         },
@@ -343,11 +343,11 @@
             "explain": "074864eb1bcbba25",
         },
         {
-            "mode": 2,
-            "module fault": 7,
-            "module started": 7,
-            "module waits": 2,
-            "stood still": 1,
+            "condition changed": 2,
+            "policy crashed": 7,
+            "policy restarted": 7,
+            "policy restart delayed": 2,
+            "event loop stalled": 1,
             "table pinned": 4,
             "table released": 2,
         },
@@ -360,16 +360,16 @@
             "explain": "03b1a36f5381fa33",
         },
         {
-            "canary": 7,
-            "canary over": 5,
-            "channel full": 20,
+            "canary started": 7,
+            "canary ended": 5,
+            "egress queue full": 20,
             "guard": 40,
-            "mode": 4,
-            "module fault": 6,
-            "module started": 6,
-            "module waits": 1,
-            "order mended": 1,
-            "stood still": 1,
+            "condition changed": 4,
+            "policy crashed": 6,
+            "policy restarted": 6,
+            "policy restart delayed": 1,
+            "invalid weights ignored": 1,
+            "event loop stalled": 1,
             "table pinned": 5,
             "table released": 2,
         },
--- a/tests/dns/test_frontend.py
+++ b/tests/dns/test_frontend.py
@@ -38,7 +38,7 @@
 from swiftchute.safety.proposal import SafetyRules
 from swiftchute.xds.errors import ProtocolViolationError
 from swiftchute.xds.messages import ProxyNode
-from tests.conftest import FACTS, Fixed, operation
+from tests.conftest import FACTS, ScriptedPolicy, operation
 
 S = 1_000_000_000
 NOW = 1000 * S
@@ -362,7 +362,7 @@
     """A core with a decider that does what a test says, and a DNS front on it."""
 
     def __init__(self, **plumbing):
-        self.decider, self.now = Fixed(), NOW
+        self.decider, self.now = ScriptedPolicy(), NOW
         facts = {"operations": (operation("read"), operation("write")), "drain_grace_ns": 4 * S}
         facts |= {"egress_rate_entries_per_s": 1e6, "egress_queue_limit_entries": 1e6, "message_quota": 0}
         settings = Settings(**(FACTS | facts))
@@ -381,7 +381,7 @@
     def turn(self, *writes, wait=0.0):
         self.now += int(wait * S)
         self.decider.writes = list(writes)
-        self.controller.pending_events.append(TimerFired(0))
+        self.controller.runner.pending_events.append(TimerFired(0))
         for _ in range(2):
             turn = self.controller.run_round(self.now)
             self.events += turn.log_events
@@ -423,7 +423,9 @@
 
 
 def applied(controller):
-    return [astuple(event) for event in controller.pending_events if isinstance(event, PushAcknowledged)]
+    return [
+        astuple(event) for event in controller.runner.pending_events if isinstance(event, PushAcknowledged)
+    ]
 
 
 def test_before_a_view_is_bound_it_fails_and_denies_nothing():
@@ -445,7 +447,7 @@
     ttl = world.front.lease.bound * S
     world.turn(wait=(given + ttl + SLACK - world.now) / S - 0.1)
     assert applied(world.controller) == []
-    world.controller.pending_events.clear()
+    world.controller.runner.pending_events.clear()
     world.now += S // 10
     world.front.turn(world.controller.run_round(world.now), world.now)
     assert [(p, seal) for p, seal, _ in applied(world.controller)] == [("dns/east", 2)]
@@ -523,7 +525,7 @@
 
 def test_a_module_that_fails_leaves_the_answers_as_they_were(world):
     world.decider.writes = [("set_weight", 1, "10.0.0.1:80", 5.0, "too many")]
-    world.controller.pending_events.append(TimerFired(0))
+    world.controller.runner.pending_events.append(TimerFired(0))
     for _ in range(3):
         world.front.turn(world.controller.run_round(world.now), world.now)
     assert len(world.targets()) == 3
@@ -533,7 +535,7 @@
     turn = world.controller.run_round(world.now)
     turn.overflowed_proxies.append("dns/east")
     world.front.turn(turn, world.now)
-    calls = [(type(event), event.proxy) for event in world.controller.pending_events]
+    calls = [(type(event), event.proxy) for event in world.controller.runner.pending_events]
     assert calls == [(ProxyDisconnected, "dns/east"), (ProxyConnected, "dns/east")]
     assert len(world.targets()) == 3
 
--- a/tests/versions/test_canary_of_controller.py
+++ b/tests/versions/test_canary_of_controller.py
@@ -5,11 +5,12 @@
 from swiftchute.api.endpoints import EndpointRecord
 from swiftchute.api.events import TimerFired
 from swiftchute.api.settings import Settings
-from swiftchute.controller.controller import Controller, RetentionSettings
+from swiftchute.controller.controller import Controller
 from swiftchute.controller.load_aggregation import LoadReport
+from swiftchute.controller.version_state import RetentionSettings
 from swiftchute.discovery.endpoint_list import EndpointListChange
 from swiftchute.safety.proposal import SafetyRules
-from tests.conftest import FACTS, Fixed, operation
+from tests.conftest import FACTS, ScriptedPolicy, operation
 
 S = 1_000_000_000
 NOW = 1000 * S
@@ -19,14 +20,14 @@
 @pytest.fixture
 def started_controller():
     """A controller with eight proxies on a table of four servers, pushed and acknowledged."""
-    decider = Fixed()
+    policy = ScriptedPolicy()
     settings = Settings(**(FACTS | {"operations": (operation("read"),), "egress_rate_entries_per_s": 1e6,
                                     "egress_queue_limit_entries": 1e6, "message_quota": 0}))  # fmt: skip
     retention = RetentionSettings(
         canary_fraction=0.25, canary_duration_ns=5 * S, max_canary_duration_ns=30 * S
     )
     controller = Controller(
-        settings, 7, lambda settings, seed: decider, NOW, SafetyRules(), retention=retention
+        settings, 7, lambda settings, seed: policy, NOW, SafetyRules(), retention=retention
     )
     controller.on_list_update(
         EndpointListChange(
@@ -38,8 +39,8 @@
 
     def play(now, *writes):
         """A round, and every push is acknowledged at once; returns (pushed proxies, events)."""
-        decider.writes = list(writes)
-        controller.pending_events.append(TimerFired(0))
+        policy.writes = list(writes)
+        controller.runner.pending_events.append(TimerFired(0))
         pushed, events = set(), []
         for at in (now, now + S // 10, now + S // 5):
             turn = controller.run_round(at)
@@ -79,7 +80,7 @@
         report(controller, NOW + k * S, 1)
     pushed, events = play(NOW + 7 * S)
     assert pushed >= set(PROXIES) - {"p0", "p1"}
-    assert ("canary over", "on") in [(name, fields.get("went")) for name, fields in events]
+    assert ("canary ended", "on") in [(name, fields.get("went")) for name, fields in events]
     assert all(held(controller, p)["a"] == 9.0 for p in PROXIES)
 
 
@@ -89,7 +90,7 @@
     report(controller, NOW + 3 * S, 50)
     pushed, events = play(NOW + 3 * S)
     assert {"p0", "p1"} <= pushed
-    assert [name for name, _ in events] == ["canary over", "table pinned"]
+    assert [name for name, _ in events] == ["canary ended", "table pinned"]
     assert all(held(controller, p)["a"] == 1.0 for p in PROXIES)
     play(NOW + 4 * S, ("set_weight", 1, "a", 12.0))  # commands of the policy wait
     assert all(held(controller, p)["a"] == 1.0 for p in PROXIES)
@@ -101,7 +102,7 @@
     play(NOW + S, ("set_weight", 1, "a", 9.0))
     report(controller, NOW + 3 * S, 50)
     events = controller.run_round(NOW + 3 * S).log_events
-    assert [name for name, _ in events][-2:] == ["canary over", "not taken back"]
+    assert [name for name, _ in events][-2:] == ["canary ended", "rollback refused"]
     play(NOW + 4 * S)
     assert all(held(controller, p)["a"] == 9.0 for p in PROXIES)
 
--- a/tests/versions/test_versions_of_controller.py
+++ b/tests/versions/test_versions_of_controller.py
@@ -11,16 +11,16 @@
 
 
 @pytest.fixture
-def started_controller(fixed):
-    """A controller with a table of three servers, pushed and acknowledged: (controller, decider, round)."""
-    controller, decider = fixed
+def started_controller(scripted_controller):
+    """A controller with a table of three servers, pushed and acknowledged: (controller, policy, round)."""
+    controller, policy = scripted_controller
     entries = [EndpointRecord(n, "east", "", 0, "ready", 1.0, 0) for n in "abd"]
     controller.on_list_update(EndpointListChange("held", tuple(entries), ()))
     controller.on_proxy_connected("p", "east", 1.0, True)
 
     def play(now, *writes):
-        decider.writes = list(writes)
-        controller.pending_events.append(TimerFired(0))
+        policy.writes = list(writes)
+        controller.runner.pending_events.append(TimerFired(0))
         pushed = [p for p, _ in controller.run_round(now).pushes + controller.run_round(now + S // 2).pushes]
         if "p" in pushed:
             controller.tables_of("p")
