--- a/swiftchute/discovery/__init__.py
+++ b/swiftchute/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Server lists: their published forms, the last good list, and the sources that read them."""
+"""Endpoint lists of the daemon: their format, their sources, and backoff between attempts to read them."""
--- a/swiftchute/safety/__init__.py
+++ b/swiftchute/safety/__init__.py
@@ -1,1 +1,1 @@
-"""Says whether a table may go out, and which rule it would break. Decisions only: no I/O, no clock."""
+"""Validates tables before they are published, and corrects those that break a rule. No I/O, no clock."""
