--- a/tests/discovery/test_sources.py
+++ b/tests/discovery/test_sources.py
@@ -2,6 +2,9 @@
 
 import asyncio
 import os
+import random
+
+import pytest
 
 from swiftchute.discovery.sources import FileSource, HttpSource
 
@@ -62,3 +65,30 @@
     assert lists == [b"[]"]
     assert "503" in failures[0]
     assert len(failures) >= 3
+
+
+def test_failed_polls_back_off_and_a_success_returns_to_the_interval(monkeypatch):
+    """The waits are those of the formula written out, one draw for each failed poll."""
+    outcomes, waits_s = [False] * 5 + [True, False, True], []
+    source = HttpSource("http://127.0.0.1:1/", 10 * MS, 100 * MS, [].append, [].append, 3)
+
+    async def fetch(client):
+        if not outcomes[len(waits_s)]:
+            raise ValueError("status 503")
+        return b"[]"
+
+    async def sleep(wait_s):
+        waits_s.append(wait_s)
+        if len(waits_s) == len(outcomes):
+            raise asyncio.CancelledError
+
+    monkeypatch.setattr(source, "_fetch", fetch)
+    monkeypatch.setattr(asyncio, "sleep", sleep)
+    with pytest.raises(asyncio.CancelledError):
+        asyncio.run(source.run())
+    oracle, failures, expected_s = random.Random(3), 0, []
+    for is_good in outcomes:
+        failures = 0 if is_good else failures + 1
+        bound_s = 10 * MS * min(2**failures, 8) / S
+        expected_s.append(bound_s * oracle.uniform(0.5, 1.0) if failures else bound_s)
+    assert waits_s == pytest.approx(expected_s, abs=1e-9)
