--- a/swiftchute/safety/observed_traffic.py
+++ b/swiftchute/safety/observed_traffic.py
@@ -14,6 +14,8 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
+import msgspec
+
 from swiftchute.api.events import DemandReport, EndpointLoadReport, Event, ProxyDisconnected
 from swiftchute.safety.proposal import EndpointStatus
 
@@ -26,7 +28,7 @@
 MIN_SUCCESS_FRACTION = 0.5  # of a zone's attempts, below which it is failing
 
 
-class _Answers(NamedTuple):
+class _Answers(msgspec.Struct, frozen=True, gc=False):
     """What an endpoint answered, per second, by a report that is fresh until a time."""
 
     fresh_until_ns: int
@@ -34,7 +36,7 @@
     attempt_rate: float
 
 
-class _Demand(NamedTuple):
+class _Demand(msgspec.Struct, frozen=True, gc=False):
     """Requests per second by a report that is fresh until a time."""
 
     fresh_until_ns: int
@@ -77,23 +79,22 @@
 
     def observe_event(self, event: Event, now_ns: int) -> None:
         """Record a report, or forget a proxy that disconnected; other events are ignored."""
-        match event:
-            case EndpointLoadReport():
-                self._observe_load(event, now_ns)
-            case DemandReport():
-                rate = event.requests * NS_PER_S / max(event.window_ns, 1)
-                fresh_until_ns = now_ns + event.window_ns + REPORT_LIFETIME_NS
-                self._demands[event.proxy][event.operation] = _Demand(fresh_until_ns, rate)
-            case ProxyDisconnected():
-                self._demands.pop(event.proxy, None)
-
-    def _observe_load(self, report: EndpointLoadReport, now_ns: int) -> None:
-        window_ns = max(report.window_ns, 1)
-        self._answers[report.endpoint][report.zone] = _Answers(
-            now_ns + report.window_ns + REPORT_LIFETIME_NS,
-            (report.attempts - report.failures) * NS_PER_S / window_ns,
-            report.attempts * NS_PER_S / window_ns,
-        )
+        if isinstance(event, EndpointLoadReport):
+            window_ns = event.window_ns
+            divisor_ns = max(window_ns, 1)
+            attempts = event.attempts
+            self._answers[event.endpoint][event.zone] = _Answers(
+                now_ns + window_ns + REPORT_LIFETIME_NS,
+                (attempts - event.failures) * NS_PER_S / divisor_ns,
+                attempts * NS_PER_S / divisor_ns,
+            )
+        elif isinstance(event, DemandReport):
+            window_ns = event.window_ns
+            rate = event.requests * NS_PER_S / max(window_ns, 1)
+            fresh_until_ns = now_ns + window_ns + REPORT_LIFETIME_NS
+            self._demands[event.proxy][event.operation] = _Demand(fresh_until_ns, rate)
+        elif isinstance(event, ProxyDisconnected):
+            self._demands.pop(event.proxy, None)
 
     def request_rate(
         self, proxies: Iterable[Hashable], operations: Iterable[str], now_ns: int
--- a/swiftchute/safety/review.py
+++ b/swiftchute/safety/review.py
@@ -35,6 +35,8 @@
         observations: What is known besides.
         now_ns: Time of the validation.
         verdict: What may be published, and the violations.
+        open_endpoints: Endpoints that may be sent requests.
+        warm_endpoints: Those of them that have their full capacity.
     """
 
     settings: Settings
@@ -45,6 +47,33 @@
     observations: Observations
     now_ns: int
     verdict: Verdict = field(default_factory=Verdict)
+    open_endpoints: frozenset[str] = field(init=False)
+    warm_endpoints: frozenset[str] = field(init=False)
+
+    def __post_init__(self) -> None:
+        """Find the open and the warm endpoints once: the rules ask for them again and again."""
+        self.open_endpoints = frozenset(
+            endpoint for endpoint, status in self.statuses.items() if self._may_be_used(endpoint, status)
+        )
+        self.warm_endpoints = frozenset(
+            endpoint
+            for endpoint in self.open_endpoints
+            if capacity_fraction(self.statuses[endpoint], self.settings, self.now_ns) >= 1
+        )
+
+    def _may_be_used(self, endpoint: str, status: EndpointStatus) -> bool:
+        """Return whether an endpoint may be sent requests.
+
+        An endpoint list may call endpoints removed that still serve: where removal is not binding, those
+        that responded lately are open.
+        """
+        if status.state == EndpointState.READY:
+            return True
+        return (
+            status.state == EndpointState.REMOVED
+            and not self.settings.removal_is_binding
+            and endpoint in self.observations.responding
+        )
 
     def report(self, rule: Rule, table: int, endpoints: Iterable[str], value: float, limit: float) -> bool:
         """Add a violation to the verdict; return whether the table is to be corrected."""
@@ -77,28 +106,12 @@
         self.verdict.tables[table] = AllowedTable(self.weights(table), admission_rate)
 
     def is_open(self, endpoint: str) -> bool:
-        """Return whether an endpoint may be sent requests.
-
-        An endpoint list may call endpoints removed that still serve: where removal is not binding, those
-        that responded lately are open.
-        """
-        status = self.statuses.get(endpoint)
-        if status is None:
-            return False
-        if status.state == EndpointState.READY:
-            return True
-        return (
-            status.state == EndpointState.REMOVED
-            and not self.settings.removal_is_binding
-            and endpoint in self.observations.responding
-        )
+        """Return whether an endpoint may be sent requests."""
+        return endpoint in self.open_endpoints
 
     def is_warm(self, endpoint: str) -> bool:
         """Return whether an endpoint is open and has its full capacity."""
-        return (
-            self.is_open(endpoint)
-            and capacity_fraction(self.statuses[endpoint], self.settings, self.now_ns) >= 1
-        )
+        return endpoint in self.warm_endpoints
 
     def must_be_left(self, endpoint: str) -> bool:
         """Return whether an endpoint that is not open must not stay in a table.
@@ -118,11 +131,11 @@
         own = [
             endpoint
             for endpoint, status in self.statuses.items()
-            if self.is_open(endpoint) and status.zone in table.proxy_zones
+            if status.zone in table.proxy_zones and endpoint in self.open_endpoints
         ]
-        if table.zone_local or any(self.is_warm(endpoint) for endpoint in own):
+        if table.zone_local or not self.warm_endpoints.isdisjoint(own):
             return own
-        return [endpoint for endpoint in self.statuses if self.is_open(endpoint)]
+        return [endpoint for endpoint in self.statuses if endpoint in self.open_endpoints]
 
     def full_rate(self, endpoint: str) -> float | None:
         """Return the requests per second that may be counted on from an endpoint once it is warm."""
