--- a/benchmarks/taps.py
+++ b/benchmarks/taps.py
@@ -20,7 +20,7 @@
 from swiftchute.controller.controller import Controller
 from swiftchute.discovery.endpoint_list import EndpointListChange
 from swiftchute.policy import Reconciler
-from swiftchute.safety.validator import LATE, SafetyRules
+from swiftchute.safety.proposal import Rule, SafetyRules
 from swiftchute.simulator.host import SimulatorHost
 
 S = 1_000_000_000
@@ -101,13 +101,13 @@
             if t.weights.get(n, 0) > were.get(number, {}).get(n, 0)
         }
         for rule in (
-            {r.rule for r in controller.publish_gate.refusals} - {LATE}
+            {r.rule for r in controller.publish_gate.violations} - {Rule.STALE_LIST}
             if now == controller.last_review_ns
             else ()
         ):
             ordered = moved and any(
-                r.rule == rule and (not r.servers or raised & set(r.servers))
-                for r in controller.publish_gate.refusals
+                r.rule == rule and (not r.endpoints or raised & set(r.endpoints))
+                for r in controller.publish_gate.violations
             )
             self.stood[rule, ordered] += 1
         for event, fields in turn.log_events:
--- a/swiftchute/controller/safety_review.py
+++ b/swiftchute/controller/safety_review.py
@@ -10,8 +10,8 @@
 from swiftchute.controller.policy_runner import IDLE_ROUND_INTERVAL_NS, PolicyRunner
 from swiftchute.controller.version_control import VersionControl
 from swiftchute.safety.observed_traffic import ObservedTraffic, peak_by_kind
+from swiftchute.safety.proposal import Observations, Proposal
 from swiftchute.safety.publish_gate import PublishGate
-from swiftchute.safety.validator import Observations, Proposal
 from swiftchute.versions.delivery import DeliveryTracker
 
 
@@ -42,7 +42,7 @@
         deadline = self.gate.due
         return (
             now - last_review_ns >= IDLE_ROUND_INTERVAL_NS
-            or self.gate.news != self.directory.change_count
+            or self.gate.list_revision != self.directory.change_count
             or (deadline is not None and now >= deadline)
         )
 
@@ -52,11 +52,11 @@
         `changed` are the tables that commands changed, `urgent` those of them that need not wait.
         """
         statuses = self.directory.statuses
-        is_warm = self.gate.warm(statuses, now)
+        is_warm = self.gate.warm_check(statuses, now)
         warming = frozenset(
             name
             for name, status in statuses.items()
-            if status.started and status.state == "ready" and not is_warm(name)
+            if status.started_ns and status.state == "ready" and not is_warm(name)
         )
         proposals = {
             number: self._proposal(number, warming, now) for number in self.runner.assignments.tables
@@ -69,7 +69,7 @@
     def withhold(self, result: RoundResult, nonces: NonceTracker) -> None:
         """Remove the entries of tables that the gate holds back from the result of a round."""
         asks_for_ack = result.nonce is not None
-        for number in self.gate.held & result.changed_entries_by_table.keys():
+        for number in self.gate.held_tables & result.changed_entries_by_table.keys():
             for proxy in self.runner.assignments.proxies_by_table.get(number, ()):
                 entries = result.entries_by_proxy.get(proxy, 0) - result.changed_entries_by_table[number]
                 if entries > asks_for_ack:  # something is left besides the nonce
@@ -106,12 +106,12 @@
 
     def _observations(self, is_warm: Any, now: int) -> Observations:
         settings, statuses = self.runner.settings, self.directory.statuses
-        used = self.observed_traffic.used(statuses, is_warm, now)
+        used = self.observed_traffic.peak_rates(statuses, is_warm, now)
         return Observations(
             peak_by_kind(used),
             used,
-            () if settings.removal_is_binding else self.observed_traffic.answering(now),
-            self.observed_traffic.ill(statuses, now),
+            () if settings.removal_is_binding else self.observed_traffic.responding_endpoints(now),
+            self.observed_traffic.failing_zones(statuses, now),
             min(len(self.runner.proxies) / max(settings.proxy_count, 1), 1.0),
         )
 
@@ -122,16 +122,16 @@
         names = [operation.name for operation in operations]
 
         def demand_of(proxy: Any) -> float | None:
-            return self.observed_traffic.demand((proxy,), names, now)
+            return self.observed_traffic.request_rate((proxy,), names, now)
 
         return Proposal(
             self.version_control.wanted_weights(number),
             self._max_admission_rate(number, indices),
             frozenset(assignments.proxies[proxy].zone for proxy in proxies),
             any(operation.zone_local for operation in operations),
-            self.observed_traffic.demand(proxies, names, now) if proxies else None,
-            self.deliveries.pending(proxies, names, warming, demand_of) if warming else (),
-            self.egress_queue.utilization(proxies, self.gate.behind, now),
+            self.observed_traffic.request_rate(proxies, names, now) if proxies else None,
+            self.deliveries.pending_shares(proxies, names, warming, demand_of) if warming else (),
+            self.egress_queue.utilization(proxies, self.gate.max_queue_delay_ns, now),
         )
 
     def _max_admission_rate(self, number: int, indices: list[int]) -> float:
--- a/swiftchute/controller/table_contents.py
+++ b/swiftchute/controller/table_contents.py
@@ -9,12 +9,12 @@
 from typing import Any, NamedTuple, Protocol
 
 from swiftchute.controller.assignments import Admission
-from swiftchute.controller.change_causes import ChangeCause
 from swiftchute.controller.endpoint_directory import EndpointDirectory
 from swiftchute.controller.policy_runner import PolicyRunner
 from swiftchute.controller.version_state import VersionState
 from swiftchute.safety.publish_gate import PublishGate
 from swiftchute.versions import encoding
+from swiftchute.versions.table_log import ChangeCause
 
 
 class TableEntry(NamedTuple):
@@ -69,7 +69,7 @@
     """Return a table in the form that the version history keeps."""
     operations = runner.settings.operations
     rows = [(operation.name, *row) for operation, row in zip(operations, admission, strict=True)]
-    return encoding.table(rows, entries)
+    return encoding.make_table(rows, entries)
 
 
 class TableContents:
@@ -144,9 +144,9 @@
             weights, max_rate = self.publish_gate.allowed[number]
             admission = [(min(rate, max_rate), retry_policy) for rate, retry_policy in admission]
         else:
-            pinned = self.pins.lines(name, self.directory.ready()) if self.pins.by else None
+            pinned = self.pins.weights(name, self.directory.ready()) if self.pins.by_table else None
             weights = weights if pinned is None else pinned
-        pinned_admission = self.pins.levels(name)
+        pinned_admission = self.pins.admission(name)
         if pinned_admission:
             admission = [
                 pinned_admission.get(operation.name, row)
@@ -157,12 +157,12 @@
     def _record_version(self, number: int, table: encoding.Table) -> bytes:
         """Record a version in the history with its cause; return its name."""
         name = self.runner.assignments.table_name(number)
-        before, cause = self.history.newest(name), self.change_causes.pop(number, None)
+        before, cause = self.history.newest_content(name), self.change_causes.pop(number, None)
         if before is None:
             cause = ChangeCause.START
-        elif cause in (None, ChangeCause.LIST) and before.lines == table.lines:
+        elif cause in (None, ChangeCause.LIST) and before.entries == table.entries:
             cause = ChangeCause.LEVEL
-        self.history.note(name, table, self.runner.last_round_ns, cause or ChangeCause.HEALTH)
-        newest = self.history.current(name)
+        self.history.record(name, table, self.runner.last_round_ns, cause or ChangeCause.HEALTH)
+        newest = self.history.newest_change(name)
         assert newest is not None
         return newest.version
--- a/swiftchute/controller/version_control.py
+++ b/swiftchute/controller/version_control.py
@@ -3,12 +3,12 @@
 from collections.abc import Callable, Collection
 from typing import Any
 
-from swiftchute.controller.change_causes import ChangeCause
 from swiftchute.controller.endpoint_directory import EndpointDirectory
 from swiftchute.controller.policy_runner import PolicyRunner
 from swiftchute.controller.version_state import VersionState
-from swiftchute.versions.history import UnknownVersionError, VersionChange
-from swiftchute.versions.pinning import MAX_PIN_NS, MIN_PIN_NS, Pin, PinError
+from swiftchute.versions.errors import PinError, UnknownVersionError
+from swiftchute.versions.pinning import MAX_PIN_NS, MIN_PIN_NS, Pin
+from swiftchute.versions.table_log import ChangeCause, VersionChange
 
 NS_PER_S = 1_000_000_000
 SHORT_VERSION_LENGTH = 12  # hexadecimal digits of a version in logs and messages
@@ -38,9 +38,9 @@
 
     def pinned_weights(self, number: int) -> dict[str, float] | None:
         """Return the weights that a table is pinned to, of ready endpoints; None if it is not pinned."""
-        if not self.pins.by:
+        if not self.pins.by_table:
             return None
-        return self.pins.lines(self.runner.assignments.table_name(number), self.directory.ready())
+        return self.pins.weights(self.runner.assignments.table_name(number), self.directory.ready())
 
     def wanted_weights(self, number: int) -> dict[str, float]:
         """Return the weights that a table should have: the pinned ones, or those commanded."""
@@ -49,7 +49,7 @@
 
     def pin_reason(self, name: str) -> str:
         """Return why a pinned table differs from what the policy commands; empty if it is not pinned."""
-        pin = self.pins.by.get(name)
+        pin = self.pins.by_table.get(name)
         return f"held at {short_version(pin.change.version)} ({pin.cause})" if pin else ""
 
     def pin(
@@ -65,11 +65,11 @@
                 f" to {MAX_PIN_NS // NS_PER_S} s"
             )
         number, change = self._number_in_use(name), self.history.find(name, asked)
-        content = self.history.get(change.version)
+        content = self.history.content(change.version)
         if content is None:
             raise PinError(f"version {short_version(change.version)} is no longer kept")
         pin = Pin(change, content, now + duration_ns, with_admission, cause)
-        self.pins.set(name, pin, self.directory.ready())
+        self.pins.pin(name, pin, self.directory.ready())
         self.runner.log_event(
             "table pinned",
             table=name,
@@ -89,23 +89,23 @@
 
     def end_expired_pins(self, now: int) -> None:
         """End pins whose time is over, or none of whose endpoints is ready."""
-        for name, reason in self.pins.ended(self.directory.ready(), now) if self.pins.by else ():
+        for name, reason in self.pins.take_ended(self.directory.ready(), now) if self.pins.by_table else ():
             self._on_released(name, reason, now)
 
     def on_tables_rejected(self, proxy: Any, names: Collection[str], now: int) -> None:
         """A proxy rejects what was sent of these tables; roll back what too many reject."""
         assignments = self.runner.assignments
         for name in names:
-            newest = self.history.current(name)
+            newest = self.history.newest_change(name)
             if newest is None or newest.parent is None or proxy not in assignments.proxies:
                 continue
             tables = assignments.proxies[proxy].table_by_operation.values()
             number = next((table for table in tables if assignments.table_name(table) == name), None)
-            if number is None or name in self.pins.by:
+            if number is None or name in self.pins.by_table:
                 continue
-            self.trials.refused(proxy, name)
+            self.trials.on_rejected(proxy, name)
             proxy_count = len(assignments.proxies_by_table[number])
-            if self.rejections.by(proxy, name, newest.version, proxy_count):
+            if self.rejections.on_rejected(proxy, name, newest.version, proxy_count):
                 self.roll_back(name, newest.parent.hex(), True, now)
 
     def roll_back(self, name: str, version: str, with_admission: bool, now: int) -> bool:
@@ -113,9 +113,9 @@
 
         Rollbacks are limited in number, as the fault may be with the proxies.
         """
-        if not self.rejections.back_again(now):
-            window_s = self.rejections.within / NS_PER_S
-            cause = f"{self.rejections.most} times within {window_s:g} s is the most"
+        if not self.rejections.reserve_rollback(now):
+            window_s = self.rejections.window_ns / NS_PER_S
+            cause = f"{self.rejections.max_rollbacks} times within {window_s:g} s is the most"
             self.runner.log_event("rollback refused", table=name, cause=cause)
             return False
         try:
--- a/swiftchute/controller/version_state.py
+++ b/swiftchute/controller/version_state.py
@@ -2,7 +2,8 @@
 
 from dataclasses import dataclass
 
-from swiftchute.versions.canary import CanaryLimits, CanaryTrials
+from swiftchute.versions.canary import CanaryTrials
+from swiftchute.versions.canary_trial import CanaryLimits
 from swiftchute.versions.delivery import DeliveryTracker
 from swiftchute.versions.history import VersionHistory
 from swiftchute.versions.pinning import PinnedVersions, RejectionTracker
--- a/swiftchute/daemon/service.py
+++ b/swiftchute/daemon/service.py
@@ -14,13 +14,14 @@
 from swiftchute.daemon.commands import AdminCommands
 from swiftchute.daemon.errors import ListenError
 from swiftchute.daemon.round_scheduler import RoundScheduler
-from swiftchute.discovery.endpoint_list import EndpointList, EndpointListError
+from swiftchute.discovery.endpoint_list import EndpointList
+from swiftchute.discovery.errors import EndpointListError
 from swiftchute.discovery.sources import FileSource, HttpSource
 from swiftchute.dns.frontend import Front as DnsFrontend
 from swiftchute.dns.server import Shell as DnsServer
 from swiftchute.observability.logging import condition_fields
 from swiftchute.policy import Reconciler
-from swiftchute.safety.validator import SafetyRules
+from swiftchute.safety.proposal import SafetyRules
 from swiftchute.xds.frontend import FrontendOutput, XdsFrontend
 from swiftchute.xds.server import XdsServer
 
@@ -66,10 +67,7 @@
 
 def _safety_rules(guard: Mapping[str, Any]) -> SafetyRules | None:
     """Return the rules of the `guard` block of the settings; None if they are off."""
-    if guard["mode"] == "off":
-        return None
-    rules = {key: value for key, value in guard.items() if key != "mode"}
-    return SafetyRules(**rules | {"warn": frozenset(rules["warn"])})
+    return None if guard["mode"] == "off" else SafetyRules.from_config(guard)
 
 
 class Service:
@@ -190,35 +188,35 @@
 
     def _on_list_received(self, text: bytes) -> None:
         try:
-            change = self.endpoint_list.read(text)
+            change = self.endpoint_list.update(text)
         except EndpointListError as error:
             self.log.warning(
                 "endpoint list rejected",
                 cause=str(error),
-                kept=len(self.endpoint_list.held),
-                bad=self.endpoint_list.bad,
+                kept=len(self.endpoint_list.endpoints),
+                bad=self.endpoint_list.rejected_count,
             )
             return
         if change is None:
             return
-        for cause in change.passed[:MAX_LOGGED_ENTRIES]:
+        for cause in change.skipped[:MAX_LOGGED_ENTRIES]:
             self.log.warning("endpoint rejected", cause=cause)
         self.log.info(
             "endpoint list changed",
             scope=change.scope,
-            entries=len(change.entries),
-            passed=len(change.passed),
+            entries=len(change.endpoints),
+            passed=len(change.skipped),
         )
         self.controller.on_list_update(change)
         self.scheduler.request_round()
 
     def _on_list_unreadable(self, cause: str) -> None:
-        self.endpoint_list.bad += 1
+        self.endpoint_list.rejected_count += 1
         self.log.warning(
             "endpoint list unreadable",
             cause=cause,
-            kept=len(self.endpoint_list.held),
-            bad=self.endpoint_list.bad,
+            kept=len(self.endpoint_list.endpoints),
+            bad=self.endpoint_list.rejected_count,
         )
 
     def _run_round(self) -> None:
--- a/tests/controller/test_digest.py
+++ b/tests/controller/test_digest.py
@@ -16,9 +16,8 @@
 from swiftchute.controller.version_state import RetentionSettings
 from swiftchute.discovery.endpoint_list import EndpointListChange
 from swiftchute.policy import Reconciler
-from swiftchute.safety.validator import SafetyRules
-from swiftchute.versions.history import UnknownVersionError
-from swiftchute.versions.pinning import PinError
+from swiftchute.safety.proposal import SafetyRules
+from swiftchute.versions.errors import PinError, UnknownVersionError
 from tests.conftest import FACTS, operation
 
 NS_PER_S = 1_000_000_000
@@ -84,8 +83,8 @@
         self.note(
             "explain",
             [
-                (c.table, c.serial, c.version, c.parent, str(c.cause), c.put, c.gone)
-                for c in self.controller.history.log(None, 1000)
+                (c.table, c.serial, c.version, c.parent, str(c.cause), c.changed_count, c.removed_count)
+                for c in self.controller.history.changes(None, 1000)
             ],
         )
         return {name: digest.hexdigest()[:16] for name, digest in self.digests.items()}
