--- a/tests/dns/test_server.py
+++ b/tests/dns/test_server.py
@@ -16,9 +16,10 @@
 from scipy import stats
 
 from swiftchute.config import load
-from swiftchute.daemon.service import CannotListen, Service
-from swiftchute.fakes.resolver import Line, Resolver, Srv
-from swiftchute.observability.logging import setup
+from swiftchute.daemon.errors import ListenError
+from swiftchute.daemon.service import Service
+from swiftchute.fakes.resolver import CachingResolver, SrvPicker, SrvRecord
+from swiftchute.observability.logging import configure_logging
 from swiftchute.policy import Reconciler
 
 ORIGIN = "lots.example."
@@ -82,7 +83,7 @@
         self.publish(servers)
         settings = folder / "planner.hcl"
         settings.write_text(SETTINGS.format(list=self.list, listen=listen, secondary=secondary, more=more))
-        self.service = Service(load(str(settings)), setup("error"), Reconciler)
+        self.service = Service(load(str(settings)), configure_logging("error"), Reconciler)
 
     def publish(self, servers):
         """`servers`: by address its zone, or its zone and state."""
@@ -101,7 +102,7 @@
         await asyncio.wait({ready, self.task}, return_when=asyncio.FIRST_COMPLETED)
         if self.task.done():
             self.task.result()
-        self.at = self.service.dns.addresses
+        self.at = self.service.dns_server.addresses
         return self
 
     async def __aexit__(self, *_):
@@ -170,8 +171,8 @@
     for rows, table in run(act).values():
         assert len(set(table.values())) > 2
         names = {r: str(r.target).partition(".")[0][3:].replace("-", ".") for r in rows}
-        lines = tuple(Line(r.priority, r.weight, f"{names[r]}:{r.port}") for r in rows)
-        picker = Srv(lines)
+        lines = tuple(SrvRecord(r.priority, r.weight, f"{names[r]}:{r.port}") for r in rows)
+        picker = SrvPicker(lines)
         picks = [picker.pick(chance) for _ in range(20_000)]
         expected = {n: 20_000 * w / sum(table.values()) for n, w in table.items()}
         assert stats.chisquare([picks.count(n) for n in expected], list(expected.values())).pvalue > 1e-4
@@ -183,10 +184,10 @@
             silent.bind(("127.0.0.1", 0))
             async with Running(tmp_path, many(3)) as world:
                 await world.until(lambda r: len(targets(r)) == 3)
-                resolver = Resolver([silent.getsockname(), world.at["north"]], ORIGIN, 7)
-                resolver.at = 0
+                resolver = CachingResolver([silent.getsockname(), world.at["north"]], ORIGIN, 7)
+                resolver.current_server = 0
                 found = await asyncio.gather(*(resolver.lookup(op) for op in ("none", "lot-estimate")))
-                assert [len(made.lines) for made in found] == [0, 3]
+                assert [len(made.records) for made in found] == [0, 3]
 
     run(act)
 
@@ -235,15 +236,17 @@
             drips = []
             for _ in range(1000):
                 drips.append(await asyncio.open_connection(*world.at["north"]))
-            assert len(world.service.dns.streams) <= 20
+            assert len(world.service.dns_server.streams) <= 20
             for byte in b"\0\x1eabcdef":  # a byte now and then is no message
                 for _, writer in drips[-20:]:
                     if not writer.is_closing():
                         writer.write(bytes([byte]))
                 assert len(targets(await world.ask(tcp=True))) == 3
                 await asyncio.sleep(0.2)
-            assert world.service.dns.closed["streams_idle"] >= 10  # my own streams took the place of others
-            assert len(world.service.dns.streams) <= 1
+            assert (
+                world.service.dns_server.closed["streams_idle"] >= 10
+            )  # my own streams took the place of others
+            assert len(world.service.dns_server.streams) <= 1
             assert await drips[0][0].read() == b""
             reader, writer = await asyncio.open_connection(*world.at["north"])
             writer.write(b"\0\0")  # a message of nothing
@@ -261,10 +264,10 @@
             await world.until(lambda r: len(targets(r)) == 200)
             _, writer = await asyncio.open_connection(*world.at["north"], limit=1024)
             query = dns.message.make_query(SRV, "SRV").to_wire()
-            before = world.service.dns.front.counts["queries"]
+            before = world.service.dns_server.front.counts["queries"]
             writer.write((len(query).to_bytes(2, "big") + query) * 4000)
             await asyncio.sleep(0.5)
-            answered = world.service.dns.front.counts["queries"] - before
+            answered = world.service.dns_server.front.counts["queries"] - before
             assert 10 < answered < 2000
             assert len(targets(await world.ask(tcp=True))) == 200
             writer.transport.abort()
@@ -280,7 +283,7 @@
             async with Running(tmp_path, many(1), listen=f"127.0.0.1:{taken.getsockname()[1]}"):
                 pass
 
-    with pytest.raises(CannotListen, match=r"dns\.listen"):
+    with pytest.raises(ListenError, match=r"dns\.listen"):
         run(act)
 
 
@@ -288,14 +291,14 @@
     """A client library nobody here wrote, asking this server (`dns://authority/name`): it takes addresses."""
     import grpc
 
-    from swiftchute.fakes.backend import SERVICE, Facts, Worker
+    from swiftchute.fakes.backend import SERVICE, BackendEvent, BackendProfile, FakeBackend
 
     async def act():
-        facts = Facts({"lot-estimate": 0.01})
-        first = Worker(facts, "north", 1.0, 1)
+        facts = BackendProfile({"lot-estimate": 0.01})
+        first = FakeBackend(facts, "north", 1.0, 1)
         await first.start(host="127.77.0.1")
         port = int(first.address.rpartition(":")[2])
-        second = Worker(facts, "north", 1.0, 2)
+        second = FakeBackend(facts, "north", 1.0, 2)
         second.address = f"127.77.0.2:{port}"
         await second.start(host="127.77.0.2")
         try:
@@ -312,11 +315,11 @@
                             call(f"inv-{k}|0|g".encode(), timeout=5, wait_for_ready=True)
 
                 await asyncio.to_thread(calls)
-                ran = [sum(r.end == "ran" for r in w.receipts) for w in (first, second)]
+                ran = [sum(r.event is BackendEvent.STARTED for r in w.receipts) for w in (first, second)]
                 assert sum(ran) == 20
                 assert min(ran) > 0
         finally:
-            await first.die()
-            await second.die()
+            await first.kill()
+            await second.kill()
 
     run(act)
