--- a/swiftchute/policy/zone_spillover.py
+++ b/swiftchute/policy/zone_spillover.py
@@ -63,4 +63,5 @@
 def _target_fraction(load_ratio: float, cross_zone_price: float) -> float:
     """Return the fraction to spill over at a load ratio, given the price of a request that crosses zones."""
     excess = load_ratio - START_LOAD_RATIO - START_LOAD_RATIO_PER_PRICE * cross_zone_price
-    return min(max(excess / FULL_LOAD_RATIO_RANGE, 0.0), 1.0) ** EXPONENT
+    fraction: float = min(max(excess / FULL_LOAD_RATIO_RANGE, 0.0), 1.0) ** EXPONENT
+    return fraction
--- a/swiftchute/simulator/codec.py
+++ b/swiftchute/simulator/codec.py
@@ -278,7 +278,8 @@
 
 
 def _probe_completed(fields: WireObject) -> ProbeCompleted:
-    outcome = _PROBE_OUTCOMES.get(fields["ending"], fields["ending"])
+    ending: str = fields["ending"]
+    outcome = _PROBE_OUTCOMES.get(ending, ending)
     return ProbeCompleted(fields["server"], outcome, fields["took_us"] * NS_PER_US, _load_figures(fields))
 
 
