--- a/swiftchute/policy/assignment.py
+++ b/swiftchute/policy/assignment.py
@@ -3,7 +3,8 @@
 from swiftchute.api.events import ProxyId
 from swiftchute.policy.egress_budget import DRAIN_NOTICE_THRESHOLD, PUSH_THRESHOLD, EgressBudget
 from swiftchute.policy.load_stats import request_rate
-from swiftchute.policy.state import ADMISSION_KEY, PolicyState
+from swiftchute.policy.model import ADMISSION_KEY
+from swiftchute.policy.state import PolicyState
 from swiftchute.policy.subsetting import SubsetLoad, subset_loads
 
 
--- a/swiftchute/policy/desired_tables.py
+++ b/swiftchute/policy/desired_tables.py
@@ -1,8 +1,9 @@
 """Desired tables: the entries that each table should have by health, warm-up, spillover and admission."""
 
+from swiftchute.policy.model import ADMISSION_KEY, Endpoint, EndpointTable
 from swiftchute.policy.publishing import is_urgent_drop
 from swiftchute.policy.slow_start import endpoint_weight, is_warming_up, limit_warming_endpoints
-from swiftchute.policy.state import ADMISSION_KEY, Endpoint, EndpointTable, PolicyState
+from swiftchute.policy.state import PolicyState
 from swiftchute.policy.zone_spillover import MIN_SPILLOVER_FRACTION
 
 MIN_WEIGHT_CHANGE = 0.12  # a weight that changes by less than this part of itself stays
--- a/swiftchute/policy/egress_budget.py
+++ b/swiftchute/policy/egress_budget.py
@@ -8,7 +8,8 @@
 
 from swiftchute.api.events import ProxyId, PushAcknowledged
 from swiftchute.policy.conditions import report_condition
-from swiftchute.policy.state import PolicyState, Proxy
+from swiftchute.policy.model import Proxy
+from swiftchute.policy.state import PolicyState
 from swiftchute.policy.units import NS_PER_S
 
 # Parts of the egress queue up to which it may be filled.
--- a/swiftchute/policy/endpoint_list.py
+++ b/swiftchute/policy/endpoint_list.py
@@ -3,7 +3,8 @@
 from swiftchute.api.endpoints import EndpointRecord, EndpointState, ListScope
 from swiftchute.api.events import EndpointListUpdate
 from swiftchute.policy.conditions import report_condition
-from swiftchute.policy.state import Endpoint, PolicyState
+from swiftchute.policy.model import Endpoint
+from swiftchute.policy.state import PolicyState
 from swiftchute.policy.units import NS_PER_S
 
 INITIAL_BACKOFF_NS = 1 * NS_PER_S
--- a/swiftchute/policy/load_stats.py
+++ b/swiftchute/policy/load_stats.py
@@ -6,14 +6,8 @@
 from typing import NamedTuple
 
 from swiftchute.api.events import DemandReport, EndpointLoadReport
-from swiftchute.policy.state import (
-    MAX_DEMAND_SAMPLES,
-    DemandSample,
-    Endpoint,
-    LoadSample,
-    PolicyState,
-    Proxy,
-)
+from swiftchute.policy.model import MAX_DEMAND_SAMPLES, DemandSample, Endpoint, LoadSample, Proxy
+from swiftchute.policy.state import PolicyState
 from swiftchute.policy.units import NS_PER_MS, NS_PER_S
 
 MAX_SAMPLE_AGE_NS = 2500 * NS_PER_MS  # a report counts for so long after its window, or its successor is due
--- a/swiftchute/policy/outlier_detection.py
+++ b/swiftchute/policy/outlier_detection.py
@@ -5,8 +5,9 @@
 from swiftchute.api.endpoints import EndpointState
 from swiftchute.policy.conditions import health_condition, report_condition
 from swiftchute.policy.load_stats import MIN_ATTEMPTS, RecentStats, endpoint_stats
+from swiftchute.policy.model import Endpoint
 from swiftchute.policy.slow_start import is_warming_up
-from swiftchute.policy.state import Endpoint, PolicyState
+from swiftchute.policy.state import PolicyState
 from swiftchute.policy.units import NS_PER_MS
 
 MIN_HEALTH_WEIGHT = 0.25
--- a/swiftchute/policy/overload_control.py
+++ b/swiftchute/policy/overload_control.py
@@ -8,7 +8,8 @@
     success_rate,
     zone_request_rate,
 )
-from swiftchute.policy.state import AdmissionSample, EndpointTable, PolicyState
+from swiftchute.policy.model import AdmissionSample, EndpointTable
+from swiftchute.policy.state import PolicyState
 from swiftchute.policy.zone_spillover import is_saturated
 
 SHED_LOAD_RATIO = 0.4  # latency / objective above which load is shed
--- a/swiftchute/policy/publishing.py
+++ b/swiftchute/policy/publishing.py
@@ -7,7 +7,8 @@
     URGENT_THRESHOLD,
     EgressBudget,
 )
-from swiftchute.policy.state import ADMISSION_KEY, EndpointTable, PolicyState
+from swiftchute.policy.model import ADMISSION_KEY, EndpointTable
+from swiftchute.policy.state import PolicyState
 from swiftchute.policy.units import NS_PER_MS, NS_PER_S
 
 DEBOUNCE_NS = 200 * NS_PER_MS  # a change is pushed after so long without a further one
--- a/swiftchute/policy/reconciler.py
+++ b/swiftchute/policy/reconciler.py
@@ -29,11 +29,12 @@
 from swiftchute.policy.endpoint_list import EndpointListSubscription
 from swiftchute.policy.key_ranges import KeyRanges
 from swiftchute.policy.load_stats import record_demand_report, record_load_report
+from swiftchute.policy.model import Proxy
 from swiftchute.policy.outlier_detection import OutlierDetector
 from swiftchute.policy.overload_control import update_admission
 from swiftchute.policy.publishing import publish_tables
 from swiftchute.policy.slow_start import record_throughput
-from swiftchute.policy.state import PolicyState, Proxy
+from swiftchute.policy.state import PolicyState
 from swiftchute.policy.subsetting import form_subsets, rebalance
 from swiftchute.policy.units import NS_PER_MS, NS_PER_S
 from swiftchute.policy.zone_spillover import evaluate_spillover
--- a/swiftchute/policy/slow_start.py
+++ b/swiftchute/policy/slow_start.py
@@ -6,13 +6,8 @@
     success_rate,
     zone_request_rate,
 )
-from swiftchute.policy.state import (
-    MAX_THROUGHPUT_SAMPLES,
-    REPORT_LAG_EVALUATIONS,
-    Endpoint,
-    EndpointTable,
-    PolicyState,
-)
+from swiftchute.policy.model import REPORT_LAG_EVALUATIONS, Endpoint, EndpointTable
+from swiftchute.policy.state import MAX_THROUGHPUT_SAMPLES, PolicyState
 from swiftchute.policy.units import NS_PER_S
 
 INITIAL_WEIGHT_FRACTION = 0.25  # part of its weight with which an endpoint starts
--- a/swiftchute/policy/subsetting.py
+++ b/swiftchute/policy/subsetting.py
@@ -1,8 +1,9 @@
 """Subsets: the endpoints of a zone in groups, and the balance of the proxies between them."""
 
 from swiftchute.policy.load_stats import request_rate
+from swiftchute.policy.model import Endpoint, EndpointTable, Proxy, SubsetKey
 from swiftchute.policy.slow_start import MIN_TOTAL_WEIGHT, endpoint_weight
-from swiftchute.policy.state import Endpoint, EndpointTable, PolicyState, Proxy, SubsetKey
+from swiftchute.policy.state import PolicyState
 
 REBALANCE_RATIO = 1.2  # share of the load / share of the weight above which a subset gives up proxies
 
--- a/swiftchute/policy/zone_spillover.py
+++ b/swiftchute/policy/zone_spillover.py
@@ -2,7 +2,8 @@
 
 from swiftchute.policy.conditions import report_condition
 from swiftchute.policy.load_stats import CALM_LOAD_RATIO, is_suspended, zone_load_ratio
-from swiftchute.policy.state import PolicyState, ZonePair, ZonePairKey
+from swiftchute.policy.model import ZonePair, ZonePairKey
+from swiftchute.policy.state import PolicyState
 from swiftchute.policy.units import NS_PER_S
 
 START_LOAD_RATIO = 0.12  # latency / objective from which a zone spills over, without a price of crossing
--- a/tests/policy/test_desired_tables.py
+++ b/tests/policy/test_desired_tables.py
@@ -1,6 +1,6 @@
 """The entries of tables across zones."""
 
-from swiftchute.policy.state import ADMISSION_KEY
+from swiftchute.policy.model import ADMISSION_KEY
 from tests.support.policy import CALM, list_changes, weights_in
 from tests.support.settings import operation
 
--- a/tests/policy/test_endpoint_list.py
+++ b/tests/policy/test_endpoint_list.py
@@ -2,7 +2,7 @@
 
 from swiftchute.api.endpoints import ListScope
 from swiftchute.api.events import EndpointListUpdate
-from swiftchute.policy.state import ADMISSION_KEY
+from swiftchute.policy.model import ADMISSION_KEY
 from swiftchute.policy.units import NS_PER_S
 from tests.support.policy import CALM, list_changes
 
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -3,8 +3,8 @@
 import pytest
 
 from swiftchute.policy.load_stats import request_rate
+from swiftchute.policy.model import ADMISSION_KEY
 from swiftchute.policy.slow_start import limit_warming_endpoints, max_request_rate
-from swiftchute.policy.state import ADMISSION_KEY
 from tests.support.policy import CALM, list_changes
 
 
