--- a/swiftchute/controller/controller.py
+++ b/swiftchute/controller/controller.py
@@ -20,7 +20,6 @@
 from swiftchute.controller.acknowledgements import NonceTracker
 from swiftchute.controller.assignments import Assignments, RoundResult
 from swiftchute.controller.canary_rollout import CanaryRollout
-from swiftchute.controller.change_causes import ChangeCause
 from swiftchute.controller.egress_queue import EgressQueue
 from swiftchute.controller.endpoint_directory import EndpointDirectory
 from swiftchute.controller.load_aggregation import LoadAggregator, LoadReport
@@ -32,9 +31,9 @@
 from swiftchute.controller.version_state import RetentionSettings, VersionState
 from swiftchute.discovery.endpoint_list import EndpointListChange
 from swiftchute.safety.observed_traffic import ObservedTraffic
+from swiftchute.safety.proposal import SafetyRules
 from swiftchute.safety.publish_gate import PublishGate
-from swiftchute.safety.validator import SafetyRules
-from swiftchute.versions.history import VersionChange
+from swiftchute.versions.table_log import ChangeCause, VersionChange
 
 MAX_LOGGED_WEIGHTS = 8  # invalid weights that one log event shows
 
@@ -100,8 +99,8 @@
     def _reset(self) -> None:
         """Make the state that belongs to one policy incarnation."""
         settings = self.settings
-        for proxy in list(self.deliveries.by):  # those of a crashed policy are unassigned
-            self.deliveries.left(proxy)
+        for proxy in list(self.deliveries.holdings_by_proxy):  # those of a crashed policy are unassigned
+            self.deliveries.on_disconnected(proxy)
         self.observed_traffic = ObservedTraffic()
         self.nonces = NonceTracker()
         self.egress_queue = EgressQueue(
@@ -178,8 +177,8 @@
         if not self.runner.on_proxy_disconnected(proxy):
             return False
         self.egress_queue.on_proxy_disconnected(proxy)
-        self.deliveries.left(proxy)
-        self.canaries.left(proxy)
+        self.deliveries.on_disconnected(proxy)
+        self.canaries.on_disconnected(proxy)
         self.nonces.on_proxy_disconnected(proxy)
         self.tables_of_crashed_policy.pop(proxy, None)
         self.load_aggregator.on_proxy_disconnected(proxy)
@@ -191,11 +190,11 @@
 
     def on_fully_acknowledged(self, proxy: Any, now: int) -> None:
         """A proxy has acknowledged all that was sent to it."""
-        self.deliveries.settled(proxy)
-        if self.canaries.open and proxy in self.deliveries.by:
-            contents = self.deliveries.by[proxy][-1].contents
+        self.deliveries.on_acknowledged(proxy)
+        if self.canaries.open_trials and proxy in self.deliveries.holdings_by_proxy:
+            contents = self.deliveries.holdings_by_proxy[proxy][-1].contents
             versions = {name: content.version for name, content in contents.items()}
-            self.canaries.settled(proxy, versions, now)
+            self.canaries.on_acknowledged(proxy, versions, now)
         if self.nonces.can_answer_for(proxy):
             self.on_acknowledged(proxy, self.nonces.withheld.pop(proxy), now)
 
@@ -205,13 +204,13 @@
         if connected is None:
             return
         self.load_aggregator.add(proxy, connected.zone, report, self.directory.statuses, now)
-        if self.canaries.open:
+        if self.canaries.open_trials:
             self.canary_rollout.on_load_report(proxy, report, now)
 
     def on_list_update(self, change: EndpointListChange) -> None:
         """Discovery delivered an endpoint list or changes to it."""
         self.directory.apply(change)
-        self.runner.on_endpoint_list(change.scope, change.entries)
+        self.runner.on_endpoint_list(change.scope, change.endpoints)
 
     def on_tables_rejected(self, proxy: Any, names: Collection[str], now: int) -> None:
         """A proxy rejects what was sent of these tables; what too many reject is rolled back."""
@@ -224,7 +223,7 @@
             self.runner.enqueue(event)
         self._reconcile(now)
         self.version_control.end_expired_pins(now)
-        if self.canaries.open:
+        if self.canaries.open_trials:
             self.canary_rollout.check(now)
         if self.safety_review is not None and self.safety_review.is_due(self.last_review_ns, now):
             self._review((), now)
@@ -282,7 +281,7 @@
             return
         if self.safety_review is not None:
             for event in self.runner.pending_events:
-                self.observed_traffic.told(event, now)
+                self.observed_traffic.observe_event(event, now)
         result = self.runner.reconcile(now)
         if result is not None:
             self._apply(result, now)
@@ -313,7 +312,7 @@
         answerable = [
             proxy
             for proxy in self.nonces.withheld
-            if self.deliveries.clear(proxy) and self.nonces.can_answer_for(proxy)
+            if self.deliveries.is_up_to_date(proxy) and self.nonces.can_answer_for(proxy)
         ]
         for proxy in answerable:
             self.on_acknowledged(proxy, self.nonces.withheld.pop(proxy), now)
@@ -330,7 +329,7 @@
             for proxy in self.assignments.proxies_by_table.get(number, ()):
                 entries_by_proxy[proxy] = entries_by_proxy.get(proxy, 0) + len(weights)
         self._enqueue(entries_by_proxy, now)
-        for name, fields in self.safety_review.gate.events():
+        for name, fields in self.safety_review.gate.take_events():
             self.log_event(name, **fields)
 
     def _republish(self, number: int, cause: ChangeCause, now: int) -> None:
@@ -361,7 +360,7 @@
                 continue
             nonce = self.nonces.pop_unsent(proxy)
             self.push_count += 1
-            self.deliveries.pushed(proxy, self.tables_of(proxy))
+            self.deliveries.on_pushed(proxy, self.tables_of(proxy))
             self.output.pushes.append(Push(proxy, nonce))
 
     def _remaining_tables(self, proxy: Any) -> ProxyTables:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -7,7 +7,7 @@
 from swiftchute.controller.controller import Controller
 from swiftchute.discovery.endpoint_list import EndpointListChange
 from swiftchute.policy.units import NS_PER_S as S
-from swiftchute.safety.validator import SafetyRules
+from swiftchute.safety.proposal import SafetyRules
 from tests import known_red
 from tests.support.settings import FACTS, operation
 
