--- a/benchmarks/answers.py
+++ b/benchmarks/answers.py
@@ -25,7 +25,7 @@
 from push import WORKERS, Bench, free_port
 
 from swiftchute.dns.answer_cache import Ready
-from swiftchute.dns.names import Names
+from swiftchute.dns.names import OriginNames
 from swiftchute.dns.query import plain
 from swiftchute.dns.records import Records, Shape
 
@@ -55,7 +55,7 @@
 
     def __init__(self):
         lines = tuple((f"127.1.{k // 200}.{k % 200 + 1}:9000", "z", 1.0) for k in range(WORKERS))
-        names = Names(ORIGIN, ["lot-estimate"], ["z"])
+        names = OriginNames(ORIGIN, ["lot-estimate"], ["z"])
         records = Records(names, {"z": {"lot-estimate": lines}}, frozenset(), 2, 7, Shape())
         self.sets, self.soa = {(made.name, made.rdtype): made for made in records.whole("z")}, records.soa()
 
@@ -177,7 +177,7 @@
 
 def versions():
     """What a new version costs until its first answer is there, at 100 and 400 lines."""
-    names = Names(ORIGIN, ["lot-estimate"], ["z"])
+    names = OriginNames(ORIGIN, ["lot-estimate"], ["z"])
     query = plain(dns.message.make_query(*QUESTIONS["SRV, cut by UDP"]).to_wire())
     took = {}
     for many in (100, 400):
--- a/swiftchute/config/loader.py
+++ b/swiftchute/config/loader.py
@@ -15,7 +15,8 @@
     WEIGHT_SOURCE_FIELD,
     Config,
 )
-from swiftchute.dns.names import BadName, Names
+from swiftchute.dns.errors import DomainNameError
+from swiftchute.dns.names import OriginNames
 
 Values = Mapping[str, Any]
 
@@ -138,8 +139,8 @@
         if dns.get("origin") and zones:
             operations = [block.labels[0] for block, _ in self._blocks.operations]
             try:
-                Names(dns["origin"], operations, zones)
-            except BadName as error:
+                OriginNames(dns["origin"], operations, zones)
+            except DomainNameError as error:
                 self._checker.add_problem(self._blocks.line("dns", "origin"), "dns.origin", str(error))
 
     def _check_channel(self, channel: Values) -> None:
--- a/swiftchute/config/values.py
+++ b/swiftchute/config/values.py
@@ -9,7 +9,8 @@
 from typing import Any
 from urllib.parse import urlsplit
 
-from swiftchute.dns.names import BadName, origin
+from swiftchute.dns.errors import DomainNameError
+from swiftchute.dns.names import parse_origin
 from swiftchute.safety.proposal import RULES
 
 Parser = Callable[[Any], Any]
@@ -180,8 +181,8 @@
 def domain(value: Any) -> str:
     """Parse a domain name other than the root."""
     try:
-        return str(origin(value if isinstance(value, str) else ""))
-    except BadName as error:
+        return str(parse_origin(value if isinstance(value, str) else ""))
+    except DomainNameError as error:
         raise ValueError(str(error)) from None
 
 
--- a/swiftchute/dns/frontend.py
+++ b/swiftchute/dns/frontend.py
@@ -28,8 +28,9 @@
 from swiftchute.controller.load_aggregation import DemandEntry, LoadReport
 from swiftchute.controller.table_contents import TableContent
 from swiftchute.dns.answer_cache import Counter, Ready
-from swiftchute.dns.names import Names
-from swiftchute.dns.query import EMPTY, SIZE_LEAST, SIZE_MOST, Bad, Network, Query, compose, plain, read
+from swiftchute.dns.errors import QueryError
+from swiftchute.dns.names import OriginNames
+from swiftchute.dns.query import EMPTY, SIZE_LEAST, SIZE_MOST, Network, Query, compose, plain, read
 from swiftchute.dns.rate_limit import CUT, DROP, Limiter
 from swiftchute.dns.records import Lines, Records, Shape
 from swiftchute.dns.ttl import Lease
@@ -70,7 +71,7 @@
         self.controller, self.set, self.seed = controller, settings, seed
         p = self.plumbing = plumbing
         operations = [op.name for op in settings.operations]
-        self.names = Names(p["origin"], operations, settings.zones)
+        self.names = OriginNames(p["origin"], operations, settings.zones)
         host, port = p["listen"] or ("localhost", 0)
         server = "" if host == "localhost" else f"{host}:{port}"
         self.shape = Shape(p["addresses"], p["draws"], p["borrowed"], expire=p["expire"] // S, server=server)
@@ -245,7 +246,7 @@
             return None
         try:
             query = self._read(data)
-        except Bad as why:
+        except QueryError as why:
             self.counts["bad"] += 1
             return why.reply
         if verdict is CUT:
@@ -261,7 +262,7 @@
         self.limiter.proven(source, now)
         try:
             query = self._read(data)
-        except Bad as why:
+        except QueryError as why:
             self.counts["bad"] += 1
             return [why.reply] if why.reply is not None else []
         if query.type in _TRANSFERS and query.cls == dns.rdataclass.IN:
--- a/swiftchute/dns/query.py
+++ b/swiftchute/dns/query.py
@@ -1,7 +1,7 @@
 """Queries read, replies composed: plain questions by hand, all others by the library. No I/O.
 
     query = plain(data)            # a Query, or None: it is not plain
-    query = read(data)             # by the library; raises Bad with the reply, None to stay silent
+    query = read(data)             # by the library; raises QueryError with the reply, None to stay silent
     reply = compose(query, code, counts, tail, short)
 
 Plain: a standard query of one question, with no more beside it than an OPT record without options.
@@ -22,6 +22,8 @@
 import dns.rdataclass
 import dns.rdatatype
 
+from swiftchute.dns.errors import QueryError
+
 HEAD = struct.Struct("!HHHHHH")
 SIZE_LEAST, OPT_BYTES = 512, 11
 SIZE_MOST = 1232  # of a datagram: what passes every way unbroken (1280 of IPv6 less its heads)
@@ -32,14 +34,6 @@
 Network = ipaddress.IPv4Network | ipaddress.IPv6Network
 
 
-class Bad(Exception):
-    """A query at fault; `reply` answers it, or is None: nothing is to be said."""
-
-    def __init__(self, reply: bytes | None) -> None:
-        super().__init__("no answer" if reply is None else dns.rcode.to_text(reply[3] & 15))
-        self.reply = reply
-
-
 @dataclass(frozen=True, slots=True)
 class Query:
     """One question: its name as it came, type, class; `size` of an OPT, 0 without; the client's subnet; and
@@ -92,25 +86,25 @@
 
 
 def read(data: bytes) -> Query:
-    """Any message, by the library. Raises `Bad`."""
+    """Any message, by the library. Raises `QueryError`."""
     if len(data) < 12 or data[2] & 0x80:
-        raise Bad(None)
+        raise QueryError(None)
     if data[2] & 0x78:
-        raise Bad(error(data, dns.rcode.NOTIMP))
+        raise QueryError(error(data, dns.rcode.NOTIMP))
     try:
         made = dns.message.from_wire(data)
     except dns.message.UnknownTSIGKey:
-        raise Bad(error(data, dns.rcode.REFUSED)) from None
+        raise QueryError(error(data, dns.rcode.REFUSED)) from None
     except (dns.exception.DNSException, ValueError, IndexError, struct.error):
-        raise Bad(error(data, dns.rcode.FORMERR)) from None
+        raise QueryError(error(data, dns.rcode.FORMERR)) from None
     if len(made.question) != 1 or made.had_tsig:
-        raise Bad(error(data, dns.rcode.FORMERR))
+        raise QueryError(error(data, dns.rcode.FORMERR))
     asked = made.question[0]
     name = asked.name.to_wire()
     # the name as it came: a question of a plain form keeps its case
     end = 12 + len(name)
     if data[12:end].lower() != name.lower():
-        raise Bad(error(data, dns.rcode.FORMERR))
+        raise QueryError(error(data, dns.rcode.FORMERR))
     size = max(made.payload, SIZE_LEAST) if made.edns >= 0 else 0
     subnet, options = None, b""
     for option in made.options:
@@ -118,7 +112,7 @@
             try:
                 subnet = ipaddress.ip_network((option.address, option.srclen), strict=False)
             except ValueError:
-                raise Bad(error(data, dns.rcode.FORMERR)) from None
+                raise QueryError(error(data, dns.rcode.FORMERR)) from None
             # the whole answer goes by the part of the address that was told
             told = dns.edns.ECSOption(option.address, option.srclen, option.srclen).to_wire()
             options = struct.pack("!HH", dns.edns.OptionType.ECS, len(told)) + told
@@ -130,7 +124,7 @@
     query = Query(data[:2], bool(made.flags & dns.flags.RD), question, data[12:end], int(asked.rdtype),
                   int(asked.rdclass), size, subnet, serial, options)  # fmt: skip
     if made.edns > 0:
-        raise Bad(compose(query, dns.rcode.BADVERS, *EMPTY))
+        raise QueryError(compose(query, dns.rcode.BADVERS, *EMPTY))
     return query
 
 
--- a/swiftchute/dns/records.py
+++ b/swiftchute/dns/records.py
@@ -26,7 +26,7 @@
 from dns.rdtypes.IN.AAAA import AAAA
 from dns.rdtypes.IN.SRV import SRV
 
-from swiftchute.dns.names import Names, address
+from swiftchute.dns.names import NameKind, NameOwner, OriginNames, endpoint_address
 from swiftchute.dns.srv_weights import draws, srv_weights
 
 IN = dns.rdataclass.IN
@@ -35,6 +35,7 @@
 _ROW, _SRV_ROW = struct.Struct("!HHIH"), struct.Struct("!HHHIHHHH")
 Line = tuple[str, str, float]
 Lines = tuple[Line, ...]
+_NO_OWNER = NameOwner(NameKind.EMPTY_NON_TERMINAL)
 
 
 @dataclass(frozen=True)
@@ -70,7 +71,7 @@
 class Records:
     """One version of all views."""
 
-    names: Names
+    names: OriginNames
     contents: Mapping[str, Mapping[str, Lines]]
     cold: frozenset[str]
     ttl: int
@@ -80,7 +81,7 @@
 
     def __post_init__(self) -> None:
         """The names of targets; records are made when they are asked for."""
-        wire = self.names.wire
+        wire = self.names.target_wire
         self._targets = {
             wire(server): server
             for contents in self.contents.values() for lines in contents.values() for server, _, _ in lines
@@ -98,12 +99,14 @@
         """The start of the origin's zone; its last field is how long a negative answer may be kept."""
         n, s = self.names, self.shape
         times = (self.serial, s.refresh, s.refresh, s.expire, self.ttl)
-        made = SOA(IN, dns.rdatatype.SOA, n.server, n.mailbox, *times)
+        made = SOA(IN, dns.rdatatype.SOA, n.name_server, n.mailbox, *times)
         return dns.rrset.from_rdata(n.origin, self.ttl, made)
 
     def ns(self) -> dns.rrset.RRset:
         """The one name server that is told of."""
-        return dns.rrset.from_rdata(self.names.origin, self.ttl, NS(IN, dns.rdatatype.NS, self.names.server))
+        return dns.rrset.from_rdata(
+            self.names.origin, self.ttl, NS(IN, dns.rdatatype.NS, self.names.name_server)
+        )
 
     def _weighed(self, operation: str, zone: str) -> list[tuple[str, int, int, int]]:
         """By line of a zone's table: its server, priority, weight and port."""
@@ -118,27 +121,27 @@
         """An operation's SRV records for a zone. Targets are not compressed (RFC 2782)."""
         made = []
         for server, priority, weight, port in self._weighed(operation, zone):
-            target = self.names.wire(server)
+            target = self.names.target_wire(server)
             rdata = (6 + len(target), priority, weight, port)
             made.append(_SRV_ROW.pack(_OWNER, dns.rdatatype.SRV, IN, self.ttl, *rdata) + target)
         return tuple(made)
 
     def row(self, server: str, owner: bytes = _OWNER_BYTES) -> bytes:
         """A server's address record."""
-        at = address(server)
+        at = endpoint_address(server)
         kind = dns.rdatatype.A if at.version == 4 else dns.rdatatype.AAAA
         return owner + _ROW.pack(kind, IN, self.ttl, len(at.packed)) + at.packed
 
     def _beside(self, operation: str, zone: str) -> tuple[bytes, ...]:
         """The addresses of an operation's targets, each name once: ports of one address share it."""
-        servers = {self.names.wire(s): s for s, _, _ in self.lines(operation, zone) or ()}
+        servers = {self.names.target_wire(s): s for s, _, _ in self.lines(operation, zone) or ()}
         return tuple(self.row(server, owner) for owner, server in servers.items())
 
     def _addresses(self, owner: dns.name.Name, servers: tuple[str, ...]) -> dns.rrset.RRset:
         """The addresses of these servers, in this order: most clients take the first."""
         found = []
         for server in servers:
-            at = address(server)
+            at = endpoint_address(server)
             kind, rdtype = (A, dns.rdatatype.A) if at.version == 4 else (AAAA, dns.rdatatype.AAAA)
             found.append(kind(IN, rdtype, str(at)))
         made = dns.rrset.RRset(owner, IN, found[0].rdtype)
@@ -149,30 +152,30 @@
 
     def draws(self, operation: str, zone: str, version: int) -> list[tuple[str, ...]]:
         """The servers of address answers that take turns, of one IP version."""
-        lines = [x for x in self.lines(operation, zone) or () if address(x[0]).version == version]
+        lines = [x for x in self.lines(operation, zone) or () if endpoint_address(x[0]).version == version]
         warm = [x for x in lines if x[0] not in self.cold]
         return [tuple(picked) for picked in draws(warm or lines, self.shape.addresses, self.shape.draws)]
 
     def lookup(self, name: bytes, rdtype: int, view: str) -> Found:
         """What answers a question for a name that exists, in wire form and lower case."""
-        kind, op, zone = self.names.owners.get(name, ("", "", ""))
-        zone = zone or view
-        if kind in ("service", "host") and self.lines(op, zone) is None:
+        owner = self.names.owners.get(name, _NO_OWNER)
+        kind, op, zone = owner.kind, owner.operation, owner.zone or view
+        if kind in (NameKind.SERVICE, NameKind.HOST) and self.lines(op, zone) is None:
             return Found(ready=False)  # it exists, and nothing is known of it yet
-        if rdtype == dns.rdatatype.ANY and (kind or name in self._targets):
+        if rdtype == dns.rdatatype.ANY and (kind is not NameKind.EMPTY_NON_TERMINAL or name in self._targets):
             small = HINFO(IN, dns.rdatatype.HINFO, b"RFC8482", b"")
             return Found((dns.rrset.from_rdata(dns.name.from_wire(name, 0)[0], self.ttl, small),))
-        if kind == "origin" and rdtype == dns.rdatatype.SOA:
+        if kind is NameKind.ORIGIN and rdtype == dns.rdatatype.SOA:
             return Found((self.soa(),))
-        if kind == "origin" and rdtype == dns.rdatatype.NS:
+        if kind is NameKind.ORIGIN and rdtype == dns.rdatatype.NS:
             return Found((self.ns(),))
-        if kind == "service" and rdtype == dns.rdatatype.SRV:
+        if kind is NameKind.SERVICE and rdtype == dns.rdatatype.SRV:
             return Found(rows=self.srv(op, zone), beside=self._beside(op, zone), operation=op, zone=zone)
         version = {dns.rdatatype.A: 4, dns.rdatatype.AAAA: 6}.get(rdtype)
-        if kind == "host" and version:
+        if kind is NameKind.HOST and version:
             return Found(drawn=tuple(self.draws(op, zone, version)), operation=op, zone=zone)
-        server = self.shape.server if kind == "server" else self._targets.get(name, "")
-        if server and version == address(server).version:
+        server = self.shape.server if kind is NameKind.NAME_SERVER else self._targets.get(name, "")
+        if server and version == endpoint_address(server).version:
             return Found(rows=(self.row(server),))
         return Found()
 
@@ -184,12 +187,14 @@
             for op in self.names.operations:
                 held = zone or view
                 rows = [
-                    SRV(IN, dns.rdatatype.SRV, priority, weight, port, self.names.target(server))
+                    SRV(IN, dns.rdatatype.SRV, priority, weight, port, self.names.target_name(server))
                     for server, priority, weight, port in self._weighed(op, held)
                 ]
                 if rows:
-                    found.append(dns.rrset.from_rdata_list(self.names.service(op, zone), self.ttl, rows))
-                    targets |= {str(address(s)): s for s, _, _ in self.lines(op, held) or ()}
-                host = self.names.host(op, zone)
+                    found.append(dns.rrset.from_rdata_list(self.names.service_name(op, zone), self.ttl, rows))
+                    targets |= {str(endpoint_address(s)): s for s, _, _ in self.lines(op, held) or ()}
+                host = self.names.host_name(op, zone)
                 found += [self._addresses(host, d[0]) for v in (4, 6) if (d := self.draws(op, held, v))]
-        return found + [self._addresses(self.names.target(server), (server,)) for server in targets.values()]
+        return found + [
+            self._addresses(self.names.target_name(server), (server,)) for server in targets.values()
+        ]
--- a/swiftchute/dns/zone_transfer.py
+++ b/swiftchute/dns/zone_transfer.py
@@ -26,7 +26,7 @@
 import dns.rdatatype
 import dns.rrset
 
-from swiftchute.dns.names import Names
+from swiftchute.dns.names import OriginNames
 from swiftchute.dns.records import Lines, Records, Shape
 from swiftchute.versions.encoding import WEIGHT_SCALE
 from swiftchute.versions.history import VersionHistory
@@ -47,7 +47,7 @@
 class Journal:
     """Serials of one planner's life."""
 
-    def __init__(self, history: VersionHistory, names: Names, shape: Shape, ttl: int) -> None:
+    def __init__(self, history: VersionHistory, names: OriginNames, shape: Shape, ttl: int) -> None:
         """`ttl`: of all records in transfers, so that it is no difference."""
         self.history, self.names, self.shape, self.ttl = history, names, shape, ttl
         self.entries: OrderedDict[int, _Entry] = OrderedDict()
--- a/tests/dns/test_frontend.py
+++ b/tests/dns/test_frontend.py
@@ -27,9 +27,10 @@
 from swiftchute.discovery.endpoint_list import EndpointListChange
 from swiftchute.dns import rate_limit
 from swiftchute.dns.answer_cache import Ready
+from swiftchute.dns.errors import DomainNameError, QueryError
 from swiftchute.dns.frontend import SLACK, Front
-from swiftchute.dns.names import BadName, Names
-from swiftchute.dns.query import Bad, plain, read
+from swiftchute.dns.names import OriginNames
+from swiftchute.dns.query import plain, read
 from swiftchute.dns.rate_limit import ANSWER, CUT, DROP, Limiter
 from swiftchute.dns.records import Records, Shape
 from swiftchute.dns.srv_weights import counts, draws, srv_weights
@@ -44,7 +45,7 @@
 NOW = 1000 * S
 ORIGIN = "lots.example."
 SRV = "_read._tcp.lots.example."
-NAMES = Names(ORIGIN, ["read", "write"], ["east", "west"])
+NAMES = OriginNames(ORIGIN, ["read", "write"], ["east", "west"])
 
 
 def lines(many=3, zone="east", weight=1.0):
@@ -107,14 +108,14 @@
     [(["x" * 63], ["z"]), (["a", "A"], ["z"]), (["a"], ["a"]), (["ip-1"], ["z"]), (["ns"], [])],
 )  # fmt: skip
 def test_names_that_cannot_be_or_mean_two_things_are_refused(operations, zones):
-    with pytest.raises(BadName):
-        Names(ORIGIN, operations, zones)
+    with pytest.raises(DomainNameError):
+        OriginNames(ORIGIN, operations, zones)
 
 
 def test_an_operation_is_one_label_whatever_it_holds():
-    made = Names(ORIGIN, ["a.b"], ["z"])
-    assert made.service("a.b").labels[0] == b"_a.b"
-    assert made.target("[2001:db8::1]:80").labels[0] == b"ip6-20010db8000000000000000000000001"
+    made = OriginNames(ORIGIN, ["a.b"], ["z"])
+    assert made.service_name("a.b").labels[0] == b"_a.b"
+    assert made.target_name("[2001:db8::1]:80").labels[0] == b"ip6-20010db8000000000000000000000001"
 
 
 # -- answers
@@ -288,7 +289,7 @@
     for data in (tail, query[:12] + tail, query[:4] + tail):
         found = plain(data)
         if found is not None:
-            with contextlib.suppress(Bad):  # what the library will not take is answered all the same
+            with contextlib.suppress(QueryError):  # what the library will not take is answered all the same
                 assert read(data) == found
 
 
