--- a/benchmarks/answers.py
+++ b/benchmarks/answers.py
@@ -26,7 +26,7 @@
 
 from swiftchute.dns.answer_cache import Ready
 from swiftchute.dns.names import OriginNames
-from swiftchute.dns.query import plain
+from swiftchute.dns.query import parse_plain_query
 from swiftchute.dns.records import Records, Shape
 
 ORIGIN = "lots.example."
@@ -178,7 +178,7 @@
 def versions():
     """What a new version costs until its first answer is there, at 100 and 400 lines."""
     names = OriginNames(ORIGIN, ["lot-estimate"], ["z"])
-    query = plain(dns.message.make_query(*QUESTIONS["SRV, cut by UDP"]).to_wire())
+    query = parse_plain_query(dns.message.make_query(*QUESTIONS["SRV, cut by UDP"]).to_wire())
     took = {}
     for many in (100, 400):
         lines = tuple((f"127.1.{k // 200}.{k % 200 + 1}:9000", "z", 1.0) for k in range(many))
--- a/swiftchute/dns/answer_cache.py
+++ b/swiftchute/dns/answer_cache.py
@@ -16,7 +16,14 @@
 import dns.rcode
 import dns.rrset
 
-from swiftchute.dns.query import EMPTY, OPT_BYTES, Query, compose
+from swiftchute.dns.query import (
+    EMPTY_SECTIONS,
+    HEADER_BYTES,
+    OPT_RECORD_BYTES,
+    Query,
+    Sections,
+    compose_reply,
+)
 from swiftchute.dns.records import Found, Records
 
 S = 1_000_000_000
@@ -31,9 +38,6 @@
     until: int = 0
 
 
-Form = tuple[bytes, bytes]  # counts of the three sections, and their bytes
-
-
 @dataclass
 class _Made:
     """One question's answers; by turn the whole form, and the one without additional addresses."""
@@ -41,8 +45,8 @@
     found: Found
     code: int
     counter: Counter | None = None
-    forms: list[Form | None] = field(default_factory=lambda: [None])
-    short: Form | None = None
+    forms: list[Sections | None] = field(default_factory=lambda: [None])
+    short: Sections | None = None
     turn: int = 0
     level: float = 1.0
 
@@ -58,42 +62,44 @@
         self.origin = records.names.origin.to_wire().lower()
         out = io.BytesIO()
         records.soa().to_wire(out)  # names in full: it follows questions of any length
-        self.negative: Form = (b"\0\0\0\1\0\0", out.getvalue())
+        self.negative: Sections = Sections(b"\0\0\0\1\0\0", out.getvalue())
         self.denied = _Made(Found(), dns.rcode.NXDOMAIN, forms=[self.negative])
 
     def answer(self, query: Query, view: str, limit: int, now: int) -> bytes | None:
         """The reply to a question of class IN; None if its name is not under the origin."""
         name = query.name.lower()
-        made = self.made.get((name, query.type, view))
+        made = self.made.get((name, query.record_type, view))
         if made is None:
             if not within(name, self.origin):
                 return None
             if self.records.exists(name):
-                made = self._make(name, query.type, view)
+                made = self._make(name, query.record_type, view)
                 if len(self.made) >= MADE_MOST:
                     self.made.clear()
-                self.made[name, query.type, view] = made
+                self.made[name, query.record_type, view] = made
             else:  # names that are not there may be any: they are not kept
                 made = self.denied
         if made.counter is not None:
             made.counter.given += 1
             if made.level < 1 and self.random.random() >= made.level:
-                return compose(query, dns.rcode.SERVFAIL, *EMPTY)
+                return compose_reply(query, dns.rcode.SERVFAIL, EMPTY_SECTIONS)
             made.counter.until = max(made.counter.until, now + self.ttl)
-        code, (counts, tail) = made.code, self._form(made)
-        room = limit - 12 - len(query.question) - (OPT_BYTES + len(query.options) if query.size else 0)
-        if len(tail) > room and made.found.beside:
+        form = self._form(made)
+        room = limit - HEADER_BYTES - len(query.question)
+        if query.payload_size_bytes:
+            room -= OPT_RECORD_BYTES + len(query.reply_options)
+        if len(form.records) > room and made.found.beside:
             if made.short is None:
                 made.short = _rows(made.found.rows, ())
-            counts, tail = made.short
-        if len(tail) > room:
-            return compose(query, code, *EMPTY, short=True)
-        return compose(query, code, counts, tail)
+            form = made.short
+        if len(form.records) > room:
+            return compose_reply(query, made.code, EMPTY_SECTIONS, truncated=True)
+        return compose_reply(query, made.code, form)
 
     def _make(self, name: bytes, kind: int, view: str) -> _Made:
         found = self.records.lookup(name, kind, view)
         if not found.ready:
-            return _Made(found, dns.rcode.SERVFAIL, forms=[EMPTY])
+            return _Made(found, dns.rcode.SERVFAIL, forms=[EMPTY_SECTIONS])
         if not (found.answer or found.rows or found.drawn):
             return _Made(found, dns.rcode.NOERROR, forms=[self.negative])
         made = _Made(found, dns.rcode.NOERROR, forms=[None] * max(len(found.drawn), 1))
@@ -103,7 +109,7 @@
             made.level = self.records.levels.get(key, 1.0)
         return made
 
-    def _form(self, made: _Made) -> Form:
+    def _form(self, made: _Made) -> Sections:
         """The whole form whose turn it is."""
         turn = made.turn = (made.turn + 1) % len(made.forms)
         form = made.forms[turn]
@@ -127,14 +133,14 @@
     return name[at:] == origin
 
 
-def _rows(answer: tuple[bytes, ...], beside: tuple[bytes, ...]) -> Form:
+def _rows(answer: tuple[bytes, ...], beside: tuple[bytes, ...]) -> Sections:
     """Records in wire form as they follow a question."""
     counts = len(answer).to_bytes(2, "big") + b"\0\0" + len(beside).to_bytes(2, "big")
-    return counts, b"".join((*answer, *beside))
+    return Sections(counts, b"".join((*answer, *beside)))
 
 
-def _sets(answer: tuple[dns.rrset.RRset, ...]) -> Form:
+def _sets(answer: tuple[dns.rrset.RRset, ...]) -> Sections:
     """The library's rendering of sets of records, names in full."""
     out = io.BytesIO()
     many = sum(made.to_wire(out) for made in answer)
-    return many.to_bytes(2, "big") + bytes(4), out.getvalue()
+    return Sections(many.to_bytes(2, "big") + bytes(4), out.getvalue())
--- a/swiftchute/dns/frontend.py
+++ b/swiftchute/dns/frontend.py
@@ -30,7 +30,15 @@
 from swiftchute.dns.answer_cache import Counter, Ready
 from swiftchute.dns.errors import QueryError
 from swiftchute.dns.names import OriginNames
-from swiftchute.dns.query import EMPTY, SIZE_LEAST, SIZE_MOST, Network, Query, compose, plain, read
+from swiftchute.dns.query import (
+    EMPTY_SECTIONS,
+    Network,
+    Query,
+    Sections,
+    compose_reply,
+    parse_plain_query,
+    parse_query,
+)
 from swiftchute.dns.rate_limit import CUT, DROP, Limiter
 from swiftchute.dns.records import Lines, Records, Shape
 from swiftchute.dns.ttl import Lease
@@ -250,11 +258,11 @@
             self.counts["bad"] += 1
             return why.reply
         if verdict is CUT:
-            return compose(query, dns.rcode.NOERROR, *EMPTY, short=True)
-        if query.type in _TRANSFERS and query.cls == dns.rdataclass.IN:
+            return compose_reply(query, dns.rcode.NOERROR, EMPTY_SECTIONS, truncated=True)
+        if query.record_type in _TRANSFERS and query.record_class == dns.rdataclass.IN:
             replies = self._transfer(query, source, view, now, tcp=False)
             return replies[0] if replies else None
-        return self._answer(query, view, min(query.size, SIZE_MOST) or SIZE_LEAST, now)
+        return self._answer(query, view, query.datagram_limit_bytes, now)
 
     def stream(self, data: bytes, source: str, view: str, now: int) -> list[bytes]:
         """The replies to a message that came by TCP."""
@@ -265,32 +273,35 @@
         except QueryError as why:
             self.counts["bad"] += 1
             return [why.reply] if why.reply is not None else []
-        if query.type in _TRANSFERS and query.cls == dns.rdataclass.IN:
+        if query.record_type in _TRANSFERS and query.record_class == dns.rdataclass.IN:
             return self._transfer(query, source, view, now, tcp=True)
         return [self._answer(query, view, TCP_MOST, now)]
 
     def _read(self, data: bytes) -> Query:
-        query = plain(data)
+        query = parse_plain_query(data)
         if query is not None:
             return query
         self.counts["slow"] += 1
-        return read(data)
+        return parse_query(data)
 
     def _answer(self, query: Query, view: str, limit: int, now: int) -> bytes:
-        if query.cls != dns.rdataclass.IN or query.type in (dns.rdatatype.OPT, dns.rdatatype.TSIG):
+        if query.record_class != dns.rdataclass.IN or query.record_type in (
+            dns.rdatatype.OPT,
+            dns.rdatatype.TSIG,
+        ):
             self.counts["refused"] += 1
-            return compose(query, dns.rcode.REFUSED, *EMPTY)
-        if query.options:
+            return compose_reply(query, dns.rcode.REFUSED, EMPTY_SECTIONS)
+        if query.reply_options:
             if self.subnets:
                 view = self._viewed(query.subnet, view)
             else:  # who does not go by subnets does not echo them (RFC 7871, 7.2.1)
-                query = replace(query, options=b"")
+                query = replace(query, reply_options=b"")
         if self.ready is None:
-            return compose(query, dns.rcode.SERVFAIL, *EMPTY)
+            return compose_reply(query, dns.rcode.SERVFAIL, EMPTY_SECTIONS)
         reply = self.ready.answer(query, view, limit, now)
         if reply is None:
             self.counts["refused"] += 1
-            return compose(query, dns.rcode.REFUSED, *EMPTY)
+            return compose_reply(query, dns.rcode.REFUSED, EMPTY_SECTIONS)
         return reply
 
     def _viewed(self, subnet: Network | None, view: str) -> str:
@@ -306,15 +317,15 @@
         origin = self.names.origin.to_wire().lower()
         if not self.secondaries.allowed(view, source) or query.name.lower() != origin:
             self.counts["refused"] += 1
-            return [compose(query, dns.rcode.REFUSED, *EMPTY)]
-        if query.type == dns.rdatatype.AXFR and not tcp:
-            return [compose(query, dns.rcode.FORMERR, *EMPTY)]
-        since = query.serial if query.type == dns.rdatatype.IXFR else None
+            return [compose_reply(query, dns.rcode.REFUSED, EMPTY_SECTIONS)]
+        if query.record_type == dns.rdatatype.AXFR and not tcp:
+            return [compose_reply(query, dns.rcode.FORMERR, EMPTY_SECTIONS)]
+        since = query.serial if query.record_type == dns.rdatatype.IXFR else None
         sections = self.journal.transfer(view, since)
         if not sections:
-            return [compose(query, dns.rcode.SERVFAIL, *EMPTY)]
+            return [compose_reply(query, dns.rcode.SERVFAIL, EMPTY_SECTIONS)]
         made = [_section(query, rows) for rows in sections]
-        if not tcp and (len(made) > 1 or len(made[0]) > (min(query.size, SIZE_MOST) or SIZE_LEAST)):
+        if not tcp and (len(made) > 1 or len(made[0]) > query.datagram_limit_bytes):
             return [_section(query, sections[0][:1])]
         self.counts["transfers"] += 1
         self.secondaries.seen(view, source, self.journal.serial, self.journal.serial, now)
@@ -333,4 +344,6 @@
     """A message with these records as its answer, names in full."""
     out = io.BytesIO()
     many = sum(row.to_wire(out) for row in rows)
-    return compose(query, dns.rcode.NOERROR, many.to_bytes(2, "big") + bytes(4), out.getvalue())
+    return compose_reply(
+        query, dns.rcode.NOERROR, Sections(many.to_bytes(2, "big") + bytes(4), out.getvalue())
+    )
--- a/swiftchute/dns/query.py
+++ b/swiftchute/dns/query.py
@@ -1,10 +1,12 @@
-"""Queries read, replies composed: plain questions by hand, all others by the library. No I/O.
+"""Parsing of queries and composition of replies. No I/O.
 
-    query = plain(data)            # a Query, or None: it is not plain
-    query = read(data)             # by the library; raises QueryError with the reply, None to stay silent
-    reply = compose(query, code, counts, tail, short)
+Plain queries are parsed by hand, all others by dnspython. A query is plain if it is a standard query of one
+question with at most an OPT record without options beside it.
+
+Example:
+    query = parse_plain_query(data) or parse_query(data)
+    reply = compose_reply(query, dns.rcode.NOERROR, sections)
 
-Plain: a standard query of one question, with no more beside it than an OPT record without options.
 Sources: RFC 1035, section 4; EDNS0 by RFC 6891; client subnets by RFC 7871.
 """
 
@@ -16,126 +18,237 @@
 import dns.exception
 import dns.flags
 import dns.message
-import dns.name
 import dns.opcode
 import dns.rcode
-import dns.rdataclass
 import dns.rdatatype
 
 from swiftchute.dns.errors import QueryError
 
-HEAD = struct.Struct("!HHHHHH")
-SIZE_LEAST, OPT_BYTES = 512, 11
-SIZE_MOST = 1232  # of a datagram: what passes every way unbroken (1280 of IPv6 less its heads)
+HEADER_BYTES = 12
+OPT_RECORD_BYTES = 11  # without options
+MIN_PAYLOAD_BYTES = 512  # what every client accepts in a datagram (RFC 1035, section 4.2.1)
+MAX_PAYLOAD_BYTES = 1232  # fits the least IPv6 MTU of 1280 bytes without its IP and UDP headers
+
+_HEADER = struct.Struct("!HHHHHH")
+_MIN_QUERY_BYTES = HEADER_BYTES + 5  # with the root as its name
+_MAX_NAME_BYTES = 255
+_MAX_LABEL_BYTES = 63  # larger lengths are compression pointers
+
 _QR, _AA, _TC, _RD = 0x8000, 0x0400, 0x0200, 0x0100
-_OPCODE = 0x7800
-_OPT = b"\x00\x00\x29"  # the root's name and the type
-EMPTY = (b"\x00" * 6, b"")
+_OPCODE_MASK = 0x7800
+_OPT_PREFIX = b"\x00\x00\x29"  # the name of the root and the type OPT
+
 Network = ipaddress.IPv4Network | ipaddress.IPv6Network
 
 
 @dataclass(frozen=True, slots=True)
-class Query:
-    """One question: its name as it came, type, class; `size` of an OPT, 0 without; the client's subnet; and
-    the serial that an IXFR tells."""
+class Sections:
+    """The records of a reply in wire form.
+
+    Attributes:
+        counts: The three counts of the header: answer, authority and additional records, two bytes each.
+        records: The records of the three sections, one after another.
+    """
+
+    counts: bytes = b"\x00" * 6
+    records: bytes = b""
 
-    id: bytes
-    recurse: bool
+
+EMPTY_SECTIONS = Sections()
+
+
+@dataclass(frozen=True, slots=True)
+class Query:
+    """One question of a client.
+
+    Attributes:
+        message_id: The id of the message, two bytes.
+        recursion_desired: Whether the client set RD.
+        question: The question section in wire form, in the case of the client.
+        name: The name of the question in wire form, in the case of the client.
+        record_type: The type of the question.
+        record_class: The class of the question.
+        payload_size_bytes: The datagram size of the OPT record; 0 if there is none.
+        subnet: The subnet of the client's own client, if given.
+        serial: The serial that an IXFR query holds, if any.
+        reply_options: The options of the OPT record of the reply in wire form.
+    """
+
+    message_id: bytes
+    recursion_desired: bool
     question: bytes
     name: bytes
-    type: int
-    cls: int
-    size: int = 0
+    record_type: int
+    record_class: int
+    payload_size_bytes: int = 0
     subnet: Network | None = None
     serial: int | None = None
-    options: bytes = b""  # of the reply's OPT
+    reply_options: bytes = b""
+
+    @property
+    def datagram_limit_bytes(self) -> int:
+        """The largest reply by datagram that both sides accept."""
+        return min(self.payload_size_bytes, MAX_PAYLOAD_BYTES) or MIN_PAYLOAD_BYTES
 
 
-def plain(data: bytes) -> Query | None:
-    """The query of a plain message."""
-    if len(data) < 17:
+def parse_plain_query(data: bytes) -> Query | None:
+    """Return the query of a plain message; None if the message is not plain."""
+    if len(data) < _MIN_QUERY_BYTES:
+        return None
+    _, flags, questions, answers, authority, additional = _HEADER.unpack_from(data)
+    if flags & (_QR | _OPCODE_MASK | _TC):
         return None
-    _, flags, one, answers, authority, additional = HEAD.unpack_from(data)
-    if flags & (_QR | _OPCODE | _TC) or (one, answers, authority) != (1, 0, 0) or additional > 1:
+    if (questions, answers, authority) != (1, 0, 0) or additional > 1:
         return None
-    at, end = 12, len(data)
-    while at < end and data[at]:
-        if data[at] > 63:
+    name_end = _find_name_end(data)
+    if name_end is None:
+        return None
+    record_type, record_class = struct.unpack_from("!HH", data, name_end)
+    question_end = name_end + 4
+    payload_size_bytes = 0
+    if additional:
+        parsed_size_bytes = _parse_plain_opt(data, question_end)
+        if parsed_size_bytes is None:
             return None
-        at += data[at] + 1
-    at += 1
-    if at - 12 > 255 or at + 4 > end:
+        payload_size_bytes = parsed_size_bytes
+    elif len(data) != question_end:
         return None
-    kind, cls = struct.unpack_from("!HH", data, at)
-    size = 0
-    if additional:  # an OPT of version 0 without options, and nothing after it
-        if end != at + 15 or data[at + 4 : at + 7] != _OPT or data[at + 10] or data[at + 13 :] != b"\0\0":
+    return Query(
+        data[:2],
+        bool(flags & _RD),
+        data[HEADER_BYTES:question_end],
+        data[HEADER_BYTES:name_end],
+        record_type,
+        record_class,
+        payload_size_bytes,
+    )
+
+
+def _find_name_end(data: bytes) -> int | None:
+    """Return the offset behind the uncompressed name of the question; None if there is no such name."""
+    offset, end = HEADER_BYTES, len(data)
+    while offset < end and data[offset]:
+        if data[offset] > _MAX_LABEL_BYTES:
             return None
-        size = max(int.from_bytes(data[at + 7 : at + 9], "big"), SIZE_LEAST)
-    elif end != at + 4:
+        offset += data[offset] + 1
+    offset += 1
+    if offset - HEADER_BYTES > _MAX_NAME_BYTES or offset + 4 > end:
         return None
-    return Query(data[:2], bool(flags & _RD), data[12 : at + 4], data[12:at], kind, cls, size)
+    return offset
 
 
-def error(data: bytes, code: int) -> bytes | None:
-    """A reply of a head alone to what may not be read further; None to what is no query."""
-    if len(data) < 12 or data[2] & 0x80:
+def _parse_plain_opt(data: bytes, start: int) -> int | None:
+    """Return the payload size of an OPT record of version 0 without options that ends the message."""
+    if len(data) != start + OPT_RECORD_BYTES or data[start : start + 3] != _OPT_PREFIX:
+        return None
+    version, options_length = data[start + 6], data[start + 9 :]
+    if version or options_length != b"\0\0":
         return None
-    flags = _QR | (int.from_bytes(data[2:4], "big") & (_OPCODE | _RD)) | code
+    return max(int.from_bytes(data[start + 3 : start + 5], "big"), MIN_PAYLOAD_BYTES)
+
+
+def compose_error(data: bytes, code: int) -> bytes | None:
+    """Return a reply that is only a header, to a message that may not be parsed; None if it is no query."""
+    if not _is_query(data):
+        return None
+    flags = _QR | (int.from_bytes(data[2:4], "big") & (_OPCODE_MASK | _RD)) | code
     return data[:2] + flags.to_bytes(2, "big") + bytes(8)
 
 
-def read(data: bytes) -> Query:
-    """Any message, by the library. Raises `QueryError`."""
-    if len(data) < 12 or data[2] & 0x80:
+def _is_query(data: bytes) -> bool:
+    return len(data) >= HEADER_BYTES and not data[2] & 0x80
+
+
+def parse_query(data: bytes) -> Query:
+    """Return the query of any message.
+
+    Raises:
+        QueryError: The message is no query, malformed, signed, or of an opcode or EDNS version not served.
+    """
+    message = _parse_message(data)
+    question = message.question[0]
+    name = question.name.to_digestable()
+    name_end = HEADER_BYTES + len(name)
+    if data[HEADER_BYTES:name_end].lower() != name:  # a compressed name cannot be repeated as it is
+        raise QueryError(compose_error(data, dns.rcode.FORMERR))
+    subnet, reply_options = _parse_options(message, data)
+    query = Query(
+        data[:2],
+        bool(message.flags & dns.flags.RD),
+        data[HEADER_BYTES : name_end + 4],
+        data[HEADER_BYTES:name_end],
+        int(question.rdtype),
+        int(question.rdclass),
+        max(message.payload, MIN_PAYLOAD_BYTES) if message.edns >= 0 else 0,
+        subnet,
+        _parse_serial(message),
+        reply_options,
+    )
+    if message.edns > 0:
+        raise QueryError(compose_reply(query, dns.rcode.BADVERS, EMPTY_SECTIONS))
+    return query
+
+
+def _parse_message(data: bytes) -> dns.message.Message:
+    """Return the message of one question in `data`; raise `QueryError` if it is none."""
+    if not _is_query(data):
         raise QueryError(None)
-    if data[2] & 0x78:
-        raise QueryError(error(data, dns.rcode.NOTIMP))
+    if data[2] & (_OPCODE_MASK >> 8):
+        raise QueryError(compose_error(data, dns.rcode.NOTIMP))
     try:
-        made = dns.message.from_wire(data)
+        message = dns.message.from_wire(data)
     except dns.message.UnknownTSIGKey:
-        raise QueryError(error(data, dns.rcode.REFUSED)) from None
+        raise QueryError(compose_error(data, dns.rcode.REFUSED)) from None
     except (dns.exception.DNSException, ValueError, IndexError, struct.error):
-        raise QueryError(error(data, dns.rcode.FORMERR)) from None
-    if len(made.question) != 1 or made.had_tsig:
-        raise QueryError(error(data, dns.rcode.FORMERR))
-    asked = made.question[0]
-    name = asked.name.to_wire()
-    # the name as it came: a question of a plain form keeps its case
-    end = 12 + len(name)
-    if data[12:end].lower() != name.lower():
-        raise QueryError(error(data, dns.rcode.FORMERR))
-    size = max(made.payload, SIZE_LEAST) if made.edns >= 0 else 0
-    subnet, options = None, b""
-    for option in made.options:
-        if isinstance(option, dns.edns.ECSOption):
-            try:
-                subnet = ipaddress.ip_network((option.address, option.srclen), strict=False)
-            except ValueError:
-                raise QueryError(error(data, dns.rcode.FORMERR)) from None
-            # the whole answer goes by the part of the address that was told
-            told = dns.edns.ECSOption(option.address, option.srclen, option.srclen).to_wire()
-            options = struct.pack("!HH", dns.edns.OptionType.ECS, len(told)) + told
-    serial = None
-    if asked.rdtype == dns.rdatatype.IXFR:
-        soa = [r for r in made.authority if r.rdtype == dns.rdatatype.SOA]
-        serial = soa[0][0].serial if soa else None
-    question = data[12 : end + 4]
-    query = Query(data[:2], bool(made.flags & dns.flags.RD), question, data[12:end], int(asked.rdtype),
-                  int(asked.rdclass), size, subnet, serial, options)  # fmt: skip
-    if made.edns > 0:
-        raise QueryError(compose(query, dns.rcode.BADVERS, *EMPTY))
-    return query
+        raise QueryError(compose_error(data, dns.rcode.FORMERR)) from None
+    if len(message.question) != 1 or message.had_tsig:
+        raise QueryError(compose_error(data, dns.rcode.FORMERR))
+    return message
+
+
+def _parse_options(message: dns.message.Message, data: bytes) -> tuple[Network | None, bytes]:
+    """Return the subnet of the last ECS option, and the option that answers it; raise `QueryError`."""
+    subnet: Network | None = None
+    reply_options = b""
+    for option in message.options:
+        if not isinstance(option, dns.edns.ECSOption):
+            continue
+        try:
+            subnet = ipaddress.ip_network((option.address, option.srclen), strict=False)
+        except ValueError:
+            raise QueryError(compose_error(data, dns.rcode.FORMERR)) from None
+        # The scope is the given prefix: the answer holds for all of it (RFC 7871, section 7.2.1).
+        echoed = dns.edns.ECSOption(option.address, option.srclen, option.srclen).to_wire() or b""
+        reply_options = struct.pack("!HH", dns.edns.OptionType.ECS, len(echoed)) + echoed
+    return subnet, reply_options
+
+
+def _parse_serial(message: dns.message.Message) -> int | None:
+    """Return the serial of the SOA record that an IXFR query holds; None if there is none."""
+    if message.question[0].rdtype != dns.rdatatype.IXFR:
+        return None
+    soa = [rrset for rrset in message.authority if rrset.rdtype == dns.rdatatype.SOA]
+    return soa[0][0].serial if soa else None
+
 
+def compose_reply(query: Query, code: int, sections: Sections, truncated: bool = False) -> bytes:
+    """Return the reply: header, the question as it came, sections, and an OPT record if the query had one.
 
-def compose(query: Query, code: int, counts: bytes, tail: bytes, short: bool = False) -> bytes:
-    """The reply's bytes: head, the question as it came, sections, and an OPT if the query had one."""
-    flags = _QR | _AA | (_RD if query.recurse else 0) | (_TC if short else 0) | (code & 15)
+    Args:
+        query: The query that is answered.
+        code: The response code; its upper bits go into the OPT record.
+        sections: The records of the reply.
+        truncated: Whether TC is set, so that the client repeats the query by TCP.
+    """
+    flags = _QR | _AA | (_RD if query.recursion_desired else 0) | (_TC if truncated else 0) | (code & 15)
     if code in (dns.rcode.REFUSED, dns.rcode.SERVFAIL, dns.rcode.BADVERS):
         flags &= ~_AA
-    opt = b""
-    if query.size:
-        extended = (code >> 4) << 24
-        opt = _OPT + struct.pack("!HIH", SIZE_MOST, extended, len(query.options)) + query.options
+    opt, counts = b"", sections.counts
+    if query.payload_size_bytes:
+        extended_flags = (code >> 4) << 24
+        opt = _OPT_PREFIX + struct.pack(
+            "!HIH", MAX_PAYLOAD_BYTES, extended_flags, len(query.reply_options)
+        ) + query.reply_options  # fmt: skip
         counts = counts[:4] + (int.from_bytes(counts[4:], "big") + 1).to_bytes(2, "big")
-    return b"".join((query.id, flags.to_bytes(2, "big"), b"\0\1", counts, query.question, tail, opt))
+    header = (query.message_id, flags.to_bytes(2, "big"), b"\0\1", counts)
+    return b"".join((*header, query.question, sections.records, opt))
--- a/tests/dns/test_frontend.py
+++ b/tests/dns/test_frontend.py
@@ -30,7 +30,7 @@
 from swiftchute.dns.errors import DomainNameError, QueryError
 from swiftchute.dns.frontend import SLACK, Front
 from swiftchute.dns.names import OriginNames
-from swiftchute.dns.query import plain, read
+from swiftchute.dns.query import parse_plain_query, parse_query
 from swiftchute.dns.rate_limit import ANSWER, CUT, DROP, Limiter
 from swiftchute.dns.records import Records, Shape
 from swiftchute.dns.srv_weights import counts, draws, srv_weights
@@ -62,7 +62,7 @@
 
 
 def told(made, name, kind="SRV", limit=65_535, view="east", size=0):
-    reply = made.answer(plain(ask(name, kind, size)), view, limit, NOW)
+    reply = made.answer(parse_plain_query(ask(name, kind, size)), view, limit, NOW)
     return dns.message.from_wire(reply) if reply is not None else None
 
 
@@ -152,7 +152,7 @@
 
 def test_the_case_of_a_question_is_kept():
     query = ask("_rEaD._TcP.LoTs.ExAmPlE.")
-    reply = ready().answer(plain(query), "east", 512, NOW)
+    reply = ready().answer(parse_plain_query(query), "east", 512, NOW)
     assert reply[12 : 12 + 28] == query[12 : 12 + 28]
     assert len(dns.message.from_wire(reply).answer[0]) == 3
 
@@ -173,7 +173,7 @@
     made = ready(lines(many))
     for size in (0, limit):
         for name, kind in ((SRV, "SRV"), ("read.lots.example.", "A"), ("gone.lots.example.", "A")):
-            assert len(made.answer(plain(ask(name, kind, size)), "east", limit, NOW)) <= limit
+            assert len(made.answer(parse_plain_query(ask(name, kind, size)), "east", limit, NOW)) <= limit
 
 
 def test_draws_take_turns_and_hold_no_cold_server_while_there_are_warm_ones():
@@ -287,10 +287,10 @@
 def test_what_is_plain_reads_the_same_by_the_library(tail):
     query = ask(SRV)
     for data in (tail, query[:12] + tail, query[:4] + tail):
-        found = plain(data)
+        found = parse_plain_query(data)
         if found is not None:
             with contextlib.suppress(QueryError):  # what the library will not take is answered all the same
-                assert read(data) == found
+                assert parse_query(data) == found
 
 
 # -- how long answers live
