--- a/swiftchute/dns/frontend.py
+++ b/swiftchute/dns/frontend.py
@@ -11,7 +11,7 @@
 acknowledges is different: a version is held once no answer of an earlier one can be in anybody's cache, its
 time to live after the last was given. So whatever the planner and its guard do about proxies that have not
 acknowledged yet holds for resolvers too. What is decided here: when that is, and what a query gets; how long
-answers live is `lease`, who gets how many `limits`, the rest is encoding.
+answers live is `ttl`, who gets how many `rate_limit`, the rest is encoding.
 """
 
 import io
@@ -39,9 +39,9 @@
     parse_plain_query,
     parse_query,
 )
-from swiftchute.dns.rate_limit import CUT, DROP, Limiter
+from swiftchute.dns.rate_limit import RateLimiter, Verdict
 from swiftchute.dns.records import Lines, Records, Shape
-from swiftchute.dns.ttl import Lease
+from swiftchute.dns.ttl import TtlPolicy
 from swiftchute.dns.zone_transfer import Journal, Secondaries
 
 S = 1_000_000_000
@@ -83,13 +83,13 @@
         host, port = p["listen"] or ("localhost", 0)
         server = "" if host == "localhost" else f"{host}:{port}"
         self.shape = Shape(p["addresses"], p["draws"], p["borrowed"], expire=p["expire"] // S, server=server)
-        self.lease = Lease(
+        self.ttl_policy = TtlPolicy(
             settings.drain_grace_ns, settings.max_no_endpoint_ns, p["ttl_most"] // S, p["queries"]
         )
-        self.limiter = Limiter(p["responses"], p["slip"], p["strangers"])
-        self.journal = Journal(controller.history, self.names, self.shape, self.lease.bound)
+        self.limiter = RateLimiter(p["responses"], p["slip"], p["strangers"])
+        self.journal = Journal(controller.history, self.names, self.shape, self.ttl_policy.limit_s)
         self.secondaries = Secondaries(
-            p["secondaries"], self.names.origin, p["expire"], self.lease.bound * S, seed
+            p["secondaries"], self.names.origin, p["expire"], self.ttl_policy.limit_s * S, seed
         )
         self.subnets: list[tuple[Network, str]] = sorted(
             ((net, zone) for zone, net in p["subnets"]), key=lambda row: -row[0].prefixlen
@@ -101,7 +101,7 @@
         self.contents: dict[str, dict[str, tuple[bytes, Lines]]] = {}
         self.cold: frozenset[str] = frozenset()
         self.barred = controller.unavailable_endpoints
-        self.ttl = self.lease.bound
+        self.ttl = self.ttl_policy.limit_s
         self.rate = 0.0  # queries a second of late
         self.checked = self.reported = self.turned = 0
         self.counts = dict.fromkeys(("queries", "slow", "bad", "refused", "transfers"), 0)
@@ -157,14 +157,14 @@
         self.told["", ""] = given
         if now - self.reported >= self.set.report_interval_ns:
             self._report(now)
-        ttl = self.lease.ttl(self.rate, now)
+        ttl = self.ttl_policy.ttl_s(self.rate, now)
         if ttl != self.ttl:
             self.controller.log_event(
                 "answers live",
                 seconds=ttl,
-                most=self.lease.bound,
+                most=self.ttl_policy.limit_s,
                 queries=round(self.rate, 1),
-                changes=len(self.lease.changes),
+                changes=self.ttl_policy.recent_changes,
             )
         moved = ttl != self.ttl or self.controller.warming_endpoints(now) != self.cold
         self.ttl = ttl
@@ -211,7 +211,7 @@
         if same and held == self.contents:
             return
         if held != self.contents:
-            self.lease.changed(now)
+            self.ttl_policy.on_answers_changed(now)
         for view in self.views.values():
             if old and held.get(view.zone) != self.contents.get(view.zone):
                 outs = [c.until for (zone, _), c in self.counters.items() if zone == view.zone]
@@ -249,15 +249,15 @@
     def datagram(self, data: bytes, source: str, view: str, now: int) -> bytes | None:
         """The reply to a datagram."""
         self.counts["queries"] += 1
-        verdict = self.limiter.asked(source, now)
-        if verdict is DROP:
+        verdict = self.limiter.check(source, now)
+        if verdict is Verdict.DROP:
             return None
         try:
             query = self._read(data)
         except QueryError as why:
             self.counts["bad"] += 1
             return why.reply
-        if verdict is CUT:
+        if verdict is Verdict.TRUNCATE:
             return compose_reply(query, dns.rcode.NOERROR, EMPTY_SECTIONS, truncated=True)
         if query.record_type in _TRANSFERS and query.record_class == dns.rdataclass.IN:
             replies = self._transfer(query, source, view, now, tcp=False)
@@ -267,7 +267,7 @@
     def stream(self, data: bytes, source: str, view: str, now: int) -> list[bytes]:
         """The replies to a message that came by TCP."""
         self.counts["queries"] += 1
-        self.limiter.proven(source, now)
+        self.limiter.mark_verified(source, now)
         try:
             query = self._read(data)
         except QueryError as why:
--- a/swiftchute/dns/server.py
+++ b/swiftchute/dns/server.py
@@ -162,5 +162,7 @@
     @property
     def counts(self) -> dict[str, int]:
         """Figures for the log's last line."""
-        limited = {f"dns_{name}": many for name, many in self.front.limiter.counts.items()}
+        limited = {
+            f"dns_{verdict.value}": many for verdict, many in self.front.limiter.verdict_counts.items()
+        }
         return {f"dns_{k}": v for k, v in (self.front.counts | self.closed).items()} | limited
--- a/swiftchute/dns/ttl.py
+++ b/swiftchute/dns/ttl.py
@@ -1,46 +1,71 @@
-"""How long an answer may be kept: its time to live is this front's lateness. No I/O, no clock.
+"""How long resolvers may cache an answer. No I/O, no clock.
 
-    lease = Lease(grace, bare_limit, most=30, queries=1000.0)
-    lease.changed(now); ttl = lease.ttl(rate, now)        # whole seconds
-    lease.bound                                            # the most it may ever be
+Example:
+    policy = TtlPolicy(drain_grace_ns, max_no_endpoint_ns, max_ttl_s=30, max_queries_per_s=1000.0)
+    policy.on_answers_changed(now_ns)
+    ttl_s = policy.ttl_s(query_rate_per_s, now_ns)
+    policy.limit_s  # the longest time to live that it ever gives
 
-A resolver goes by what it holds until its time is over, and nothing can call it back. So no answer lives
-longer than a drain allows, less a reserve for the news to become an answer, and no longer than a proxy may
-be without a server (all of its servers may die). Within that bound answers live the shorter the more often
-tables change, as the holders of old ones are what the guard must add to each change; a query load over what
-is asked for makes them live as long as they may.
+A resolver uses what it has cached until the time to live ends, and nothing can recall it. So no answer lives
+longer than a drain allows, less a reserve for an endpoint update to become an answer, and no longer than a
+proxy may be without an endpoint (all endpoints that it knows may fail). Within that limit answers live the
+shorter the more often tables change, as the safety rules add the holders of old answers to each change. If
+there are more queries than the settings ask for, answers live as long as they may.
 """
 
 from collections import deque
 
-S = 1_000_000_000
-RESERVE, RESERVE_LEAST = 0.25, S // 2  # of the grace, kept for the list's news to become an answer
-SPAN = 30 * S  # changes of the last so long count
-HALF = 2  # an answer lives for half of the mean time between changes: most holders then hold the newest
-CHANGES_MOST = 1024
+NS_PER_S = 1_000_000_000
+RESERVE_FRACTION = 0.25  # of the drain grace, for an endpoint update to become an answer
+MIN_RESERVE_NS = NS_PER_S // 2
+CHANGE_WINDOW_NS = 30 * NS_PER_S
+CHANGE_INTERVALS_PER_TTL = 2  # an answer lives for half of the mean interval between changes
+MAX_CHANGES_ENTRIES = 1024
 
 
-class Lease:
-    """The decision for one origin; all of its zones share it, as a resolver may hold any."""
+class TtlPolicy:
+    """The time to live of all answers under one origin; zones share it, as a resolver may cache any of them.
 
-    def __init__(self, grace: int, bare_limit: int, most: int, queries: float) -> None:
-        """`grace` and `bare_limit` in ns, `most` in whole seconds; `queries` a second are meant to be
-        answered."""
-        reserve = max(int(grace * RESERVE), RESERVE_LEAST)
-        self.bound = max(min(most, (grace - reserve) // S, (bare_limit - RESERVE_LEAST) // S), 0)
-        self.queries, self.changes = queries, deque(maxlen=CHANGES_MOST)
+    Attributes:
+        limit_s: The longest time to live that it gives.
+    """
 
-    def changed(self, now: int) -> None:
-        """An answer changed."""
-        self.changes.append(now)
+    def __init__(
+        self, drain_grace_ns: int, max_no_endpoint_ns: int, max_ttl_s: int, max_queries_per_s: float
+    ) -> None:
+        """Create the policy.
 
-    def ttl(self, rate: float, now: int) -> int:
-        """Whole seconds for answers given from now on; `rate`: queries a second of late.
+        Args:
+            drain_grace_ns: How long a draining endpoint still accepts requests.
+            max_no_endpoint_ns: How long a proxy may be without a usable endpoint.
+            max_ttl_s: The longest time to live that the settings allow.
+            max_queries_per_s: Queries beyond which answers live as long as they may.
+        """
+        reserve_ns = max(int(drain_grace_ns * RESERVE_FRACTION), MIN_RESERVE_NS)
+        drain_limit_s = (drain_grace_ns - reserve_ns) // NS_PER_S
+        no_endpoint_limit_s = (max_no_endpoint_ns - MIN_RESERVE_NS) // NS_PER_S
+        self.limit_s = max(min(max_ttl_s, drain_limit_s, no_endpoint_limit_s), 0)
+        self._max_queries_per_s = max_queries_per_s
+        self._changed_at_ns: deque[int] = deque(maxlen=MAX_CHANGES_ENTRIES)
+
+    @property
+    def recent_changes(self) -> int:
+        """How many changes of answers count at present."""
+        return len(self._changed_at_ns)
+
+    def on_answers_changed(self, now_ns: int) -> None:
+        """Count a change of the answers."""
+        self._changed_at_ns.append(now_ns)
+
+    def ttl_s(self, query_rate_per_s: float, now_ns: int) -> int:
+        """Return the time to live, in whole seconds, of answers given from now on.
 
-        0 only where the bound is 0: an answer nobody may keep brings every call of every client here.
+        It is 0 only if `limit_s` is 0, as an answer that nobody caches brings every request of every client
+        here.
         """
-        while self.changes and now - self.changes[0] > SPAN:
-            self.changes.popleft()
-        if self.bound <= 1 or rate > self.queries or not self.changes:
-            return self.bound
-        return max(min(SPAN // (HALF * len(self.changes) * S), self.bound), 1)
+        while self._changed_at_ns and now_ns - self._changed_at_ns[0] > CHANGE_WINDOW_NS:
+            self._changed_at_ns.popleft()
+        if self.limit_s <= 1 or query_rate_per_s > self._max_queries_per_s or not self._changed_at_ns:
+            return self.limit_s
+        ttl_s = CHANGE_WINDOW_NS // (CHANGE_INTERVALS_PER_TTL * len(self._changed_at_ns) * NS_PER_S)
+        return max(min(ttl_s, self.limit_s), 1)
--- a/tests/dns/test_frontend.py
+++ b/tests/dns/test_frontend.py
@@ -31,10 +31,10 @@
 from swiftchute.dns.frontend import SLACK, Front
 from swiftchute.dns.names import OriginNames
 from swiftchute.dns.query import parse_plain_query, parse_query
-from swiftchute.dns.rate_limit import ANSWER, CUT, DROP, Limiter
+from swiftchute.dns.rate_limit import RateLimiter, Verdict
 from swiftchute.dns.records import Records, Shape
 from swiftchute.dns.srv_weights import counts, draws, srv_weights
-from swiftchute.dns.ttl import Lease
+from swiftchute.dns.ttl import TtlPolicy
 from swiftchute.dns.zone_transfer import TRIES, Secondaries
 from swiftchute.safety.proposal import SafetyRules
 from swiftchute.xds.errors import ProtocolViolationError
@@ -302,53 +302,53 @@
      (10, 60, 300, 7)],
 )  # fmt: skip
 def test_no_answer_outlives_a_drains_grace_less_its_reserve(grace, bare, most, bound):
-    assert Lease(int(grace * S), int(bare * S), most, 100).bound == bound
+    assert TtlPolicy(int(grace * S), int(bare * S), most, 100).limit_s == bound
 
 
 def test_answers_live_shorter_the_more_often_they_change_but_for_a_flood():
-    lease = Lease(60 * S, 60 * S, 30, 1000.0)
-    assert lease.ttl(10.0, NOW) == 30
+    policy = TtlPolicy(60 * S, 60 * S, 30, 1000.0)
+    assert policy.ttl_s(10.0, NOW) == 30
     for k in range(5):
-        lease.changed(NOW + k * S)
-    assert lease.ttl(10.0, NOW + 5 * S) == 3
-    assert lease.ttl(2000.0, NOW + 5 * S) == 30
+        policy.on_answers_changed(NOW + k * S)
+    assert policy.ttl_s(10.0, NOW + 5 * S) == 3
+    assert policy.ttl_s(2000.0, NOW + 5 * S) == 30
     for k in range(500):
-        lease.changed(NOW + 6 * S + k)
-    assert lease.ttl(10.0, NOW + 7 * S) == 1
-    assert lease.ttl(10.0, NOW + 60 * S) == 30
+        policy.on_answers_changed(NOW + 6 * S + k)
+    assert policy.ttl_s(10.0, NOW + 7 * S) == 1
+    assert policy.ttl_s(10.0, NOW + 60 * S) == 30
 
 
 # -- limits
 
 
 def test_a_prefix_gets_its_rate_and_what_is_past_it_is_cut_or_dropped():
-    limiter = Limiter(10.0, slip=2)
-    limiter.proven("192.0.2.1", NOW)
-    found = [limiter.asked(f"192.0.2.{k % 250}", NOW) for k in range(60)]
-    assert found.count(ANSWER) == 20  # two seconds' worth at once
-    assert found[20:24] == [DROP, CUT, DROP, CUT]
-    assert limiter.asked("198.51.100.1", NOW) == ANSWER  # others are not concerned
-    assert [limiter.asked("192.0.2.1", NOW + S + k) for k in range(11)].count(ANSWER) == 10
+    limiter = RateLimiter(10.0, truncate_every=2)
+    limiter.mark_verified("192.0.2.1", NOW)
+    found = [limiter.check(f"192.0.2.{k % 250}", NOW) for k in range(60)]
+    assert found.count(Verdict.ANSWER) == 20  # two seconds' worth at once
+    assert found[20:24] == [Verdict.DROP, Verdict.TRUNCATE, Verdict.DROP, Verdict.TRUNCATE]
+    assert limiter.check("198.51.100.1", NOW) == Verdict.ANSWER  # others are not concerned
+    assert [limiter.check("192.0.2.1", NOW + S + k) for k in range(11)].count(Verdict.ANSWER) == 10
 
 
 def test_a_flood_from_invented_prefixes_shares_one_budget_and_who_is_known_is_served():
-    limiter = Limiter(100.0, slip=0, strangers=50.0)
-    limiter.proven("10.0.0.1", NOW)
-    found = [limiter.asked(f"10.{k // 250}.{k % 250}.9", NOW) for k in range(250, 5000)]
-    assert found.count(ANSWER) == 100
-    assert limiter.asked("10.0.0.7", NOW) == ANSWER
-    limiter.proven("10.19.3.9", NOW)  # it came by TCP
-    assert limiter.asked("10.19.3.9", NOW) == ANSWER
+    limiter = RateLimiter(100.0, truncate_every=0, unknown_answers_per_s=50.0)
+    limiter.mark_verified("10.0.0.1", NOW)
+    found = [limiter.check(f"10.{k // 250}.{k % 250}.9", NOW) for k in range(250, 5000)]
+    assert found.count(Verdict.ANSWER) == 100
+    assert limiter.check("10.0.0.7", NOW) == Verdict.ANSWER
+    limiter.mark_verified("10.19.3.9", NOW)  # it came by TCP
+    assert limiter.check("10.19.3.9", NOW) == Verdict.ANSWER
 
 
 def test_prefixes_known_are_bounded_and_the_longest_silent_goes(monkeypatch):
-    monkeypatch.setattr(rate_limit, "KNOWN_MOST", 3)
-    limiter = Limiter(100.0, strangers=1e6)
+    monkeypatch.setattr(rate_limit, "MAX_KNOWN_PREFIXES_ENTRIES", 3)
+    limiter = RateLimiter(100.0, unknown_answers_per_s=1e6)
     for k in range(10):
-        limiter.asked(f"10.0.{k}.1", NOW + k)
-        limiter.asked("10.0.0.1", NOW + k)
-    assert list(limiter.known) == ["10.0.8.0/24", "10.0.9.0/24", "10.0.0.0/24"]
-    assert rate_limit.prefix("2001:db8:1:2ff::1") == "2001:db8:1:200::/56"
+        limiter.check(f"10.0.{k}.1", NOW + k)
+        limiter.check("10.0.0.1", NOW + k)
+    assert limiter.known_prefixes == ["10.0.8.0/24", "10.0.9.0/24", "10.0.0.0/24"]
+    assert rate_limit.network_prefix("2001:db8:1:2ff::1") == "2001:db8:1:200::/56"
 
 
 # -- on a planner
@@ -445,7 +445,7 @@
     world.answer()  # of the new: it holds nothing up
     assert applied(world.controller) == []
     assert not world.controller.deliveries.is_up_to_date("dns/east")
-    ttl = world.front.lease.bound * S
+    ttl = world.front.ttl_policy.limit_s * S
     world.turn(wait=(given + ttl + SLACK - world.now) / S - 0.1)
     assert applied(world.controller) == []
     world.controller.runner.pending_events.clear()
@@ -629,7 +629,7 @@
     behind, front = world.now, world.front
     world.turn(wait=20)
     assert not world.controller.deliveries.is_up_to_date("dns/east")
-    world.turn(wait=(behind + (30 + front.lease.bound) * S - world.now) / S)
+    world.turn(wait=(behind + (30 + front.ttl_policy.limit_s) * S - world.now) / S)
     assert world.controller.deliveries.is_up_to_date("dns/east")
 
 
@@ -639,7 +639,7 @@
     fetch(world, dns.zone.Zone(ORIGIN))
     world.turn(wait=0.5)
     assert not world.controller.deliveries.is_up_to_date("dns/east")
-    world.turn(wait=world.front.lease.bound)
+    world.turn(wait=world.front.ttl_policy.limit_s)
     assert world.controller.deliveries.is_up_to_date("dns/east")
 
 
--- a/tests/drill/test_scenario.py
+++ b/tests/drill/test_scenario.py
@@ -43,12 +43,12 @@
         return [(verb, (*arguments[:3], 2))]
 
 
-class OverlongLease(ttl.Lease):
+class OverlongTtlPolicy(ttl.TtlPolicy):
     """Lets answers live for longer than a drain allows."""
 
     def __init__(self, *arguments):
         super().__init__(*arguments)
-        self.bound = 8
+        self.limit_s = 8
 
 
 LOOSE = {"egress_queue_limit": 1e6, "egress_rate": 1e6, "message_quota": 0}
@@ -84,12 +84,12 @@
     elif rule.startswith("dns"):
         day, make = DNS, Reconciler
         if rule == "dns overlong":
-            frontend.Lease = OverlongLease  # in this process of the pool alone, and put back below
+            frontend.TtlPolicy = OverlongTtlPolicy  # in this process of the pool alone, and put back below
     try:
         with tempfile.TemporaryDirectory() as folder:
             result = uvloop.run(Runner(day, 7, folder, FleetOptions(make, loose, guard)).run())
     finally:
-        frontend.Lease = ttl.Lease
+        frontend.TtlPolicy = ttl.TtlPolicy
     return result, judge(result.evidence)
 
 
