--- a/benchmarks/answers.py
+++ b/benchmarks/answers.py
@@ -24,10 +24,11 @@
 import uvloop
 from push import WORKERS, Bench, free_port
 
-from swiftchute.dns.answer_cache import Ready
+from swiftchute.controller.table_contents import TableEntry
+from swiftchute.dns.answer_cache import AnswerCache
 from swiftchute.dns.names import OriginNames
 from swiftchute.dns.query import parse_plain_query
-from swiftchute.dns.records import Records, Shape
+from swiftchute.dns.records import RecordLayout, ZoneRecords
 
 ORIGIN = "lots.example."
 QUESTIONS = {
@@ -54,10 +55,13 @@
     """Reads each query and renders each answer with the library, from records that are made once."""
 
     def __init__(self):
-        lines = tuple((f"127.1.{k // 200}.{k % 200 + 1}:9000", "z", 1.0) for k in range(WORKERS))
+        lines = tuple(TableEntry(f"127.1.{k // 200}.{k % 200 + 1}:9000", "z", 1.0) for k in range(WORKERS))
         names = OriginNames(ORIGIN, ["lot-estimate"], ["z"])
-        records = Records(names, {"z": {"lot-estimate": lines}}, frozenset(), 2, 7, Shape())
-        self.sets, self.soa = {(made.name, made.rdtype): made for made in records.whole("z")}, records.soa()
+        records = ZoneRecords(names, {"z": {"lot-estimate": lines}}, frozenset(), 2, 7, RecordLayout())
+        self.sets, self.soa = (
+            {(made.name, made.rdtype): made for made in records.all_records("z")},
+            records.soa(),
+        )
 
     def datagram_received(self, data, source):
         query = dns.message.from_wire(data)
@@ -181,12 +185,14 @@
     query = parse_plain_query(dns.message.make_query(*QUESTIONS["SRV, cut by UDP"]).to_wire())
     took = {}
     for many in (100, 400):
-        lines = tuple((f"127.1.{k // 200}.{k % 200 + 1}:9000", "z", 1.0) for k in range(many))
+        lines = tuple(TableEntry(f"127.1.{k // 200}.{k % 200 + 1}:9000", "z", 1.0) for k in range(many))
         rows = []
         for serial in range(20):
             start = time.process_time_ns()
-            records = Records(names, {"z": {"lot-estimate": lines}}, frozenset(), 2, serial, Shape())
-            Ready(records, {}).answer(query, "z", 65_535, 0)
+            records = ZoneRecords(
+                names, {"z": {"lot-estimate": lines}}, frozenset(), 2, serial, RecordLayout()
+            )
+            AnswerCache(records, {}).answer(query, "z", 65_535, 0)
             rows.append(time.process_time_ns() - start)
         took[many] = statistics.median(rows) / 1e6
     print(f"a version to its first answer: {took[100]:.1f} ms at 100 lines, {took[400]:.1f} ms at 400")
--- a/swiftchute/dns/answer_cache.py
+++ b/swiftchute/dns/answer_cache.py
@@ -1,16 +1,18 @@
-"""Answers worked out ahead: a question is looked up, copied and given its id. No I/O, no clock.
+"""Cache of composed answers: a question is looked up, copied and given its message id. No I/O, no clock.
 
-    ready = Ready(records, counters)
-    reply = ready.answer(query, view, limit, now)    # bytes, or None: the name is not of here
+Example:
+    cache = AnswerCache(records, usage_by_operation)
+    reply = cache.answer(query, view, limit_bytes, now_ns)  # bytes; None: the name is not under the origin
 
-An answer is made once a version, question and view; from then on it is a head, the question as it came (its
-case is kept) and a tail, whose owners point back at the question.
-Which of three forms goes out is decided by what the asker can take: whole, without the additional
-addresses, or nothing and TC, so that it comes again by TCP.
+An answer is made once per version, question and view. From then on it is a header, the question as it came
+(its case is kept) and the sections, whose owner names are pointers at the question.
+The size that the client accepts decides which of three forms is sent: all records, the answer section
+without the additional addresses, or no records with TC set, so that the client repeats the query by TCP.
 """
 
 import io
 import random
+from collections.abc import Iterable
 from dataclasses import dataclass, field
 
 import dns.rcode
@@ -24,123 +26,160 @@
     Sections,
     compose_reply,
 )
-from swiftchute.dns.records import Found, Records
+from swiftchute.dns.records import LookupResult, ZoneRecords
 
-S = 1_000_000_000
-MADE_MOST = 20_000  # answers kept of a version, by type and view; past it they are made again when asked for
+NS_PER_S = 1_000_000_000
+MAX_ANSWERS_ENTRIES = 20_000  # of one version; past it all are dropped and made again on demand
 
 
-@dataclass
-class Counter:
-    """How often answers of a zone's operation were given, and until when somebody may go by one."""
+@dataclass(slots=True)
+class AnswerUsage:
+    """Use of the answers for an operation of a zone.
 
-    given: int = 0
-    until: int = 0
+    Attributes:
+        answers: How often one was asked for.
+        cached_until_ns: When the last copy in a resolver's cache expires.
+    """
 
+    answers: int = 0
+    cached_until_ns: int = 0
 
-@dataclass
-class _Made:
-    """One question's answers; by turn the whole form, and the one without additional addresses."""
 
-    found: Found
+@dataclass(slots=True)
+class _CachedAnswer:
+    """The answer to one question.
+
+    Attributes:
+        result: The records it is made of.
+        code: Its response code.
+        usage: Where its use is counted; None for answers that do not depend on a table.
+        variants: The forms with all records, sent in turn; None where one is not made yet.
+        without_additional: The form without additional addresses; None while it is not made.
+        variant_index: The variant that was sent last.
+        admission_rate: The share of queries that are answered, 0 to 1.
+    """
+
+    result: LookupResult
     code: int
-    counter: Counter | None = None
-    forms: list[Sections | None] = field(default_factory=lambda: [None])
-    short: Sections | None = None
-    turn: int = 0
-    level: float = 1.0
-
-
-class Ready:
-    """The answers of one version of the records."""
-
-    def __init__(self, records: Records, counters: dict[tuple[str, str], Counter], seed: int = 0) -> None:
-        """`counters` by (zone, operation) go on over versions."""
-        self.records, self.counters, self.random = records, counters, random.Random(seed)
-        self.ttl = records.ttl * S
-        self.made: dict[tuple[bytes, int, str], _Made] = {}
-        self.origin = records.names.origin.to_wire().lower()
-        out = io.BytesIO()
-        records.soa().to_wire(out)  # names in full: it follows questions of any length
-        self.negative: Sections = Sections(b"\0\0\0\1\0\0", out.getvalue())
-        self.denied = _Made(Found(), dns.rcode.NXDOMAIN, forms=[self.negative])
-
-    def answer(self, query: Query, view: str, limit: int, now: int) -> bytes | None:
-        """The reply to a question of class IN; None if its name is not under the origin."""
+    usage: AnswerUsage | None = None
+    variants: list[Sections | None] = field(default_factory=lambda: [None])
+    without_additional: Sections | None = None
+    variant_index: int = 0
+    admission_rate: float = 1.0
+
+
+class AnswerCache:
+    """The answers of one version of the records.
+
+    Attributes:
+        records: The records that the answers are made of.
+        usage_by_operation: The use of answers by (zone, operation); it is shared by all versions.
+    """
+
+    def __init__(
+        self, records: ZoneRecords, usage_by_operation: dict[tuple[str, str], AnswerUsage], seed: int = 0
+    ) -> None:
+        """Create an empty cache; `seed` is that of the draws for admission."""
+        self.records = records
+        self.usage_by_operation = usage_by_operation
+        self._random = random.Random(seed)
+        self._ttl_ns = records.ttl_s * NS_PER_S
+        self._answers: dict[tuple[bytes, int, str], _CachedAnswer] = {}
+        self._origin_wire = records.names.origin.to_digestable()
+        # The SOA record has its names in full, as it follows questions of any length.
+        soa = io.BytesIO()
+        records.soa().to_wire(soa)
+        self._denial = Sections(b"\0\0\0\1\0\0", soa.getvalue())
+        self._no_such_name = _CachedAnswer(LookupResult(), dns.rcode.NXDOMAIN, variants=[self._denial])
+
+    def answer(self, query: Query, view: str, limit_bytes: int, now_ns: int) -> bytes | None:
+        """Return the reply to a question of class IN; None if its name is not under the origin.
+
+        Args:
+            query: The query.
+            view: The zone that names without a zone stand for.
+            limit_bytes: The largest reply that the client accepts.
+            now_ns: The present time.
+        """
         name = query.name.lower()
-        made = self.made.get((name, query.record_type, view))
-        if made is None:
-            if not within(name, self.origin):
+        answer = self._answers.get((name, query.record_type, view))
+        if answer is None:
+            if not is_under(name, self._origin_wire):
                 return None
-            if self.records.exists(name):
-                made = self._make(name, query.record_type, view)
-                if len(self.made) >= MADE_MOST:
-                    self.made.clear()
-                self.made[name, query.record_type, view] = made
-            else:  # names that are not there may be any: they are not kept
-                made = self.denied
-        if made.counter is not None:
-            made.counter.given += 1
-            if made.level < 1 and self.random.random() >= made.level:
+            answer = self._add(name, query.record_type, view)
+        if answer.usage is not None:
+            answer.usage.answers += 1
+            if answer.admission_rate < 1 and self._random.random() >= answer.admission_rate:
                 return compose_reply(query, dns.rcode.SERVFAIL, EMPTY_SECTIONS)
-            made.counter.until = max(made.counter.until, now + self.ttl)
-        form = self._form(made)
-        room = limit - HEADER_BYTES - len(query.question)
+            answer.usage.cached_until_ns = max(answer.usage.cached_until_ns, now_ns + self._ttl_ns)
+        sections = self._next_variant(answer)
+        available_bytes = limit_bytes - HEADER_BYTES - len(query.question)
         if query.payload_size_bytes:
-            room -= OPT_RECORD_BYTES + len(query.reply_options)
-        if len(form.records) > room and made.found.beside:
-            if made.short is None:
-                made.short = _rows(made.found.rows, ())
-            form = made.short
-        if len(form.records) > room:
-            return compose_reply(query, made.code, EMPTY_SECTIONS, truncated=True)
-        return compose_reply(query, made.code, form)
-
-    def _make(self, name: bytes, kind: int, view: str) -> _Made:
-        found = self.records.lookup(name, kind, view)
-        if not found.ready:
-            return _Made(found, dns.rcode.SERVFAIL, forms=[EMPTY_SECTIONS])
-        if not (found.answer or found.rows or found.drawn):
-            return _Made(found, dns.rcode.NOERROR, forms=[self.negative])
-        made = _Made(found, dns.rcode.NOERROR, forms=[None] * max(len(found.drawn), 1))
-        if found.operation:
-            key = (found.zone, found.operation)
-            made.counter = self.counters.setdefault(key, Counter())
-            made.level = self.records.levels.get(key, 1.0)
-        return made
-
-    def _form(self, made: _Made) -> Sections:
-        """The whole form whose turn it is."""
-        turn = made.turn = (made.turn + 1) % len(made.forms)
-        form = made.forms[turn]
-        if form is None:
-            found = made.found
-            if found.answer:
-                form = _sets(found.answer)
-            elif found.drawn:
-                form = _rows(tuple(self.records.row(server) for server in found.drawn[turn]), ())
-            else:
-                form = _rows(found.rows, found.beside)
-            made.forms[turn] = form
-        return form
-
-
-def within(name: bytes, origin: bytes) -> bool:
-    """Whether a name (both in wire form, in lower case) is the origin or under it, label by label."""
-    at = 0
-    while len(name) - at > len(origin):
-        at += name[at] + 1
-    return name[at:] == origin
-
-
-def _rows(answer: tuple[bytes, ...], beside: tuple[bytes, ...]) -> Sections:
-    """Records in wire form as they follow a question."""
-    counts = len(answer).to_bytes(2, "big") + b"\0\0" + len(beside).to_bytes(2, "big")
-    return Sections(counts, b"".join((*answer, *beside)))
-
-
-def _sets(answer: tuple[dns.rrset.RRset, ...]) -> Sections:
-    """The library's rendering of sets of records, names in full."""
-    out = io.BytesIO()
-    many = sum(made.to_wire(out) for made in answer)
-    return Sections(many.to_bytes(2, "big") + bytes(4), out.getvalue())
+            available_bytes -= OPT_RECORD_BYTES + len(query.reply_options)
+        if len(sections.records) > available_bytes and answer.result.additional:
+            if answer.without_additional is None:
+                answer.without_additional = _join_records(answer.result.records, ())
+            sections = answer.without_additional
+        if len(sections.records) > available_bytes:
+            return compose_reply(query, answer.code, EMPTY_SECTIONS, truncated=True)
+        return compose_reply(query, answer.code, sections)
+
+    def _add(self, name: bytes, record_type: int, view: str) -> _CachedAnswer:
+        """Make the answer to a question under the origin; it is cached if the name exists."""
+        if not self.records.exists(name):  # there is no bound to such names
+            return self._no_such_name
+        answer = self._make(name, record_type, view)
+        if len(self._answers) >= MAX_ANSWERS_ENTRIES:
+            self._answers.clear()
+        self._answers[name, record_type, view] = answer
+        return answer
+
+    def _make(self, name: bytes, record_type: int, view: str) -> _CachedAnswer:
+        result = self.records.lookup(name, record_type, view)
+        if not result.known:
+            return _CachedAnswer(result, dns.rcode.SERVFAIL, variants=[EMPTY_SECTIONS])
+        if not (result.rrsets or result.records or result.draws):
+            return _CachedAnswer(result, dns.rcode.NOERROR, variants=[self._denial])
+        answer = _CachedAnswer(result, dns.rcode.NOERROR, variants=[None] * max(len(result.draws), 1))
+        if result.operation:
+            key = (result.zone, result.operation)
+            answer.usage = self.usage_by_operation.setdefault(key, AnswerUsage())
+            answer.admission_rate = self.records.admission_rates.get(key, 1.0)
+        return answer
+
+    def _next_variant(self, answer: _CachedAnswer) -> Sections:
+        """Return the form with all records whose turn it is."""
+        index = answer.variant_index = (answer.variant_index + 1) % len(answer.variants)
+        sections = answer.variants[index]
+        if sections is None:
+            sections = answer.variants[index] = self._render(answer.result, index)
+        return sections
+
+    def _render(self, result: LookupResult, index: int) -> Sections:
+        if result.rrsets:
+            return render_rrsets(result.rrsets)
+        if result.draws:
+            return _join_records([self.records.address_record(endpoint) for endpoint in result.draws[index]])
+        return _join_records(result.records, result.additional)
+
+
+def is_under(name: bytes, origin: bytes) -> bool:
+    """Return whether a name is the origin or under it; both are in wire form and lower case."""
+    offset = 0
+    while len(name) - offset > len(origin):
+        offset += name[offset] + 1
+    return name[offset:] == origin
+
+
+def render_rrsets(rrsets: Iterable[dns.rrset.RRset]) -> Sections:
+    """Return an answer section of these sets of records, with all names in full."""
+    rendered = io.BytesIO()
+    count = sum(rrset.to_wire(rendered) for rrset in rrsets)
+    return Sections(count.to_bytes(2, "big") + bytes(4), rendered.getvalue())
+
+
+def _join_records(answer: Iterable[bytes], additional: Iterable[bytes] = ()) -> Sections:
+    """Return sections of records in wire form whose owner names are pointers at the question."""
+    answer, additional = tuple(answer), tuple(additional)
+    counts = len(answer).to_bytes(2, "big") + b"\0\0" + len(additional).to_bytes(2, "big")
+    return Sections(counts, b"".join((*answer, *additional)))
--- a/swiftchute/dns/frontend.py
+++ b/swiftchute/dns/frontend.py
@@ -27,7 +27,7 @@
 from swiftchute.controller.controller import Controller, RoundOutput
 from swiftchute.controller.load_aggregation import DemandEntry, LoadReport
 from swiftchute.controller.table_contents import TableContent
-from swiftchute.dns.answer_cache import Counter, Ready
+from swiftchute.dns.answer_cache import AnswerCache, AnswerUsage
 from swiftchute.dns.errors import QueryError
 from swiftchute.dns.names import OriginNames
 from swiftchute.dns.query import (
@@ -40,7 +40,7 @@
     parse_query,
 )
 from swiftchute.dns.rate_limit import RateLimiter, Verdict
-from swiftchute.dns.records import Lines, Records, Shape
+from swiftchute.dns.records import RecordLayout, TableEntries, ZoneRecords
 from swiftchute.dns.ttl import TtlPolicy
 from swiftchute.dns.zone_transfer import Journal, Secondaries
 
@@ -82,7 +82,9 @@
         self.names = OriginNames(p["origin"], operations, settings.zones)
         host, port = p["listen"] or ("localhost", 0)
         server = "" if host == "localhost" else f"{host}:{port}"
-        self.shape = Shape(p["addresses"], p["draws"], p["borrowed"], expire=p["expire"] // S, server=server)
+        self.shape = RecordLayout(
+            p["addresses"], p["draws"], p["borrowed"], expire_s=p["expire"] // S, name_server_address=server
+        )
         self.ttl_policy = TtlPolicy(
             settings.drain_grace_ns, settings.max_no_endpoint_ns, p["ttl_most"] // S, p["queries"]
         )
@@ -95,10 +97,10 @@
             ((net, zone) for zone, net in p["subnets"]), key=lambda row: -row[0].prefixlen
         )
         self.views = {self.proxy(zone): _View(zone, {}) for zone in settings.zones}
-        self.counters: dict[tuple[str, str], Counter] = {}
+        self.counters: dict[tuple[str, str], AnswerUsage] = {}
         self.told: dict[tuple[str, str], int] = {}
-        self.ready: Ready | None = None
-        self.contents: dict[str, dict[str, tuple[bytes, Lines]]] = {}
+        self.ready: AnswerCache | None = None
+        self.contents: dict[str, dict[str, tuple[bytes, TableEntries]]] = {}
         self.cold: frozenset[str] = frozenset()
         self.barred = controller.unavailable_endpoints
         self.ttl = self.ttl_policy.limit_s
@@ -152,7 +154,7 @@
         or a server is no longer cold."""
         span = now - self.checked
         self.checked = now
-        given = sum(c.given for c in self.counters.values())
+        given = sum(c.answers for c in self.counters.values())
         self.rate += 0.5 * ((given - self.told.get(("", ""), 0)) * S / max(span, 1) - self.rate)
         self.told["", ""] = given
         if now - self.reported >= self.set.report_interval_ns:
@@ -178,22 +180,22 @@
             for op in self.set.operations:
                 counter = self.counters.get((view.zone, op.name))
                 key = (view.zone, op.name)
-                if counter is not None and counter.given > self.told.get(key, 0):
-                    invs = (counter.given - self.told.get(key, 0)) * self.plumbing["calls_per_answer"]
+                if counter is not None and counter.answers > self.told.get(key, 0):
+                    invs = (counter.answers - self.told.get(key, 0)) * self.plumbing["calls_per_answer"]
                     rows.append(DemandEntry(op.name, max(round(invs), 1), 0))
-                    self.told[key] = counter.given
+                    self.told[key] = counter.answers
             if rows:
                 self.controller.on_load_report(name, LoadReport(span, tuple(rows), ()), now)
 
-    def _lines(self, content: TableContent) -> Lines:
+    def _lines(self, content: TableContent) -> TableEntries:
         """A table's lines less servers that drain or are gone: news of those may be ahead of the push. If
         nothing else were left they stay: an answer is never emptied."""
-        open_ = tuple(line for line in content.entries if line[0] not in self.barred)
+        open_ = tuple(line for line in content.entries if line.endpoint not in self.barred)
         return open_ or content.entries
 
     def _rebuild(self, now: int) -> None:
         """Make answers of what the views hold, if that is not what they were made of."""
-        held: dict[str, dict[str, tuple[bytes, Lines]]] = {}
+        held: dict[str, dict[str, tuple[bytes, TableEntries]]] = {}
         levels = {}
         for view in self.views.values():
             for op, content in view.held.items():
@@ -207,20 +209,24 @@
         old = self.ready.records if self.ready else None
         if not held:
             return
-        same = old is not None and (old.ttl, old.levels, old.cold) == (self.ttl, levels, cold)
+        same = old is not None and (old.ttl_s, old.admission_rates, old.warming_up) == (
+            self.ttl,
+            levels,
+            cold,
+        )
         if same and held == self.contents:
             return
         if held != self.contents:
             self.ttl_policy.on_answers_changed(now)
         for view in self.views.values():
             if old and held.get(view.zone) != self.contents.get(view.zone):
-                outs = [c.until for (zone, _), c in self.counters.items() if zone == view.zone]
+                outs = [c.cached_until_ns for (zone, _), c in self.counters.items() if zone == view.zone]
                 view.until = max(view.until, max(outs, default=0) + SLACK)
         serial = max(self.journal.serial + 1, (now + self.offset) // S) & 0xFFFFFFFF
         self.contents, self.cold = held, cold
         contents = {zone: {op: lines for op, (_, lines) in rows.items()} for zone, rows in held.items()}
-        records = Records(self.names, contents, cold, self.ttl, serial, self.shape, levels)
-        self.ready = Ready(records, self.counters, self.seed)
+        records = ZoneRecords(self.names, contents, cold, self.ttl, serial, self.shape, levels)
+        self.ready = AnswerCache(records, self.counters, self.seed)
         self.journal.note(serial, held, cold)
         self.secondaries.changed(serial, now)
 
--- a/swiftchute/dns/records.py
+++ b/swiftchute/dns/records.py
@@ -1,13 +1,13 @@
-"""The records of an origin, made of the tables of its zones' views. No I/O, no clock.
+"""The resource records under an origin, made of the tables of the views of zones. No I/O, no clock.
 
-    made = Records(names, contents, cold, ttl, serial, shape)
-    made.lookup(name, rdtype, view)    # Found, for a name that exists
-    made.whole(view)                   # every record, as a transfer carries them
+Example:
+    records = ZoneRecords(names, entries_by_zone, warming_up, ttl_s, serial, layout)
+    records.lookup(name, record_type, view)  # a LookupResult, for a name that exists
+    records.all_records(view)                # every record, as a transfer holds them
 
-`contents` is by zone and operation the lines (server, zone, weight) that a proxy of that zone would
-hold; a view says whose the names without a zone mean. SRV by RFC 2782, targets with their addresses
-beside them, SOA for negative answers by RFC 2308, a small answer to ANY by RFC 8482. Draws for addresses
-leave out `cold` servers while there are others (see `shares`).
+A view says which zone the names without a zone stand for. SRV records follow RFC 2782, with the addresses of
+the targets beside them; SOA records of denials RFC 2308; the short answer to ANY RFC 8482. Draws of addresses
+leave out endpoints that are warming up while there are others (see `srv_weights`).
 """
 
 import struct
@@ -26,175 +26,276 @@
 from dns.rdtypes.IN.AAAA import AAAA
 from dns.rdtypes.IN.SRV import SRV
 
+from swiftchute.controller.table_contents import TableEntry
 from swiftchute.dns.names import NameKind, NameOwner, OriginNames, endpoint_address
-from swiftchute.dns.srv_weights import draws, srv_weights
+from swiftchute.dns.srv_weights import draw_answers, srv_weights
 
 IN = dns.rdataclass.IN
-_OWNER = 0xC00C  # a pointer at the question's name, which stands behind the head
-_OWNER_BYTES = _OWNER.to_bytes(2, "big")
-_ROW, _SRV_ROW = struct.Struct("!HHIH"), struct.Struct("!HHHIHHHH")
-Line = tuple[str, str, float]
-Lines = tuple[Line, ...]
+TableEntries = tuple[TableEntry, ...]
+
+_QUESTION_NAME = 0xC00C  # a compression pointer at the name of the question, which follows the header
+_QUESTION_NAME_BYTES = _QUESTION_NAME.to_bytes(2, "big")
+_RECORD_FIELDS = struct.Struct("!HHIH")  # type, class, TTL, length
+_SRV_RECORD = struct.Struct("!HHHIHHHH")  # owner, type, class, TTL, length, priority, weight, port
+_SRV_FIELDS_BYTES = 6  # priority, weight and port
+_IP_VERSIONS = (4, 6)
+_IP_VERSION_BY_TYPE: Mapping[int, int] = {dns.rdatatype.A: 4, dns.rdatatype.AAAA: 6}
 _NO_OWNER = NameOwner(NameKind.EMPTY_NON_TERMINAL)
 
 
-@dataclass(frozen=True)
-class Shape:
-    """How answers are laid out: addresses in an answer without weights, draws at least, whether lines of
-    other zones are `shared` by weight or `spare` (a lower priority: used once no server of the zone
-    answers), the times of the SOA in seconds, and the name server's own `address:port`."""
+@dataclass(frozen=True, slots=True)
+class RecordLayout:
+    """How records are laid out.
+
+    Attributes:
+        addresses_per_answer: Endpoints in an answer without weights.
+        min_draws: Draws of addresses that take turns, at least.
+        remote_entries: "shared": entries of other zones count by weight; "spare": they have a lower priority,
+            so that clients use them once no endpoint of the zone answers.
+        refresh_s: The refresh and retry time of the SOA record.
+        expire_s: The expire time of the SOA record.
+        name_server_address: Our own `address:port`; empty if it is not given out.
+    """
+
+    addresses_per_answer: int = 4
+    min_draws: int = 256
+    remote_entries: str = "shared"
+    refresh_s: int = 2
+    expire_s: int = 30
+    name_server_address: str = ""
 
-    addresses: int = 4
-    draws: int = 256
-    borrowed: str = "shared"
-    refresh: int = 2
-    expire: int = 30
-    server: str = ""
 
+@dataclass(frozen=True, slots=True)
+class LookupResult:
+    """What answers a question; without any record it is a denial.
 
-@dataclass(frozen=True)
-class Found:
-    """What answers a question: sets of records, or rows: records in wire form whose owner is the question's
-    name, with the addresses beside them. `drawn`: servers of address answers that take turns, made into rows
-    when their turn comes. Nothing at all: a denial."""
+    Attributes:
+        rrsets: Sets of records with their names in full.
+        records: Records in wire form whose owner is the name of the question.
+        additional: The addresses of the targets of `records`, in wire form.
+        draws: Endpoints of address answers that take turns; their records are made when their turn comes.
+        operation: The operation that the answer depends on; empty if none.
+        zone: The zone that the answer depends on; empty if none.
+        known: False if nothing is known of the operation yet (SERVFAIL).
+    """
 
-    answer: tuple[dns.rrset.RRset, ...] = ()
-    rows: tuple[bytes, ...] = ()
-    beside: tuple[bytes, ...] = ()
-    drawn: tuple[tuple[str, ...], ...] = ()
+    rrsets: tuple[dns.rrset.RRset, ...] = ()
+    records: tuple[bytes, ...] = ()
+    additional: tuple[bytes, ...] = ()
+    draws: tuple[tuple[str, ...], ...] = ()
     operation: str = ""
     zone: str = ""
-    ready: bool = True  # else SERVFAIL: nothing is known yet
+    known: bool = True
+
+
+@dataclass(frozen=True, slots=True)
+class _SrvTarget:
+    endpoint: str
+    priority: int
+    weight: int
+    port: int
 
 
 @dataclass
-class Records:
-    """One version of all views."""
+class ZoneRecords:
+    """One version of the records of all views.
+
+    Attributes:
+        names: The names under the origin.
+        entries_by_zone: By zone and operation the entries that a proxy of that zone would hold.
+        warming_up: Endpoints that are warming up.
+        ttl_s: The time to live of all records.
+        serial: The serial of the SOA record.
+        layout: How records are laid out.
+        admission_rates: By zone and operation the share of queries that are answered, 0 to 1; others have 1.
+    """
 
     names: OriginNames
-    contents: Mapping[str, Mapping[str, Lines]]
-    cold: frozenset[str]
-    ttl: int
+    entries_by_zone: Mapping[str, Mapping[str, TableEntries]]
+    warming_up: frozenset[str]
+    ttl_s: int
     serial: int
-    shape: Shape
-    levels: Mapping[tuple[str, str], float] = field(default_factory=dict)  # let in, by zone and operation
+    layout: RecordLayout
+    admission_rates: Mapping[tuple[str, str], float] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        """The names of targets; records are made when they are asked for."""
-        wire = self.names.target_wire
-        self._targets = {
-            wire(server): server
-            for contents in self.contents.values() for lines in contents.values() for server, _, _ in lines
-        }  # fmt: skip
+        """Index the names of targets; records are made on demand."""
+        target_wire = self.names.target_wire
+        self._endpoint_by_target = {
+            target_wire(entry.endpoint): entry.endpoint
+            for entries_by_operation in self.entries_by_zone.values()
+            for entries in entries_by_operation.values()
+            for entry in entries
+        }
 
     def exists(self, name: bytes) -> bool:
-        """Whether a name (in wire form and lower case) is there; whatever is not is denied unread."""
-        return name in self._targets or name in self.names.owners
+        """Return whether a name, in wire form and lower case, exists."""
+        return name in self._endpoint_by_target or name in self.names.owners
 
-    def lines(self, operation: str, zone: str) -> Lines | None:
-        """An operation's lines for a zone; None if nothing is known of them yet."""
-        return self.contents.get(zone, {}).get(operation)
+    def entries(self, operation: str, zone: str) -> TableEntries | None:
+        """Return the entries of an operation for a zone; None if nothing is known of them yet."""
+        return self.entries_by_zone.get(zone, {}).get(operation)
 
     def soa(self) -> dns.rrset.RRset:
-        """The start of the origin's zone; its last field is how long a negative answer may be kept."""
-        n, s = self.names, self.shape
-        times = (self.serial, s.refresh, s.refresh, s.expire, self.ttl)
-        made = SOA(IN, dns.rdatatype.SOA, n.name_server, n.mailbox, *times)
-        return dns.rrset.from_rdata(n.origin, self.ttl, made)
+        """Return the SOA record; its last field is how long a denial may be cached."""
+        names, layout = self.names, self.layout
+        times = (layout.refresh_s, layout.refresh_s, layout.expire_s, self.ttl_s)
+        rdata = SOA(IN, dns.rdatatype.SOA, names.name_server, names.mailbox, self.serial, *times)
+        return dns.rrset.from_rdata(names.origin, self.ttl_s, rdata)
 
     def ns(self) -> dns.rrset.RRset:
-        """The one name server that is told of."""
-        return dns.rrset.from_rdata(
-            self.names.origin, self.ttl, NS(IN, dns.rdatatype.NS, self.names.name_server)
-        )
-
-    def _weighed(self, operation: str, zone: str) -> list[tuple[str, int, int, int]]:
-        """By line of a zone's table: its server, priority, weight and port."""
-        lines = self.lines(operation, zone) or ()
-        spare = self.shape.borrowed == "spare" and any(z == zone for _, z, _ in lines)
-        return [
-            (server, int(spare and z != zone), weight, int(server.rpartition(":")[2]))
-            for (server, z, _), weight in zip(lines, srv_weights(lines), strict=True)
+        """Return the NS record, of the one name server that is given out."""
+        rdata = NS(IN, dns.rdatatype.NS, self.names.name_server)
+        return dns.rrset.from_rdata(self.names.origin, self.ttl_s, rdata)
+
+    def srv_records(self, operation: str, zone: str) -> tuple[bytes, ...]:
+        """Return the SRV records of an operation for a zone; targets are not compressed (RFC 2782)."""
+        records = []
+        for srv in self._srv_targets(operation, zone):
+            target = self.names.target_wire(srv.endpoint)
+            length = _SRV_FIELDS_BYTES + len(target)
+            fields = (self.ttl_s, length, srv.priority, srv.weight, srv.port)
+            records.append(_SRV_RECORD.pack(_QUESTION_NAME, dns.rdatatype.SRV, IN, *fields) + target)
+        return tuple(records)
+
+    def address_record(self, endpoint: str, owner: bytes = _QUESTION_NAME_BYTES) -> bytes:
+        """Return the address record of an endpoint; `owner` is its name in wire form."""
+        address = endpoint_address(endpoint)
+        record_type = dns.rdatatype.A if address.version == 4 else dns.rdatatype.AAAA
+        fields = _RECORD_FIELDS.pack(record_type, IN, self.ttl_s, len(address.packed))
+        return owner + fields + address.packed
+
+    def draws(self, operation: str, zone: str, ip_version: int) -> list[tuple[str, ...]]:
+        """Return the endpoints of the address answers that take turns, all of one IP version."""
+        entries = [
+            entry
+            for entry in self.entries(operation, zone) or ()
+            if endpoint_address(entry.endpoint).version == ip_version
         ]
+        warm = [entry for entry in entries if entry.endpoint not in self.warming_up]
+        layout = self.layout
+        draws = draw_answers(warm or entries, layout.addresses_per_answer, layout.min_draws)
+        return [tuple(endpoints) for endpoints in draws]
+
+    def lookup(self, name: bytes, record_type: int, view: str) -> LookupResult:
+        """Return what answers a question for a name that exists.
 
-    def srv(self, operation: str, zone: str) -> tuple[bytes, ...]:
-        """An operation's SRV records for a zone. Targets are not compressed (RFC 2782)."""
-        made = []
-        for server, priority, weight, port in self._weighed(operation, zone):
-            target = self.names.target_wire(server)
-            rdata = (6 + len(target), priority, weight, port)
-            made.append(_SRV_ROW.pack(_OWNER, dns.rdatatype.SRV, IN, self.ttl, *rdata) + target)
-        return tuple(made)
-
-    def row(self, server: str, owner: bytes = _OWNER_BYTES) -> bytes:
-        """A server's address record."""
-        at = endpoint_address(server)
-        kind = dns.rdatatype.A if at.version == 4 else dns.rdatatype.AAAA
-        return owner + _ROW.pack(kind, IN, self.ttl, len(at.packed)) + at.packed
-
-    def _beside(self, operation: str, zone: str) -> tuple[bytes, ...]:
-        """The addresses of an operation's targets, each name once: ports of one address share it."""
-        servers = {self.names.target_wire(s): s for s, _, _ in self.lines(operation, zone) or ()}
-        return tuple(self.row(server, owner) for owner, server in servers.items())
-
-    def _addresses(self, owner: dns.name.Name, servers: tuple[str, ...]) -> dns.rrset.RRset:
-        """The addresses of these servers, in this order: most clients take the first."""
-        found = []
-        for server in servers:
-            at = endpoint_address(server)
-            kind, rdtype = (A, dns.rdatatype.A) if at.version == 4 else (AAAA, dns.rdatatype.AAAA)
-            found.append(kind(IN, rdtype, str(at)))
-        made = dns.rrset.RRset(owner, IN, found[0].rdtype)
-        made.update_ttl(self.ttl)
-        for rdata in found:
-            made.add(rdata)
-        return made
-
-    def draws(self, operation: str, zone: str, version: int) -> list[tuple[str, ...]]:
-        """The servers of address answers that take turns, of one IP version."""
-        lines = [x for x in self.lines(operation, zone) or () if endpoint_address(x[0]).version == version]
-        warm = [x for x in lines if x[0] not in self.cold]
-        return [tuple(picked) for picked in draws(warm or lines, self.shape.addresses, self.shape.draws)]
-
-    def lookup(self, name: bytes, rdtype: int, view: str) -> Found:
-        """What answers a question for a name that exists, in wire form and lower case."""
+        Args:
+            name: The name in wire form and lower case.
+            record_type: The type of the question.
+            view: The zone that names without a zone stand for.
+        """
         owner = self.names.owners.get(name, _NO_OWNER)
-        kind, op, zone = owner.kind, owner.operation, owner.zone or view
-        if kind in (NameKind.SERVICE, NameKind.HOST) and self.lines(op, zone) is None:
-            return Found(ready=False)  # it exists, and nothing is known of it yet
-        if rdtype == dns.rdatatype.ANY and (kind is not NameKind.EMPTY_NON_TERMINAL or name in self._targets):
-            small = HINFO(IN, dns.rdatatype.HINFO, b"RFC8482", b"")
-            return Found((dns.rrset.from_rdata(dns.name.from_wire(name, 0)[0], self.ttl, small),))
-        if kind is NameKind.ORIGIN and rdtype == dns.rdatatype.SOA:
-            return Found((self.soa(),))
-        if kind is NameKind.ORIGIN and rdtype == dns.rdatatype.NS:
-            return Found((self.ns(),))
-        if kind is NameKind.SERVICE and rdtype == dns.rdatatype.SRV:
-            return Found(rows=self.srv(op, zone), beside=self._beside(op, zone), operation=op, zone=zone)
-        version = {dns.rdatatype.A: 4, dns.rdatatype.AAAA: 6}.get(rdtype)
-        if kind is NameKind.HOST and version:
-            return Found(drawn=tuple(self.draws(op, zone, version)), operation=op, zone=zone)
-        server = self.shape.server if kind is NameKind.NAME_SERVER else self._targets.get(name, "")
-        if server and version == endpoint_address(server).version:
-            return Found(rows=(self.row(server),))
-        return Found()
-
-    def whole(self, view: str) -> list[dns.rrset.RRset]:
-        """Every record but the SOA. A transfer cannot take turns: its addresses are the first draw."""
-        found: list[dns.rrset.RRset] = [self.ns()]
-        targets: dict[str, str] = {}
-        for zone in (None, *self.names.zones):
-            for op in self.names.operations:
-                held = zone or view
-                rows = [
-                    SRV(IN, dns.rdatatype.SRV, priority, weight, port, self.names.target_name(server))
-                    for server, priority, weight, port in self._weighed(op, held)
-                ]
-                if rows:
-                    found.append(dns.rrset.from_rdata_list(self.names.service_name(op, zone), self.ttl, rows))
-                    targets |= {str(endpoint_address(s)): s for s, _, _ in self.lines(op, held) or ()}
-                host = self.names.host_name(op, zone)
-                found += [self._addresses(host, d[0]) for v in (4, 6) if (d := self.draws(op, held, v))]
-        return found + [
-            self._addresses(self.names.target_name(server), (server,)) for server in targets.values()
+        zone = owner.zone or view
+        serves_table = owner.kind in (NameKind.SERVICE, NameKind.HOST)
+        if serves_table and self.entries(owner.operation, zone) is None:
+            return LookupResult(known=False)
+        if record_type == dns.rdatatype.ANY:
+            has_records = owner.kind is not NameKind.EMPTY_NON_TERMINAL or name in self._endpoint_by_target
+            return LookupResult((self._any_answer(name),)) if has_records else LookupResult()
+        if serves_table:
+            return self._lookup_operation(owner, record_type, zone)
+        if owner.kind is NameKind.ORIGIN:
+            return self._lookup_origin(record_type)
+        if owner.kind is NameKind.NAME_SERVER:
+            endpoint = self.layout.name_server_address
+        else:
+            endpoint = self._endpoint_by_target.get(name, "")
+        if endpoint and _IP_VERSION_BY_TYPE.get(record_type) == endpoint_address(endpoint).version:
+            return LookupResult(records=(self.address_record(endpoint),))
+        return LookupResult()
+
+    def _lookup_origin(self, record_type: int) -> LookupResult:
+        if record_type == dns.rdatatype.SOA:
+            return LookupResult((self.soa(),))
+        if record_type == dns.rdatatype.NS:
+            return LookupResult((self.ns(),))
+        return LookupResult()
+
+    def _lookup_operation(self, owner: NameOwner, record_type: int, zone: str) -> LookupResult:
+        operation = owner.operation
+        if owner.kind is NameKind.SERVICE and record_type == dns.rdatatype.SRV:
+            records = self.srv_records(operation, zone)
+            additional = self._target_addresses(operation, zone)
+            return LookupResult(records=records, additional=additional, operation=operation, zone=zone)
+        ip_version = _IP_VERSION_BY_TYPE.get(record_type)
+        if owner.kind is NameKind.HOST and ip_version:
+            draws = tuple(self.draws(operation, zone, ip_version))
+            return LookupResult(draws=draws, operation=operation, zone=zone)
+        return LookupResult()
+
+    def all_records(self, view: str) -> list[dns.rrset.RRset]:
+        """Return every record but the SOA; addresses of an operation are those of the first draw."""
+        rrsets: list[dns.rrset.RRset] = [self.ns()]
+        endpoint_by_address: dict[str, str] = {}
+        for name_zone in (None, *self.names.zones):
+            zone = name_zone or view
+            for operation in self.names.operations:
+                srv = self._srv_rdata(operation, zone)
+                if srv:
+                    owner = self.names.service_name(operation, name_zone)
+                    rrsets.append(dns.rrset.from_rdata_list(owner, self.ttl_s, srv))
+                    for entry in self.entries(operation, zone) or ():
+                        endpoint_by_address[str(endpoint_address(entry.endpoint))] = entry.endpoint
+                host = self.names.host_name(operation, name_zone)
+                for ip_version in _IP_VERSIONS:
+                    draws = self.draws(operation, zone, ip_version)
+                    if draws:
+                        rrsets.append(self._address_rrset(host, draws[0]))
+        for endpoint in endpoint_by_address.values():
+            rrsets.append(self._address_rrset(self.names.target_name(endpoint), (endpoint,)))
+        return rrsets
+
+    def _any_answer(self, name: bytes) -> dns.rrset.RRset:
+        rdata = HINFO(IN, dns.rdatatype.HINFO, b"RFC8482", b"")
+        return dns.rrset.from_rdata(dns.name.from_wire(name, 0)[0], self.ttl_s, rdata)
+
+    def _srv_targets(self, operation: str, zone: str) -> list[_SrvTarget]:
+        entries = self.entries(operation, zone) or ()
+        has_local = any(entry.zone == zone for entry in entries)
+        demotes_remote = self.layout.remote_entries == "spare" and has_local
+        return [
+            _SrvTarget(
+                entry.endpoint,
+                int(demotes_remote and entry.zone != zone),
+                weight,
+                int(entry.endpoint.rpartition(":")[2]),
+            )
+            for entry, weight in zip(entries, srv_weights(entries), strict=True)
         ]
+
+    def _srv_rdata(self, operation: str, zone: str) -> list[dns.rdata.Rdata]:
+        return [
+            SRV(
+                IN,
+                dns.rdatatype.SRV,
+                srv.priority,
+                srv.weight,
+                srv.port,
+                self.names.target_name(srv.endpoint),
+            )
+            for srv in self._srv_targets(operation, zone)
+        ]
+
+    def _target_addresses(self, operation: str, zone: str) -> tuple[bytes, ...]:
+        """Return the addresses of the targets of an operation, one per name: ports of an address share it."""
+        endpoint_by_target = {
+            self.names.target_wire(entry.endpoint): entry.endpoint
+            for entry in self.entries(operation, zone) or ()
+        }
+        return tuple(self.address_record(endpoint, name) for name, endpoint in endpoint_by_target.items())
+
+    def _address_rrset(self, owner: dns.name.Name, endpoints: tuple[str, ...]) -> dns.rrset.RRset:
+        """Return the addresses of these endpoints in this order, as most clients use the first."""
+        rdatas: list[dns.rdata.Rdata] = []
+        for endpoint in endpoints:
+            address = endpoint_address(endpoint)
+            if address.version == 4:
+                rdatas.append(A(IN, dns.rdatatype.A, str(address)))
+            else:
+                rdatas.append(AAAA(IN, dns.rdatatype.AAAA, str(address)))
+        rrset = dns.rrset.RRset(owner, IN, rdatas[0].rdtype)
+        rrset.update_ttl(self.ttl_s)
+        for rdata in rdatas:
+            rrset.add(rdata)
+        return rrset
--- a/swiftchute/dns/srv_weights.py
+++ b/swiftchute/dns/srv_weights.py
@@ -1,61 +1,80 @@
-"""A table's shares in answers: whole weights for SRV, and draws for answers without weights. No I/O.
+"""Weights of a table in answers: SRV weights, and draws for answers without weights. No I/O.
 
-    srv_weights(lines)                 # 1 to 65535 each, as near to the lines as that allows
-    draws(lines, size, answers)        # lists of `size` servers, first in each in proportion to its weight
+Example:
+    srv_weights(entries)                                     # 1 to 65535 each, nearly in proportion
+    draw_answers(entries, endpoints_per_draw=4, min_draws=256)  # first places in proportion to the weights
 
-A draw cannot hold a small share: whoever caches it sends all that it has to the few in it. A server that
-has just started must not be in one, so the caller leaves such lines out.
+A draw cannot represent a small weight: a resolver that caches one sends all of its requests to the few
+endpoints in it. So the caller leaves out endpoints that are warming up.
 """
 
 from collections.abc import Sequence
 
+from swiftchute.controller.table_contents import TableEntry
 from swiftchute.versions.encoding import WEIGHT_SCALE
 
-WEIGHT_MOST = 65_535  # RFC 2782: 16 bits; 0 is kept for "no choice to make"
-ANSWERS_MOST = 1024
+MIN_SRV_WEIGHT = 1  # weight 0 means that there is no choice to make (RFC 2782)
+MAX_SRV_WEIGHT = 65_535  # 16 bits (RFC 2782)
+MAX_DRAWS = 1024
 
-Line = tuple[str, str, float]
 
+def srv_weights(entries: Sequence[TableEntry]) -> list[int]:
+    """Return the SRV weight of each entry.
 
-def srv_weights(lines: Sequence[Line]) -> list[int]:
-    """The weights of SRV records: the table's own units while they fit, so that one changed line is one
-    changed record; scaled down together where one does not. No line is lost: 1 at least."""
-    units = [weight * WEIGHT_SCALE for _, _, weight in lines]
-    over = max(max(units, default=0.0) / WEIGHT_MOST, 1.0)
-    return [min(max(round(u / over), 1), WEIGHT_MOST) for u in units]
+    Weights are the units of the stored table while they fit, so that one changed entry is one changed record;
+    otherwise all are scaled down together. No entry is lost: each has at least `MIN_SRV_WEIGHT`.
+    """
+    units = [entry.weight * WEIGHT_SCALE for entry in entries]
+    divisor = max(max(units, default=0.0) / MAX_SRV_WEIGHT, 1.0)
+    return [min(max(round(unit / divisor), MIN_SRV_WEIGHT), MAX_SRV_WEIGHT) for unit in units]
 
 
-def counts(weights: Sequence[float], many: int) -> list[int]:
-    """How often each is drawn among `many`: in proportion by the largest remainders, once at least."""
-    total = sum(weights)
-    exact = [w / total * many for w in weights]
-    found = [max(int(x), 1) for x in exact]
-    order = sorted(range(len(weights)), key=lambda k: (exact[k] - int(exact[k]), -k), reverse=True)
-    for k in order:
-        if sum(found) >= many:
+def apportion(weights: Sequence[float], total: int) -> list[int]:
+    """Divide `total` in proportion to the weights by the largest remainders; each part is at least 1.
+
+    The parts add up to more than `total` where the least part of 1 requires it.
+    """
+    weight_sum = sum(weights)
+    exact = [weight / weight_sum * total for weight in weights]
+    parts = [max(int(part), 1) for part in exact]
+    by_remainder = sorted(
+        range(len(weights)), key=lambda index: (exact[index] - int(exact[index]), -index), reverse=True
+    )
+    for index in by_remainder:
+        if sum(parts) >= total:
             break
-        found[k] += 1
-    return found
+        parts[index] += 1
+    return parts
+
 
+def draw_answers(entries: Sequence[TableEntry], endpoints_per_draw: int, min_draws: int) -> list[list[str]]:
+    """Return draws in which endpoints stand first in proportion to their weights, evenly spread.
 
-def draws(lines: Sequence[Line], size: int, answers: int) -> list[list[str]]:
-    """Answers in which servers stand first in proportion to their weights, evenly spread, each followed by
-    others drawn in the same way."""
-    if not lines:
+    Args:
+        entries: The entries to draw from.
+        endpoints_per_draw: How many endpoints a draw has, if there are as many; the first is followed by
+            others drawn in the same way.
+        min_draws: How many draws are made at least, up to `MAX_DRAWS`.
+    """
+    if not entries:
         return []
-    size = min(size, len(lines))
-    smallest = min(w for _, _, w in lines) / sum(w for _, _, w in lines)
-    answers = min(max(answers, len(lines), round(1 / smallest)), ANSWERS_MOST)
-    times = counts([w for _, _, w in lines], answers)
-    # each stands at even distances of its own, so that any stretch holds all in proportion
-    turns = sorted(((k + 0.5) / many, place) for place, many in enumerate(times) for k in range(many))
-    order = [lines[place][0] for _, place in turns]
-    made = []
-    for start in range(len(order)):
-        picked: dict[str, None] = {}
-        for step in range(len(order)):
-            picked[order[(start + step) % len(order)]] = None
-            if len(picked) == size:
-                break
-        made.append(list(picked))
-    return made
+    endpoints_per_draw = min(endpoints_per_draw, len(entries))
+    smallest_share = min(entry.weight for entry in entries) / sum(entry.weight for entry in entries)
+    draw_count = min(max(min_draws, len(entries), round(1 / smallest_share)), MAX_DRAWS)
+    first_places = apportion([entry.weight for entry in entries], draw_count)
+    # Each endpoint stands at even distances, so that any stretch of draws holds all in proportion.
+    positions = sorted(
+        ((turn + 0.5) / count, index) for index, count in enumerate(first_places) for turn in range(count)
+    )
+    order = [entries[index].endpoint for _, index in positions]
+    return [_take_distinct(order, start, endpoints_per_draw) for start in range(len(order))]
+
+
+def _take_distinct(order: Sequence[str], start: int, count: int) -> list[str]:
+    """Return the first `count` distinct endpoints of a cyclic order from `start` on."""
+    picked: dict[str, None] = {}
+    for step in range(len(order)):
+        picked[order[(start + step) % len(order)]] = None
+        if len(picked) == count:
+            break
+    return list(picked)
--- a/swiftchute/dns/zone_transfer.py
+++ b/swiftchute/dns/zone_transfer.py
@@ -26,8 +26,9 @@
 import dns.rdatatype
 import dns.rrset
 
+from swiftchute.controller.table_contents import TableEntry
 from swiftchute.dns.names import OriginNames
-from swiftchute.dns.records import Lines, Records, Shape
+from swiftchute.dns.records import RecordLayout, TableEntries, ZoneRecords
 from swiftchute.versions.encoding import WEIGHT_SCALE
 from swiftchute.versions.history import VersionHistory
 
@@ -35,19 +36,21 @@
 KEPT = 256  # serials of which a difference can be given; past it the whole goes out
 ROWS = 200  # records a message of a transfer: some ten kilobytes
 TRIES, WAIT = 5, S // 2  # of a NOTIFY, and the first wait; it doubles, cut by chance
-Held = Mapping[str, Mapping[str, tuple[bytes, Lines]]]  # by zone and operation: a version and its lines
+Held = Mapping[
+    str, Mapping[str, tuple[bytes, TableEntries]]
+]  # by zone and operation: a version and its lines
 
 
 @dataclass(frozen=True)
 class _Entry:
-    held: Mapping[str, Mapping[str, bytes | Lines]]  # the version, or lines that no history has
+    held: Mapping[str, Mapping[str, bytes | TableEntries]]  # the version, or lines that no history has
     cold: frozenset[str]
 
 
 class Journal:
     """Serials of one planner's life."""
 
-    def __init__(self, history: VersionHistory, names: OriginNames, shape: Shape, ttl: int) -> None:
+    def __init__(self, history: VersionHistory, names: OriginNames, shape: RecordLayout, ttl: int) -> None:
         """`ttl`: of all records in transfers, so that it is no difference."""
         self.history, self.names, self.shape, self.ttl = history, names, shape, ttl
         self.entries: OrderedDict[int, _Entry] = OrderedDict()
@@ -68,21 +71,23 @@
         """The newest serial; 0 before there is one."""
         return next(reversed(self.entries), 0)
 
-    def records(self, serial: int) -> Records | None:
+    def records(self, serial: int) -> ZoneRecords | None:
         """The records of a serial; None if it, or a version that was in force, is no longer kept."""
         entry = self.entries.get(serial)
         if entry is None:
             return None
-        contents: dict[str, dict[str, Lines]] = {}
+        contents: dict[str, dict[str, TableEntries]] = {}
         for zone, rows in entry.held.items():
             for op, kept in rows.items():
                 if isinstance(kept, bytes):
                     table = self.history.content(kept)
                     if table is None:
                         return None
-                    kept = tuple((e.endpoint, e.zone, e.weight_units / WEIGHT_SCALE) for e in table.entries)
+                    kept = tuple(
+                        TableEntry(e.endpoint, e.zone, e.weight_units / WEIGHT_SCALE) for e in table.entries
+                    )
                 contents.setdefault(zone, {})[op] = kept
-        return Records(self.names, contents, entry.cold, self.ttl, serial, self.shape)
+        return ZoneRecords(self.names, contents, entry.cold, self.ttl, serial, self.shape)
 
     def transfer(self, view: str, since: int | None) -> list[list[dns.rrset.RRset]]:
         """The answer sections of a transfer: of what changed since a serial, of the whole if that is not
@@ -94,8 +99,8 @@
             return [[new.soa()]]
         old = self.records(since) if since is not None else None
         if old is None:
-            return _messages([new.soa(), *_rows(new.whole(view)).values(), new.soa()])
-        before, after = _rows(old.whole(view)), _rows(new.whole(view))
+            return _messages([new.soa(), *_rows(new.all_records(view)).values(), new.soa()])
+        before, after = _rows(old.all_records(view)), _rows(new.all_records(view))
         gone = [row for key, row in before.items() if key not in after]
         added = [row for key, row in after.items() if key not in before]
         return _messages([new.soa(), old.soa(), *gone, new.soa(), *added, new.soa()])
--- a/tests/dns/test_frontend.py
+++ b/tests/dns/test_frontend.py
@@ -24,16 +24,17 @@
 from swiftchute.api.settings import Settings
 from swiftchute.config.schema import PLANNER_BLOCKS
 from swiftchute.controller.controller import Controller
+from swiftchute.controller.table_contents import TableEntry
 from swiftchute.discovery.endpoint_list import EndpointListChange
 from swiftchute.dns import rate_limit
-from swiftchute.dns.answer_cache import Ready
+from swiftchute.dns.answer_cache import AnswerCache
 from swiftchute.dns.errors import DomainNameError, QueryError
 from swiftchute.dns.frontend import SLACK, Front
 from swiftchute.dns.names import OriginNames
 from swiftchute.dns.query import parse_plain_query, parse_query
 from swiftchute.dns.rate_limit import RateLimiter, Verdict
-from swiftchute.dns.records import Records, Shape
-from swiftchute.dns.srv_weights import counts, draws, srv_weights
+from swiftchute.dns.records import RecordLayout, ZoneRecords
+from swiftchute.dns.srv_weights import apportion, draw_answers, srv_weights
 from swiftchute.dns.ttl import TtlPolicy
 from swiftchute.dns.zone_transfer import TRIES, Secondaries
 from swiftchute.safety.proposal import SafetyRules
@@ -49,12 +50,12 @@
 
 
 def lines(many=3, zone="east", weight=1.0):
-    return tuple((f"10.0.{k // 200}.{k % 200}:80", zone, weight + k / 10) for k in range(many))
+    return tuple(TableEntry(f"10.0.{k // 200}.{k % 200}:80", zone, weight + k / 10) for k in range(many))
 
 
-def ready(held=None, cold=frozenset(), shape=None, ttl=2, **more):
+def ready(held=None, cold=frozenset(), layout=None, ttl=2, **more):
     contents = {"east": {"read": lines() if held is None else held, "write": lines(2)}}
-    return Ready(Records(NAMES, contents, cold, ttl, 7, shape or Shape(), **more), {})
+    return AnswerCache(ZoneRecords(NAMES, contents, cold, ttl, 7, layout or RecordLayout(), **more), {})
 
 
 def ask(name, kind="SRV", size=0, **more):
@@ -72,7 +73,7 @@
 @given(weights=st.lists(st.floats(1e-4, 1e4), min_size=1, max_size=30))
 @hypothesis_settings(max_examples=200, deadline=None, derandomize=True)
 def test_srv_weights_lose_no_line_and_keep_proportions(weights):
-    rows = [(f"10.0.0.{k}:1", "z", w) for k, w in enumerate(weights)]
+    rows = [TableEntry(f"10.0.0.{k}:1", "z", w) for k, w in enumerate(weights)]
     found = srv_weights(rows)
     assert all(1 <= w <= 65_535 for w in found)
     scale = max(max(weights) * 10_000 / 65_535, 1.0)
@@ -81,15 +82,15 @@
 
 
 def test_a_weight_of_one_beside_the_largest():
-    assert srv_weights([("a:1", "z", 0.0001), ("b:1", "z", 6.5535)]) == [1, 65_535]
-    assert srv_weights([("a:1", "z", 0.0001), ("b:1", "z", 1e6)]) == [1, 65_535]
+    assert srv_weights([TableEntry("a:1", "z", 0.0001), TableEntry("b:1", "z", 6.5535)]) == [1, 65_535]
+    assert srv_weights([TableEntry("a:1", "z", 0.0001), TableEntry("b:1", "z", 1e6)]) == [1, 65_535]
 
 
 @given(weights=st.lists(st.floats(0.05, 10), min_size=1, max_size=20), size=st.integers(1, 6))
 @hypothesis_settings(max_examples=100, deadline=None, derandomize=True)
 def test_draws_stand_first_in_proportion_and_are_spread_evenly(weights, size):
-    rows = [(f"s{k}:1", "z", w) for k, w in enumerate(weights)]
-    found = draws(rows, size, 256)
+    rows = [TableEntry(f"s{k}:1", "z", w) for k, w in enumerate(weights)]
+    found = draw_answers(rows, size, 256)
     total = len(found)
     for k, share in enumerate(w / sum(weights) for w in weights):
         times = [at for at, picked in enumerate(found) if picked[0] == f"s{k}:1"]
@@ -97,7 +98,7 @@
         gaps = [b - a for a, b in zip(times, [*times[1:], times[0] + total], strict=True)]
         assert max(gaps) <= 2 * total / len(times) + len(rows)  # no long stretch without it
     assert all(len(set(picked)) == len(picked) == min(size, len(rows)) for picked in found)
-    assert sum(counts([w for _, _, w in rows], total)) >= total
+    assert sum(apportion([w for _, _, w in rows], total)) >= total
 
 
 # -- names
@@ -142,7 +143,7 @@
      ("_read._tcp.west.lots.example.", "SRV", 2, 0), ("ip-10-9-9-9.lots.example.", "A", 3, 0)],
 )  # fmt: skip
 def test_every_name_gets_the_answer_or_the_denial_it_is_due(name, kind, code, answers):
-    reply = told(ready(shape=Shape(server="192.0.2.1:53")), name, kind)
+    reply = told(ready(layout=RecordLayout(name_server_address="192.0.2.1:53")), name, kind)
     assert (reply.rcode(), sum(map(len, reply.answer))) == (code, answers)
     if not answers and code != 2:
         (soa,) = reply.authority  # RFC 2308: how long the denial may be kept
@@ -177,7 +178,7 @@
 
 
 def test_draws_take_turns_and_hold_no_cold_server_while_there_are_warm_ones():
-    made = ready(lines(3), cold=frozenset({"10.0.0.0:80"}), shape=Shape(addresses=1))
+    made = ready(lines(3), cold=frozenset({"10.0.0.0:80"}), layout=RecordLayout(addresses_per_answer=1))
     seen = [str(told(made, "read.lots.example.", "A").answer[0][0]) for _ in range(500)]
     assert set(seen) == {"10.0.0.1", "10.0.0.2"}
     assert seen.count("10.0.0.1") / 500 == pytest.approx(1.1 / 2.3, abs=0.02)
@@ -185,19 +186,19 @@
 
 
 def test_borrowed_lines_may_stand_behind_those_of_the_zone():
-    held = (*lines(1), ("10.1.0.1:80", "west", 3.0))
+    held = (*lines(1), TableEntry("10.1.0.1:80", "west", 3.0))
     assert {r.priority for r in told(ready(held), SRV).answer[0]} == {0}
-    spare = told(ready(held, shape=Shape(borrowed="spare")), SRV).answer[0]
+    spare = told(ready(held, layout=RecordLayout(remote_entries="spare")), SRV).answer[0]
     assert {(r.priority, str(r.target)[:5]) for r in spare} == {(0, "ip-10"), (1, "ip-10")}
-    alone = told(ready(held[1:], shape=Shape(borrowed="spare")), SRV).answer[0]
+    alone = told(ready(held[1:], layout=RecordLayout(remote_entries="spare")), SRV).answer[0]
     assert {r.priority for r in alone} == {0}  # there is none before them
 
 
 def test_a_level_turns_queries_away_only_where_it_is_asked_for():
-    made = ready(levels={("east", "read"): 0.25})
+    made = ready(admission_rates={("east", "read"): 0.25})
     codes = [told(made, SRV).rcode() for _ in range(800)]
     assert codes.count(dns.rcode.SERVFAIL) / 800 == pytest.approx(0.75, abs=0.06)
-    assert made.counters["east", "read"].given == 800  # demand is what came, not what was let in
+    assert made.usage_by_operation["east", "read"].answers == 800  # demand is what came, not what was let in
 
 
 # -- queries at fault
