--- a/swiftchute/daemon/service.py
+++ b/swiftchute/daemon/service.py
@@ -17,8 +17,9 @@
 from swiftchute.discovery.endpoint_list import EndpointList
 from swiftchute.discovery.errors import EndpointListError
 from swiftchute.discovery.sources import FileSource, HttpSource
-from swiftchute.dns.frontend import Front as DnsFrontend
-from swiftchute.dns.server import Shell as DnsServer
+from swiftchute.dns.frontend import DnsFrontend
+from swiftchute.dns.server import DnsServer
+from swiftchute.dns.settings import DnsSettings
 from swiftchute.observability.logging import condition_fields
 from swiftchute.policy import Reconciler
 from swiftchute.safety.proposal import SafetyRules
@@ -107,7 +108,11 @@
         self.dns_server: DnsServer | None = None
         if config.dns["listen"]:
             frontend = DnsFrontend(
-                self.controller, config.settings, config.dns, config.seed, wall_clock_offset_ns
+                self.controller,
+                config.settings,
+                DnsSettings.from_block(config.dns),
+                config.seed,
+                wall_clock_offset_ns,
             )
             self.dns_server = DnsServer(frontend, config.settings.zone, self.clock, log)
         self.admin_server: AdminServer | None = None
@@ -226,7 +231,7 @@
         try:
             output = self.controller.run_round(now)
             if self.dns_server is not None:
-                self.dns_server.turn(output, now)
+                self.dns_server.publish(output, now)
             xds_output = self.xds_frontend.publish(output, now)
             self.xds_server.send(xds_output)
             self._log_events(xds_output)
@@ -238,7 +243,7 @@
             raise
         deadline_ns = self.controller.next_deadline_ns
         if self.dns_server is not None:
-            deadline_ns = min(deadline_ns, self.dns_server.due)
+            deadline_ns = min(deadline_ns, self.dns_server.due_ns)
         self.scheduler.schedule(max(deadline_ns, self.clock() + MIN_ROUND_INTERVAL_NS))
 
     def _log_events(self, xds_output: FrontendOutput) -> None:
@@ -262,7 +267,7 @@
         }
         if self.dns_server is not None:
             totals["dns_streams"] = self.dns_server.closed["streams_past_bound"]
-            totals["dns_notifies"] = self.dns_server.front.secondaries.lost
+            totals["dns_notifies"] = self.dns_server.frontend.secondaries.unanswered_notifies
         return totals
 
     def _log_totals(self) -> None:
--- a/swiftchute/dns/frontend.py
+++ b/swiftchute/dns/frontend.py
@@ -1,355 +1,330 @@
-"""The DNS front without I/O: zones' views as proxies of the core, and queries answered from what they hold.
-
-    front = Front(core, settings, plumbing, seed)
-    front.start(now)                                     # the views join
-    front.turn(core.turn(now), now)                      # take pushes; front.due says when to be called again
-    reply = front.datagram(data, source, view, now)      # bytes, or None: silence
-    replies = front.stream(data, source, view, now)      # of a message that came by TCP
-    front.notifies(now); front.notified(source, data)
-
-A view is a proxy like any other: the core binds it, pushes to it, and its tables pass the guard. What it
-acknowledges is different: a version is held once no answer of an earlier one can be in anybody's cache, its
-time to live after the last was given. So whatever the planner and its guard do about proxies that have not
-acknowledged yet holds for resolvers too. What is decided here: when that is, and what a query gets; how long
-answers live is `ttl`, who gets how many `rate_limit`, the rest is encoding.
+"""The DNS frontend without I/O: the views of zones as proxies of the controller.
+
+Example:
+    frontend = DnsFrontend(controller, settings, dns_settings, seed, wall_clock_offset_ns)
+    frontend.start(now_ns)                                  # the views connect
+    frontend.publish(controller.run_round(now_ns), now_ns)  # apply pushes; `due_ns` is the next call
+    frontend.queries.answer_datagram(data, source, view, now_ns)
+
+A view is a proxy like any other: the controller assigns and pushes tables to it, and they pass the safety
+rules. Only its acknowledgement differs: a view has acknowledged a version once no answer of an earlier
+version can be in any cache, which is its time to live after the last one was given. So whatever the policy
+and the safety rules do about proxies that have not acknowledged holds for resolvers too.
 """
 
-import io
-from collections.abc import Mapping
-from dataclasses import dataclass, replace
-from typing import Any
-
-import dns.rcode
-import dns.rdataclass
-import dns.rdatatype
+from dataclasses import dataclass, field
 
 from swiftchute.api.settings import Settings
 from swiftchute.controller.controller import Controller, RoundOutput
 from swiftchute.controller.load_aggregation import DemandEntry, LoadReport
 from swiftchute.controller.table_contents import TableContent
 from swiftchute.dns.answer_cache import AnswerCache, AnswerUsage
-from swiftchute.dns.errors import QueryError
 from swiftchute.dns.names import OriginNames
-from swiftchute.dns.query import (
-    EMPTY_SECTIONS,
-    Network,
-    Query,
-    Sections,
-    compose_reply,
-    parse_plain_query,
-    parse_query,
-)
-from swiftchute.dns.rate_limit import RateLimiter, Verdict
+from swiftchute.dns.query_handler import QueryHandler
 from swiftchute.dns.records import RecordLayout, TableEntries, ZoneRecords
+from swiftchute.dns.secondaries import Notify, SecondaryServers
+from swiftchute.dns.settings import DnsSettings
 from swiftchute.dns.ttl import TtlPolicy
-from swiftchute.dns.zone_transfer import Journal, Secondaries
+from swiftchute.dns.zone_transfer import ViewTable, ZoneJournal
 
-S = 1_000_000_000
-CHECK = S // 4  # how often what has settled is looked for, and rates are
-TCP_MOST = 65_535
-SLACK = S // 4  # on the way to a resolver, whose clock starts when an answer comes
-_TRANSFERS = (dns.rdatatype.AXFR, dns.rdatatype.IXFR)
+NS_PER_S = 1_000_000_000
+CHECK_INTERVAL_NS = NS_PER_S // 4  # between measurements of the query rate
+DELIVERY_ALLOWANCE_NS = NS_PER_S // 4  # a resolver counts the time to live from when the answer arrives
+QUERY_RATE_SMOOTHING = 0.5  # the weight of the newest measurement
+_SERIAL_MASK = 0xFFFFFFFF
 
+ViewTablesByZone = dict[str, dict[str, ViewTable]]
 
-@dataclass
-class _View:
-    """One zone's view: what it was pushed, and the newest mark it has not answered."""
 
-    zone: str
-    held: dict[str, TableContent]  # by operation
-    seal: int | None = None
-    waits: bool = False  # pushed, and answers of before may still be in caches
-    until: int = 0
+@dataclass(slots=True)
+class _View:
+    """The view of one zone.
 
+    Attributes:
+        zone: The zone.
+        contents: The table contents that were pushed to it, by operation.
+        nonce: The newest nonce that it has not acknowledged; None if there is none.
+        awaits_expiry: Whether it was pushed to, and answers of before may still be in caches.
+        expires_at_ns: When the answers of before the newest version have expired.
+    """
 
-class Front:
-    """All views of one planner's life."""
+    zone: str
+    contents: dict[str, TableContent] = field(default_factory=dict)
+    nonce: int | None = None
+    awaits_expiry: bool = False
+    expires_at_ns: int = 0
+
+
+class DnsFrontend:
+    """The views of all zones for one incarnation.
+
+    Attributes:
+        controller: The controller.
+        dns_settings: The values of the `dns` block.
+        wall_clock_offset_ns: Wall clock minus the clock of the controller, fixed. Serials are at least the
+            seconds of the wall clock, so that they are past those of earlier incarnations.
+        queries: Answers queries.
+        ttl_policy: Decides how long answers live.
+        journal: The contents of zone transfers.
+        secondaries: The secondary name servers.
+    """
 
     def __init__(
         self,
         controller: Controller,
         settings: Settings,
-        plumbing: Mapping[str, Any],
+        dns_settings: DnsSettings,
         seed: int,
-        offset: int = 0,
+        wall_clock_offset_ns: int = 0,
     ) -> None:
-        """`plumbing` is the `dns` block of the settings; `offset` is wall clock minus the planner's clock,
-        fixed: serials begin at the wall clock's seconds, past those of earlier lives."""
-        self.offset = offset
-        self.controller, self.set, self.seed = controller, settings, seed
-        p = self.plumbing = plumbing
-        operations = [op.name for op in settings.operations]
-        self.names = OriginNames(p["origin"], operations, settings.zones)
-        host, port = p["listen"] or ("localhost", 0)
-        server = "" if host == "localhost" else f"{host}:{port}"
-        self.shape = RecordLayout(
-            p["addresses"], p["draws"], p["borrowed"], expire_s=p["expire"] // S, name_server_address=server
-        )
+        """Create the views of all zones in the settings; none is connected yet.
+
+        Raises:
+            DomainNameError: The origin, an operation or a zone cannot be represented in names.
+        """
+        self.controller = controller
+        self.dns_settings = dns_settings
+        self.wall_clock_offset_ns = wall_clock_offset_ns
+        self._settings = settings
+        self._seed = seed
+        self._index_by_operation = {
+            operation.name: index for index, operation in enumerate(settings.operations)
+        }
+        operations = [operation.name for operation in settings.operations]
+        self._names = OriginNames(dns_settings.origin, operations, settings.zones)
+        self._layout = _make_layout(dns_settings)
         self.ttl_policy = TtlPolicy(
-            settings.drain_grace_ns, settings.max_no_endpoint_ns, p["ttl_most"] // S, p["queries"]
-        )
-        self.limiter = RateLimiter(p["responses"], p["slip"], p["strangers"])
-        self.journal = Journal(controller.history, self.names, self.shape, self.ttl_policy.limit_s)
-        self.secondaries = Secondaries(
-            p["secondaries"], self.names.origin, p["expire"], self.ttl_policy.limit_s * S, seed
+            settings.drain_grace_ns,
+            settings.max_no_endpoint_ns,
+            dns_settings.max_ttl_s,
+            dns_settings.max_queries_per_s,
         )
-        self.subnets: list[tuple[Network, str]] = sorted(
-            ((net, zone) for zone, net in p["subnets"]), key=lambda row: -row[0].prefixlen
+        limit_s = self.ttl_policy.limit_s
+        self.journal = ZoneJournal(controller.history, self._names, self._layout, limit_s)
+        self.secondaries = SecondaryServers(
+            dns_settings.secondaries, self._names.origin, dns_settings.expire_ns, limit_s * NS_PER_S, seed
         )
-        self.views = {self.proxy(zone): _View(zone, {}) for zone in settings.zones}
-        self.counters: dict[tuple[str, str], AnswerUsage] = {}
-        self.told: dict[tuple[str, str], int] = {}
-        self.ready: AnswerCache | None = None
-        self.contents: dict[str, dict[str, tuple[bytes, TableEntries]]] = {}
-        self.cold: frozenset[str] = frozenset()
-        self.barred = controller.unavailable_endpoints
-        self.ttl = self.ttl_policy.limit_s
-        self.rate = 0.0  # queries a second of late
-        self.checked = self.reported = self.turned = 0
-        self.counts = dict.fromkeys(("queries", "slow", "bad", "refused", "transfers"), 0)
+        self.queries = QueryHandler(self._names, dns_settings, self.journal, self.secondaries)
+        self._view_by_proxy = {self.proxy_id(zone): _View(zone) for zone in settings.zones}
+        self._usage_by_operation: dict[tuple[str, str], AnswerUsage] = {}  # by zone and operation
+        self._reported_answers: dict[tuple[str, str], int] = {}  # by zone and operation
+        self._measured_answers = 0
+        self._tables: ViewTablesByZone = {}
+        self._warming_up: frozenset[str] = frozenset()
+        self._unavailable = controller.unavailable_endpoints
+        self._ttl_s = limit_s
+        self._query_rate_per_s = 0.0
+        self._checked_at_ns = self._reported_at_ns = self._published_at_ns = 0
 
     @staticmethod
-    def proxy(zone: str) -> str:
-        """The id under which a zone's view joins; the xDS front refuses a node that calls itself so."""
+    def proxy_id(zone: str) -> str:
+        """Return the proxy id of the view of a zone; the xDS frontend rejects nodes of such an id."""
         return f"dns/{zone}"
 
-    # -- the planner's side
-
-    def start(self, now: int) -> None:
-        """The views join the core."""
-        self.checked = self.reported = now
-        for name, view in self.views.items():
-            self.controller.on_proxy_connected(name, view.zone, self.plumbing["rate"], True)
-
-    def turn(self, turn: RoundOutput, now: int) -> None:
-        """Take the pushes of a turn, and see which earlier answers are over."""
-        moved, self.turned = False, now
-        for name in (
-            turn.overflowed_proxies
-        ):  # no room in the channel: it joins anew, and serves what it has meanwhile
-            if name in self.views:
-                view = self.views[name]
-                view.seal, view.waits = None, False
-                self.controller.on_proxy_disconnected(name)
-                self.controller.on_proxy_connected(name, view.zone, self.plumbing["rate"], False)
-        for name, seal in turn.pushes:
-            if name not in self.views:
-                continue
-            view, holding = self.views[name], self.controller.tables_of(name)
-            if holding.tables_by_operation:  # else it is bound to nothing yet: what it served stays
-                view.held = {op: holding.contents[table] for op, table in holding.tables_by_operation}
-                moved = True
-            view.seal = seal if seal is not None else view.seal
-            view.waits = True
-        if self.controller.unavailable_endpoints is not self.barred:
-            self.barred, moved = self.controller.unavailable_endpoints, True
-        if now - self.checked >= CHECK:
-            moved |= self._check(now)
-        if moved:
-            self._rebuild(now)
-        self._settle(now)
-
-    def _check(self, now: int) -> bool:
-        """Count queries, report them, and decide anew how long answers live; whether that is another figure
-        or a server is no longer cold."""
-        span = now - self.checked
-        self.checked = now
-        given = sum(c.answers for c in self.counters.values())
-        self.rate += 0.5 * ((given - self.told.get(("", ""), 0)) * S / max(span, 1) - self.rate)
-        self.told["", ""] = given
-        if now - self.reported >= self.set.report_interval_ns:
-            self._report(now)
-        ttl = self.ttl_policy.ttl_s(self.rate, now)
-        if ttl != self.ttl:
+    def start(self, now_ns: int) -> None:
+        """Connect the views to the controller."""
+        self._checked_at_ns = self._reported_at_ns = now_ns
+        for proxy, view in self._view_by_proxy.items():
+            self._connect(proxy, view, fresh=True)
+
+    def publish(self, output: RoundOutput, now_ns: int) -> None:
+        """Apply the pushes of a round, and acknowledge versions whose earlier answers have expired."""
+        self._published_at_ns = now_ns
+        for proxy in output.overflowed_proxies:
+            self._reconnect(proxy)
+        changed = False
+        for proxy, nonce in output.pushes:
+            changed |= self._apply_push(proxy, nonce)
+        if self.controller.unavailable_endpoints is not self._unavailable:
+            self._unavailable = self.controller.unavailable_endpoints
+            changed = True
+        if now_ns - self._checked_at_ns >= CHECK_INTERVAL_NS:
+            changed |= self._check_ttl(now_ns)
+        if changed:
+            self._update_answers(now_ns)
+        self._acknowledge_expired(now_ns)
+
+    @property
+    def due_ns(self) -> int:
+        """When `publish` is to be called at the latest."""
+        check_interval_ns = max(CHECK_INTERVAL_NS, self._settings.report_interval_ns // 4)
+        times_ns = [self._checked_at_ns + check_interval_ns]
+        for view in self._view_by_proxy.values():
+            if view.awaits_expiry and view.expires_at_ns > self._published_at_ns:
+                times_ns.append(view.expires_at_ns)
+        if self.secondaries.notify_due_ns is not None:
+            times_ns.append(self.secondaries.notify_due_ns)
+        return min(times_ns)
+
+    def due_notifies(self, now_ns: int) -> list[Notify]:
+        """Return the NOTIFY messages to send now."""
+        return self.secondaries.due_notifies(now_ns)
+
+    def on_notify_reply(self, source: str, data: bytes) -> None:
+        """A datagram came to where NOTIFY messages are sent from."""
+        self.secondaries.on_notify_reply(source, data)
+
+    def _connect(self, proxy: str, view: _View, fresh: bool) -> None:
+        request_rate = self.dns_settings.request_rate_per_s
+        self.controller.on_proxy_connected(proxy, view.zone, request_rate, fresh)
+
+    def _reconnect(self, proxy: str) -> None:
+        """Connect a view anew whose messages exceed the egress queue; it serves what it has meanwhile."""
+        view = self._view_by_proxy.get(proxy)
+        if view is None:
+            return
+        view.nonce, view.awaits_expiry = None, False
+        self.controller.on_proxy_disconnected(proxy)
+        self._connect(proxy, view, fresh=False)
+
+    def _apply_push(self, proxy: str, nonce: int | None) -> bool:
+        """Apply a push to a view; return whether its contents were set."""
+        view = self._view_by_proxy.get(proxy)
+        if view is None:
+            return False
+        tables = self.controller.tables_of(proxy)
+        assigned = bool(tables.tables_by_operation)
+        if assigned:  # an unassigned view serves what it had
+            view.contents = {
+                operation: tables.contents[table] for operation, table in tables.tables_by_operation
+            }
+        if nonce is not None:
+            view.nonce = nonce
+        view.awaits_expiry = True
+        return assigned
+
+    def _check_ttl(self, now_ns: int) -> bool:
+        """Measure the query rate and decide the time to live; return whether answers have to change."""
+        self._measure_query_rate(now_ns)
+        if now_ns - self._reported_at_ns >= self._settings.report_interval_ns:
+            self._report_load(now_ns)
+        ttl_s = self.ttl_policy.ttl_s(self._query_rate_per_s, now_ns)
+        if ttl_s != self._ttl_s:
             self.controller.log_event(
                 "answers live",
-                seconds=ttl,
+                seconds=ttl_s,
                 most=self.ttl_policy.limit_s,
-                queries=round(self.rate, 1),
+                queries=round(self._query_rate_per_s, 1),
                 changes=self.ttl_policy.recent_changes,
             )
-        moved = ttl != self.ttl or self.controller.warming_endpoints(now) != self.cold
-        self.ttl = ttl
-        return moved
-
-    def _report(self, now: int) -> None:
-        """Each answer stands for so many invocations: nothing else is known of what resolvers' clients do."""
-        span, self.reported = now - self.reported, now
-        for name, view in self.views.items():
-            rows = []
-            for op in self.set.operations:
-                counter = self.counters.get((view.zone, op.name))
-                key = (view.zone, op.name)
-                if counter is not None and counter.answers > self.told.get(key, 0):
-                    invs = (counter.answers - self.told.get(key, 0)) * self.plumbing["calls_per_answer"]
-                    rows.append(DemandEntry(op.name, max(round(invs), 1), 0))
-                    self.told[key] = counter.answers
-            if rows:
-                self.controller.on_load_report(name, LoadReport(span, tuple(rows), ()), now)
-
-    def _lines(self, content: TableContent) -> TableEntries:
-        """A table's lines less servers that drain or are gone: news of those may be ahead of the push. If
-        nothing else were left they stay: an answer is never emptied."""
-        open_ = tuple(line for line in content.entries if line.endpoint not in self.barred)
-        return open_ or content.entries
-
-    def _rebuild(self, now: int) -> None:
-        """Make answers of what the views hold, if that is not what they were made of."""
-        held: dict[str, dict[str, tuple[bytes, TableEntries]]] = {}
-        levels = {}
-        for view in self.views.values():
-            for op, content in view.held.items():
-                lines = self._lines(content)
-                version = content.version if lines is content.entries else b""
-                held.setdefault(view.zone, {})[op] = (version, lines)
-                place = [o.name for o in self.set.operations].index(op)
-                if self.plumbing["shed"] == "servfail":
-                    levels[view.zone, op] = content.admission[place][0]
-        cold = self.controller.warming_endpoints(now)
-        old = self.ready.records if self.ready else None
-        if not held:
+        changed = ttl_s != self._ttl_s or self.controller.warming_endpoints(now_ns) != self._warming_up
+        self._ttl_s = ttl_s
+        return changed
+
+    def _measure_query_rate(self, now_ns: int) -> None:
+        window_ns = now_ns - self._checked_at_ns
+        self._checked_at_ns = now_ns
+        answers = sum(usage.answers for usage in self._usage_by_operation.values())
+        measured_per_s = (answers - self._measured_answers) * NS_PER_S / max(window_ns, 1)
+        self._query_rate_per_s += QUERY_RATE_SMOOTHING * (measured_per_s - self._query_rate_per_s)
+        self._measured_answers = answers
+
+    def _report_load(self, now_ns: int) -> None:
+        """Report the demand of each view; each answer stands for a fixed number of requests."""
+        window_ns = now_ns - self._reported_at_ns
+        self._reported_at_ns = now_ns
+        for proxy, view in self._view_by_proxy.items():
+            demand = []
+            for operation in self._index_by_operation:
+                key = (view.zone, operation)
+                usage = self._usage_by_operation.get(key)
+                reported = self._reported_answers.get(key, 0)
+                if usage is not None and usage.answers > reported:
+                    requests = (usage.answers - reported) * self.dns_settings.requests_per_answer
+                    demand.append(DemandEntry(operation, max(round(requests), 1), 0))
+                    self._reported_answers[key] = usage.answers
+            if demand:
+                self.controller.on_load_report(proxy, LoadReport(window_ns, tuple(demand), ()), now_ns)
+
+    def _available_entries(self, content: TableContent) -> TableEntries:
+        """Return the entries of endpoints that neither drain nor are removed; all if there is no other.
+
+        The endpoint list may be ahead of the push.
+        """
+        available = tuple(entry for entry in content.entries if entry.endpoint not in self._unavailable)
+        return available or content.entries
+
+    def _collect_tables(self) -> ViewTablesByZone:
+        tables: ViewTablesByZone = {}
+        for view in self._view_by_proxy.values():
+            for operation, content in view.contents.items():
+                entries = self._available_entries(content)
+                version = content.version if entries is content.entries else b""
+                tables.setdefault(view.zone, {})[operation] = ViewTable(version, entries)
+        return tables
+
+    def _collect_admission_rates(self) -> dict[tuple[str, str], float]:
+        """Return the share of queries that are answered, by zone and operation, if load is shed."""
+        if not self.dns_settings.sheds_load:
+            return {}
+        rates = {}
+        for view in self._view_by_proxy.values():
+            for operation, content in view.contents.items():
+                rate, _ = content.admission[self._index_by_operation[operation]]
+                rates[view.zone, operation] = rate
+        return rates
+
+    def _update_answers(self, now_ns: int) -> None:
+        """Make new answers of what the views hold, if the present ones were made of something else."""
+        tables, admission_rates = self._collect_tables(), self._collect_admission_rates()
+        warming_up = self.controller.warming_endpoints(now_ns)
+        if not tables:
             return
-        same = old is not None and (old.ttl_s, old.admission_rates, old.warming_up) == (
-            self.ttl,
-            levels,
-            cold,
-        )
-        if same and held == self.contents:
+        old = self.queries.cache.records if self.queries.cache else None
+        present = (old.ttl_s, old.admission_rates, old.warming_up) if old else None
+        if present == (self._ttl_s, admission_rates, warming_up) and tables == self._tables:
             return
-        if held != self.contents:
-            self.ttl_policy.on_answers_changed(now)
-        for view in self.views.values():
-            if old and held.get(view.zone) != self.contents.get(view.zone):
-                outs = [c.cached_until_ns for (zone, _), c in self.counters.items() if zone == view.zone]
-                view.until = max(view.until, max(outs, default=0) + SLACK)
-        serial = max(self.journal.serial + 1, (now + self.offset) // S) & 0xFFFFFFFF
-        self.contents, self.cold = held, cold
-        contents = {zone: {op: lines for op, (_, lines) in rows.items()} for zone, rows in held.items()}
-        records = ZoneRecords(self.names, contents, cold, self.ttl, serial, self.shape, levels)
-        self.ready = AnswerCache(records, self.counters, self.seed)
-        self.journal.note(serial, held, cold)
-        self.secondaries.changed(serial, now)
-
-    def _settle(self, now: int) -> None:
-        """Answer for views whose earlier answers are over."""
-        others = self.secondaries.until(now)
-        for name, view in self.views.items():
-            if view.waits and now >= max(view.until, others):
-                view.waits = False
-                if view.seal is not None:
-                    seal, view.seal = view.seal, None
-                    self.controller.on_acknowledged(name, seal, now)
-                self.controller.on_fully_acknowledged(name, now)
+        if tables != self._tables:
+            self.ttl_policy.on_answers_changed(now_ns)
+        if old:
+            self._extend_expiry(tables)
+        serial = max(self.journal.serial + 1, (now_ns + self.wall_clock_offset_ns) // NS_PER_S) & _SERIAL_MASK
+        self._tables, self._warming_up = tables, warming_up
+        entries_by_zone = {
+            zone: {operation: table.entries for operation, table in by_operation.items()}
+            for zone, by_operation in tables.items()
+        }
+        records = ZoneRecords(
+            self._names, entries_by_zone, warming_up, self._ttl_s, serial, self._layout, admission_rates
+        )
+        self.queries.cache = AnswerCache(records, self._usage_by_operation, self._seed)
+        self.journal.record(serial, tables, warming_up)
+        self.secondaries.on_serial_changed(serial, now_ns)
+
+    def _extend_expiry(self, tables: ViewTablesByZone) -> None:
+        """Wait for the answers given so far by the views whose tables change."""
+        for view in self._view_by_proxy.values():
+            if tables.get(view.zone) == self._tables.get(view.zone):
+                continue
+            cached_until_ns = max(
+                (
+                    usage.cached_until_ns
+                    for (zone, _), usage in self._usage_by_operation.items()
+                    if zone == view.zone
+                ),
+                default=0,
+            )
+            view.expires_at_ns = max(view.expires_at_ns, cached_until_ns + DELIVERY_ALLOWANCE_NS)
 
-    @property
-    def due(self) -> int:
-        """When `turn` is to be called at the latest."""
-        times = [self.checked + max(CHECK, self.set.report_interval_ns // 4)]
-        times += [v.until for v in self.views.values() if v.waits and v.until > self.turned]
-        if self.secondaries.due is not None:
-            times.append(self.secondaries.due)
-        return min(times)
-
-    # -- queries
-
-    def datagram(self, data: bytes, source: str, view: str, now: int) -> bytes | None:
-        """The reply to a datagram."""
-        self.counts["queries"] += 1
-        verdict = self.limiter.check(source, now)
-        if verdict is Verdict.DROP:
-            return None
-        try:
-            query = self._read(data)
-        except QueryError as why:
-            self.counts["bad"] += 1
-            return why.reply
-        if verdict is Verdict.TRUNCATE:
-            return compose_reply(query, dns.rcode.NOERROR, EMPTY_SECTIONS, truncated=True)
-        if query.record_type in _TRANSFERS and query.record_class == dns.rdataclass.IN:
-            replies = self._transfer(query, source, view, now, tcp=False)
-            return replies[0] if replies else None
-        return self._answer(query, view, query.datagram_limit_bytes, now)
-
-    def stream(self, data: bytes, source: str, view: str, now: int) -> list[bytes]:
-        """The replies to a message that came by TCP."""
-        self.counts["queries"] += 1
-        self.limiter.mark_verified(source, now)
-        try:
-            query = self._read(data)
-        except QueryError as why:
-            self.counts["bad"] += 1
-            return [why.reply] if why.reply is not None else []
-        if query.record_type in _TRANSFERS and query.record_class == dns.rdataclass.IN:
-            return self._transfer(query, source, view, now, tcp=True)
-        return [self._answer(query, view, TCP_MOST, now)]
-
-    def _read(self, data: bytes) -> Query:
-        query = parse_plain_query(data)
-        if query is not None:
-            return query
-        self.counts["slow"] += 1
-        return parse_query(data)
-
-    def _answer(self, query: Query, view: str, limit: int, now: int) -> bytes:
-        if query.record_class != dns.rdataclass.IN or query.record_type in (
-            dns.rdatatype.OPT,
-            dns.rdatatype.TSIG,
-        ):
-            self.counts["refused"] += 1
-            return compose_reply(query, dns.rcode.REFUSED, EMPTY_SECTIONS)
-        if query.reply_options:
-            if self.subnets:
-                view = self._viewed(query.subnet, view)
-            else:  # who does not go by subnets does not echo them (RFC 7871, 7.2.1)
-                query = replace(query, reply_options=b"")
-        if self.ready is None:
-            return compose_reply(query, dns.rcode.SERVFAIL, EMPTY_SECTIONS)
-        reply = self.ready.answer(query, view, limit, now)
-        if reply is None:
-            self.counts["refused"] += 1
-            return compose_reply(query, dns.rcode.REFUSED, EMPTY_SECTIONS)
-        return reply
-
-    def _viewed(self, subnet: Network | None, view: str) -> str:
-        """The view of a client's subnet, by the longest that holds it."""
-        for net, zone in self.subnets:
-            if subnet is not None and net.version == subnet.version and subnet.subnet_of(net):
-                return zone
-        return view
-
-    def _transfer(self, query: Query, source: str, view: str, now: int, tcp: bool) -> list[bytes]:
-        """A transfer's messages. By datagram an AXFR is at fault, and an IXFR too large for one gets the SOA
-        alone, at which the secondary comes again by TCP (RFC 1995, section 2)."""
-        origin = self.names.origin.to_wire().lower()
-        if not self.secondaries.allowed(view, source) or query.name.lower() != origin:
-            self.counts["refused"] += 1
-            return [compose_reply(query, dns.rcode.REFUSED, EMPTY_SECTIONS)]
-        if query.record_type == dns.rdatatype.AXFR and not tcp:
-            return [compose_reply(query, dns.rcode.FORMERR, EMPTY_SECTIONS)]
-        since = query.serial if query.record_type == dns.rdatatype.IXFR else None
-        sections = self.journal.transfer(view, since)
-        if not sections:
-            return [compose_reply(query, dns.rcode.SERVFAIL, EMPTY_SECTIONS)]
-        made = [_section(query, rows) for rows in sections]
-        if not tcp and (len(made) > 1 or len(made[0]) > query.datagram_limit_bytes):
-            return [_section(query, sections[0][:1])]
-        self.counts["transfers"] += 1
-        self.secondaries.seen(view, source, self.journal.serial, self.journal.serial, now)
-        return made
-
-    def notifies(self, now: int) -> list[tuple[tuple[str, int], bytes]]:
-        """NOTIFYs to send now."""
-        return self.secondaries.take(now)
-
-    def notified(self, source: str, data: bytes) -> None:
-        """A datagram that came to where NOTIFYs are sent from."""
-        self.secondaries.answered(source, data)
-
-
-def _section(query: Query, rows: list[Any]) -> bytes:
-    """A message with these records as its answer, names in full."""
-    out = io.BytesIO()
-    many = sum(row.to_wire(out) for row in rows)
-    return compose_reply(
-        query, dns.rcode.NOERROR, Sections(many.to_bytes(2, "big") + bytes(4), out.getvalue())
+    def _acknowledge_expired(self, now_ns: int) -> None:
+        """Acknowledge for the views whose earlier answers have expired."""
+        obsolete_at_ns = self.secondaries.obsolete_at_ns()
+        for proxy, view in self._view_by_proxy.items():
+            if not view.awaits_expiry or now_ns < max(view.expires_at_ns, obsolete_at_ns):
+                continue
+            view.awaits_expiry = False
+            if view.nonce is not None:
+                nonce, view.nonce = view.nonce, None
+                self.controller.on_acknowledged(proxy, nonce, now_ns)
+            self.controller.on_fully_acknowledged(proxy, now_ns)
+
+
+def _make_layout(dns_settings: DnsSettings) -> RecordLayout:
+    host, port = dns_settings.listen_address or ("localhost", 0)
+    return RecordLayout(
+        dns_settings.addresses_per_answer,
+        dns_settings.min_draws,
+        dns_settings.remote_entries,
+        expire_s=dns_settings.expire_ns // NS_PER_S,
+        name_server_address="" if host == "localhost" else f"{host}:{port}",
     )
--- a/swiftchute/dns/server.py
+++ b/swiftchute/dns/server.py
@@ -1,8 +1,8 @@
-"""The sockets of the DNS front: datagrams and streams for each view's address. It decides nothing.
+"""The sockets of the DNS frontend: datagrams and TCP connections for the address of each view.
 
-Streams carry a length before each message (RFC 1035, 4.2.2; RFC 7766). A stream that brings no whole message
-for `idle` is closed, whatever single bytes it brings; past `connections` the one that has been silent longest
-is; one that does not read what it asked for is not read from.
+On TCP each message follows its length (RFC 1035, section 4.2.2; RFC 7766). A connection without a whole
+message for the idle timeout is closed, whatever single bytes it sends; beyond the maximum of connections the
+one that was idle for longest is closed; a client that does not read its replies is not read from.
 """
 
 import asyncio
@@ -11,158 +11,226 @@
 from typing import Any
 
 from swiftchute.controller.controller import RoundOutput
-from swiftchute.dns.frontend import Front
+from swiftchute.dns.errors import DnsError
+from swiftchute.dns.frontend import DnsFrontend
+from swiftchute.dns.query import HEADER_BYTES
+from swiftchute.dns.settings import Address
 
-S = 1_000_000_000
-HEAD = 12  # bytes of the shortest message
-UNREAD_MOST = 256 * 1024  # bytes of replies that may wait for a client
+LENGTH_PREFIX_BYTES = 2
+MAX_UNREAD_REPLIES_BYTES = 256 * 1024  # replies that wait for a client to read them
+LISTEN_BACKLOG = 1024  # TCP connections that wait to be accepted
 
 
-class _Datagrams(asyncio.DatagramProtocol):
-    def __init__(self, shell: "Shell", view: str) -> None:
-        self.shell, self.view, self.answer = shell, view, shell.front.datagram
+class _DatagramProtocol(asyncio.DatagramProtocol):
+    """Answers the datagrams of one view."""
+
+    def __init__(self, server: "DnsServer", view: str) -> None:
+        self._view = view
+        self._answer = server.frontend.queries.answer_datagram
+        self._clock = server.clock
 
     def connection_made(self, transport: Any) -> None:
-        self.transport = transport
+        self._transport = transport
 
     def datagram_received(self, data: bytes, source: Any) -> None:
-        reply = self.answer(data, source[0], self.view, self.shell.clock())
+        reply = self._answer(data, source[0], self._view, self._clock())
         if reply is not None:
-            self.transport.sendto(reply, source)
+            self._transport.sendto(reply, source)
+
 
+class _NotifyProtocol(asyncio.DatagramProtocol):
+    """Receives the replies to NOTIFY messages."""
 
-class _Notifies(asyncio.DatagramProtocol):
-    def __init__(self, front: Front) -> None:
-        self.front = front
+    def __init__(self, frontend: DnsFrontend) -> None:
+        self._frontend = frontend
 
     def datagram_received(self, data: bytes, source: Any) -> None:
-        self.front.notified(source[0], data)
+        self._frontend.on_notify_reply(source[0], data)
 
 
-class _Stream(asyncio.Protocol):
-    def __init__(self, shell: "Shell", view: str) -> None:
-        self.shell, self.view, self.buffer, self.full = shell, view, bytearray(), False
+class _StreamProtocol(asyncio.Protocol):
+    """Answers the messages of one TCP connection."""
+
+    def __init__(self, server: "DnsServer", view: str) -> None:
+        self._server = server
+        self._view = view
+        self._buffer = bytearray()
+        self._writing_paused = False
 
     def connection_made(self, transport: Any) -> None:
-        self.transport = transport
-        transport.set_write_buffer_limits(high=UNREAD_MOST)
+        self._transport = transport
+        transport.set_write_buffer_limits(high=MAX_UNREAD_REPLIES_BYTES)
         peer = transport.get_extra_info("peername")
-        self.source = peer[0] if peer else ""
-        self.shell.opened(self)
+        self._source = peer[0] if peer else ""
+        self._server.on_connected(self)
 
     def data_received(self, data: bytes) -> None:
-        self.buffer += data
-        self._take()
-
-    def _take(self) -> None:
-        while not self.full and len(self.buffer) >= 2:
-            size = int.from_bytes(self.buffer[:2], "big")
-            if size < HEAD:  # lengths of nothing, a byte now and then, would keep a stream open for ever
-                self.transport.abort()
+        self._buffer += data
+        self._process_buffer()
+
+    def _process_buffer(self) -> None:
+        while not self._writing_paused and len(self._buffer) >= LENGTH_PREFIX_BYTES:
+            length = int.from_bytes(self._buffer[:LENGTH_PREFIX_BYTES], "big")
+            if length < HEADER_BYTES:  # empty messages would keep a connection from being idle
+                self._transport.abort()
                 return
-            if len(self.buffer) < 2 + size:
+            end = LENGTH_PREFIX_BYTES + length
+            if len(self._buffer) < end:
                 break
-            message = bytes(self.buffer[2 : 2 + size])
-            del self.buffer[: 2 + size]
-            self.shell.active(self)
-            for reply in self.shell.front.stream(message, self.source, self.view, self.shell.clock()):
-                self.transport.write(len(reply).to_bytes(2, "big") + reply)
+            message = bytes(self._buffer[LENGTH_PREFIX_BYTES:end])
+            del self._buffer[:end]
+            self._answer(message)
+
+    def _answer(self, message: bytes) -> None:
+        server = self._server
+        server.on_message(self)
+        for reply in server.frontend.queries.answer_stream(message, self._source, self._view, server.clock()):
+            self._transport.write(len(reply).to_bytes(LENGTH_PREFIX_BYTES, "big") + reply)
 
     def pause_writing(self) -> None:
-        self.full = True
-        self.transport.pause_reading()
+        self._writing_paused = True
+        self._transport.pause_reading()
 
     def resume_writing(self) -> None:
-        self.full = False
-        self._take()
-        if not self.full:
-            self.transport.resume_reading()
-
-    def connection_lost(self, why: Exception | None) -> None:
-        self.shell.streams.pop(self, None)
-
-
-class Shell:
-    """Listens for one front: its own zone's view, and further ones by address."""
-
-    def __init__(self, front: Front, zone: str, clock: Callable[[], int], log: Any) -> None:
-        """`zone` is the planner's: whose view the main address serves."""
-        self.front, self.clock, self.log = front, clock, log
-        plumbing = front.plumbing
-        self.listen = [(zone, plumbing["listen"]), *plumbing["views"]]
-        self.most, self.idle = plumbing["connections"], plumbing["idle"]
-        self.streams: OrderedDict[_Stream, int] = OrderedDict()  # by the time of their last message
-        self.transports: list[Any] = []
-        self.servers: list[asyncio.Server] = []
-        self.addresses: dict[str, tuple[str, int]] = {}
+        self._writing_paused = False
+        self._process_buffer()
+        if not self._writing_paused:
+            self._transport.resume_reading()
+
+    def connection_lost(self, error: Exception | None) -> None:
+        self._server.on_disconnected(self)
+
+    def abort(self) -> None:
+        """Close the connection at once."""
+        self._transport.abort()
+
+
+class DnsServer:
+    """Listens for a frontend: on the main address for the view of our own zone, on others for other views.
+
+    Attributes:
+        frontend: The frontend.
+        clock: Returns the time of the controller in nanoseconds.
+        connections: The open TCP connections by the time of their last message, the oldest first.
+        addresses: The address of each view that is served.
+        closed: Connections closed by the server, by the names of the causes in the log.
+    """
+
+    def __init__(self, frontend: DnsFrontend, zone: str, clock: Callable[[], int], log: Any) -> None:
+        """Create a server that does not listen yet.
+
+        Args:
+            frontend: The frontend; its settings give the addresses.
+            zone: The zone whose view the main address serves.
+            clock: Returns the time of the controller in nanoseconds.
+            log: The logger.
+        """
+        self.frontend = frontend
+        self.clock = clock
+        self.connections: OrderedDict[_StreamProtocol, int] = OrderedDict()
+        self.addresses: dict[str, Address] = {}
         self.closed = dict.fromkeys(("streams_idle", "streams_past_bound"), 0)
+        self._zone = zone
+        self._log = log
+        self._max_connections = frontend.dns_settings.max_connections
+        self._idle_timeout_ns = frontend.dns_settings.idle_timeout_ns
+        self._datagram_transports: list[Any] = []
+        self._notify_transport: Any = None
+        self._tcp_servers: list[asyncio.Server] = []
 
     async def start(self) -> None:
-        """Listen; the views join the core."""
-        loop = asyncio.get_running_loop()
+        """Listen on all addresses and connect the views to the controller.
+
+        Raises:
+            DnsError: The settings give no main address.
+            OSError: An address cannot be listened on; nothing listens then.
+        """
+        settings = self.frontend.dns_settings
+        if settings.listen_address is None:
+            raise DnsError("dns.listen: not set, and the DNS server has no other main address")
         try:
-            for view, (host, port) in self.listen:
-                server = await loop.create_server(lambda v=view: _Stream(self, v), host, port, backlog=1024)
-                self.servers.append(server)
-                at = server.sockets[0].getsockname()[:2]
-                made = await loop.create_datagram_endpoint(lambda v=view: _Datagrams(self, v), local_addr=at)
-                self.transports.append(made[0])
-                self.addresses.setdefault(view, at)
-                self.log.info("answering", view=view, address=f"{at[0]}:{at[1]}")
-            host = self.listen[0][1][0]
-            made = await loop.create_datagram_endpoint(lambda: _Notifies(self.front), local_addr=(host, 0))
-            self.transports.append(made[0])
+            for view, address in ((self._zone, settings.listen_address), *settings.view_addresses):
+                await self._listen(view, address)
+            self._notify_transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
+                lambda: _NotifyProtocol(self.frontend), local_addr=(settings.listen_address[0], 0)
+            )
         except OSError:
             await self.stop()
             raise
-        self.front.start(self.clock())
+        self.frontend.start(self.clock())
+
+    async def _listen(self, view: str, address: Address) -> None:
+        """Serve a view by TCP and, on the same port, by datagram."""
+        loop = asyncio.get_running_loop()
+        host, port = address
+        server = await loop.create_server(
+            lambda: _StreamProtocol(self, view), host, port, backlog=LISTEN_BACKLOG
+        )
+        self._tcp_servers.append(server)
+        bound_address = server.sockets[0].getsockname()[:2]
+        transport, _ = await loop.create_datagram_endpoint(
+            lambda: _DatagramProtocol(self, view), local_addr=bound_address
+        )
+        self._datagram_transports.append(transport)
+        self.addresses.setdefault(view, bound_address)
+        self._log.info("answering", view=view, address=f"{bound_address[0]}:{bound_address[1]}")
 
     async def stop(self) -> None:
-        """Close everything."""
-        for server in self.servers:
+        """Stop listening and close all connections."""
+        for server in self._tcp_servers:
             server.close()
-        for transport in self.transports:
+        for transport in self._datagram_transports:
             transport.close()
-        for stream in list(self.streams):
-            stream.transport.abort()
-
-    def turn(self, turn: RoundOutput, now: int) -> None:
-        """A turn of the planner: the front takes it, and what is due is done."""
-        self.front.turn(turn, now)
-        for address, data in self.front.notifies(now):
-            self.transports[-1].sendto(data, address)
-        while self.streams:
-            stream, last = next(iter(self.streams.items()))
-            if now - last < self.idle:
+        if self._notify_transport is not None:
+            self._notify_transport.close()
+        for connection in list(self.connections):
+            connection.abort()
+
+    def publish(self, output: RoundOutput, now_ns: int) -> None:
+        """Apply the output of a round, send the NOTIFY messages that are due and close idle connections."""
+        self.frontend.publish(output, now_ns)
+        for notify in self.frontend.due_notifies(now_ns):
+            self._notify_transport.sendto(notify.data, notify.address)
+        self._close_idle(now_ns)
+
+    def _close_idle(self, now_ns: int) -> None:
+        while self.connections:
+            connection, last_message_ns = next(iter(self.connections.items()))
+            if now_ns - last_message_ns < self._idle_timeout_ns:
                 break
-            self._close(stream, "streams_idle")
+            self._close(connection, "streams_idle")
 
     @property
-    def due(self) -> int:
-        """When the front is to be called at the latest."""
-        return self.front.due
-
-    def opened(self, stream: _Stream) -> None:
-        """A new stream; past the bound the one that has been silent longest goes."""
-        if len(self.streams) >= self.most:
-            self._close(next(iter(self.streams)), "streams_past_bound")
-        self.streams[stream] = self.clock()
-
-    def active(self, stream: _Stream) -> None:
-        """A stream brought a whole message."""
-        if stream in self.streams:
-            self.streams[stream] = self.clock()
-            self.streams.move_to_end(stream)
-
-    def _close(self, stream: _Stream, why: str) -> None:
-        self.closed[why] += 1
-        del self.streams[stream]
-        stream.transport.abort()
+    def due_ns(self) -> int:
+        """When `publish` is to be called at the latest."""
+        return self.frontend.due_ns
+
+    def on_connected(self, connection: _StreamProtocol) -> None:
+        """A client connected; beyond the maximum the connection that was idle for longest is closed."""
+        if len(self.connections) >= self._max_connections:
+            self._close(next(iter(self.connections)), "streams_past_bound")
+        self.connections[connection] = self.clock()
+
+    def on_message(self, connection: _StreamProtocol) -> None:
+        """A connection received a whole message."""
+        if connection in self.connections:
+            self.connections[connection] = self.clock()
+            self.connections.move_to_end(connection)
+
+    def on_disconnected(self, connection: _StreamProtocol) -> None:
+        """A connection was closed by either side."""
+        self.connections.pop(connection, None)
+
+    def _close(self, connection: _StreamProtocol, cause: str) -> None:
+        self.closed[cause] += 1
+        del self.connections[connection]
+        connection.abort()
 
     @property
     def counts(self) -> dict[str, int]:
-        """Figures for the log's last line."""
-        limited = {
-            f"dns_{verdict.value}": many for verdict, many in self.front.limiter.verdict_counts.items()
-        }
-        return {f"dns_{k}": v for k, v in (self.front.counts | self.closed).items()} | limited
+        """Counts by the names that they have in the log."""
+        queries = self.frontend.queries
+        counts = queries.counts | self.closed
+        for verdict, count in queries.limiter.verdict_counts.items():
+            counts[verdict.value] = count
+        return {f"dns_{name}": count for name, count in counts.items()}
--- a/tests/dns/test_frontend.py
+++ b/tests/dns/test_frontend.py
@@ -29,14 +29,15 @@
 from swiftchute.dns import rate_limit
 from swiftchute.dns.answer_cache import AnswerCache
 from swiftchute.dns.errors import DomainNameError, QueryError
-from swiftchute.dns.frontend import SLACK, Front
+from swiftchute.dns.frontend import DELIVERY_ALLOWANCE_NS, DnsFrontend
 from swiftchute.dns.names import OriginNames
 from swiftchute.dns.query import parse_plain_query, parse_query
 from swiftchute.dns.rate_limit import RateLimiter, Verdict
 from swiftchute.dns.records import RecordLayout, ZoneRecords
+from swiftchute.dns.secondaries import MAX_NOTIFY_ATTEMPTS, SecondaryServers
+from swiftchute.dns.settings import DnsSettings
 from swiftchute.dns.srv_weights import apportion, draw_answers, srv_weights
 from swiftchute.dns.ttl import TtlPolicy
-from swiftchute.dns.zone_transfer import TRIES, Secondaries
 from swiftchute.safety.proposal import SafetyRules
 from swiftchute.xds.errors import ProtocolViolationError
 from swiftchute.xds.messages import ProxyNode
@@ -235,8 +236,8 @@
     answered = 0
     for k in range(10_000):
         query = mutated(chance, seeds[k % len(seeds)])
-        for replies in ([front.datagram(query, "127.0.0.1", "east", NOW)],
-                        front.stream(query, "127.0.0.1", "east", NOW)):  # fmt: skip
+        for replies in ([front.queries.answer_datagram(query, "127.0.0.1", "east", NOW)],
+                        front.queries.answer_stream(query, "127.0.0.1", "east", NOW)):  # fmt: skip
             for reply in replies:
                 if reply is not None:
                     legal(reply, query)
@@ -247,7 +248,7 @@
 def test_queries_cut_at_every_byte_get_a_legal_reply_or_silence(front):
     for query in (ask(SRV), ask(SRV, size=1232, options=[dns.edns.ECSOption("10.1.2.3", 24)])):
         for end in range(len(query)):
-            reply = front.datagram(query[:end], "127.0.0.1", "east", NOW)
+            reply = front.queries.answer_datagram(query[:end], "127.0.0.1", "east", NOW)
             if end < 12:
                 assert reply is None
             else:
@@ -257,7 +258,8 @@
 
 def test_a_name_that_points_at_itself_is_at_fault(front):
     loop = struct.pack("!HHHHHH", 5, 0, 1, 0, 0, 0) + b"\xc0\x0c" + struct.pack("!HH", 33, 1)
-    assert dns.message.from_wire(front.datagram(loop, "127.0.0.1", "east", NOW)).rcode() == dns.rcode.FORMERR
+    reply = dns.message.from_wire(front.queries.answer_datagram(loop, "127.0.0.1", "east", NOW))
+    assert reply.rcode() == dns.rcode.FORMERR
 
 
 @pytest.mark.parametrize(
@@ -271,16 +273,18 @@
     query = dns.message.make_query(SRV, "SRV")
     change(query)
     data = query.to_wire()
-    assert dns.message.from_wire(front.datagram(data, "127.0.0.1", "east", NOW)).rcode() == code
+    reply = dns.message.from_wire(front.queries.answer_datagram(data, "127.0.0.1", "east", NOW))
+    assert reply.rcode() == code
 
 
 def test_other_classes_and_other_zones_are_refused_and_replies_are_passed_over(front):
     chaos = dns.message.make_query("version.bind.", "TXT", "CH").to_wire()
     for query in (chaos, ask("example.com.", "A")):
-        reply = dns.message.from_wire(front.datagram(query, "127.0.0.1", "east", NOW))
+        reply = dns.message.from_wire(front.queries.answer_datagram(query, "127.0.0.1", "east", NOW))
         assert (reply.rcode(), reply.flags & dns.flags.AA) == (dns.rcode.REFUSED, 0)
     reply = dns.message.make_response(dns.message.make_query(SRV, "SRV")).to_wire()
-    assert front.datagram(reply, "127.0.0.1", "east", NOW) is None  # or two servers would answer each other
+    # or two servers would answer each other
+    assert front.queries.answer_datagram(reply, "127.0.0.1", "east", NOW) is None
 
 
 @given(st.binary(max_size=80))
@@ -369,7 +373,7 @@
         facts |= {"egress_rate_entries_per_s": 1e6, "egress_queue_limit_entries": 1e6, "message_quota": 0}
         settings = Settings(**(FACTS | facts))
         self.controller = Controller(settings, 7, lambda settings, seed: self.decider, NOW, SafetyRules())
-        self.front = Front(self.controller, settings, PLUMBING | plumbing, 7)
+        self.front = DnsFrontend(self.controller, settings, DnsSettings.from_block(PLUMBING | plumbing), 7)
         self.front.start(NOW)
         self.events = []
 
@@ -387,11 +391,13 @@
         for _ in range(2):
             turn = self.controller.run_round(self.now)
             self.events += turn.log_events
-            self.front.turn(turn, self.now)
+            self.front.publish(turn, self.now)
             self.now += S // 100
 
     def answer(self, name=SRV, kind="SRV", view="east"):
-        return dns.message.from_wire(self.front.stream(ask(name, kind), "127.0.0.1", view, self.now)[0])
+        return dns.message.from_wire(
+            self.front.queries.answer_stream(ask(name, kind), "127.0.0.1", view, self.now)[0]
+        )
 
     def targets(self, view="east"):
         return {str(r.target).partition(".")[0] for made in self.answer(view=view).answer for r in made}
@@ -447,11 +453,11 @@
     assert applied(world.controller) == []
     assert not world.controller.deliveries.is_up_to_date("dns/east")
     ttl = world.front.ttl_policy.limit_s * S
-    world.turn(wait=(given + ttl + SLACK - world.now) / S - 0.1)
+    world.turn(wait=(given + ttl + DELIVERY_ALLOWANCE_NS - world.now) / S - 0.1)
     assert applied(world.controller) == []
     world.controller.runner.pending_events.clear()
     world.now += S // 10
-    world.front.turn(world.controller.run_round(world.now), world.now)
+    world.front.publish(world.controller.run_round(world.now), world.now)
     assert [(p, seal) for p, seal, _ in applied(world.controller)] == [("dns/east", 2)]
     assert world.controller.deliveries.is_up_to_date("dns/east")
 
@@ -478,7 +484,7 @@
     assert len(world.targets()) == 3
     world.listed("10.0.0.1:80", state="draining")
     turn = world.controller.run_round(world.now)  # the module has ordered nothing yet
-    world.front.turn(turn, world.now)
+    world.front.publish(turn, world.now)
     assert world.targets() == {"ip-10-0-0-2", "ip-10-0-0-3"}
     assert world.answer("ip-10-0-0-1.lots.example.", "A").rcode() == dns.rcode.NXDOMAIN
 
@@ -502,7 +508,7 @@
     world.turn(("set_weight", 1, "10.0.0.1:80", 2.0))
     assert world.answer(ORIGIN, "SOA").answer[0][0].serial > first
     later = World()
-    later.front.offset = 5_000_000 * S
+    later.front.wall_clock_offset_ns = 5_000_000 * S
     later.listed("10.0.0.1:80")
     later.turn(("set_weight", 1, "10.0.0.1:80", 1.0), ("assign_table", "dns/east", 1, 0))
     assert later.answer(ORIGIN, "SOA").answer[0][0].serial >= 5_000_000
@@ -516,12 +522,12 @@
 
     def seen(subnet):
         query = ask(SRV, size=1232, options=[dns.edns.ECSOption(subnet, 24)])
-        return dns.message.from_wire(made.front.datagram(query, "127.0.0.1", "east", made.now))
+        return dns.message.from_wire(made.front.queries.answer_datagram(query, "127.0.0.1", "east", made.now))
 
     assert "ip-10-0-0-2" in str(seen("10.1.7.0").answer[0])
     assert seen("10.1.7.0").options[0].scopelen == 24
     assert "ip-10-0-0-1" in str(seen("10.2.7.0").answer[0])
-    made.front.subnets = []
+    made.front.queries.subnets = []
     assert not seen("10.1.7.0").options  # not heeded, not echoed
 
 
@@ -529,14 +535,14 @@
     world.decider.writes = [("set_weight", 1, "10.0.0.1:80", 5.0, "too many")]
     world.controller.runner.pending_events.append(TimerFired(0))
     for _ in range(3):
-        world.front.turn(world.controller.run_round(world.now), world.now)
+        world.front.publish(world.controller.run_round(world.now), world.now)
     assert len(world.targets()) == 3
 
 
 def test_a_view_without_room_in_the_channel_joins_anew_and_serves_on(world):
     turn = world.controller.run_round(world.now)
     turn.overflowed_proxies.append("dns/east")
-    world.front.turn(turn, world.now)
+    world.front.publish(turn, world.now)
     calls = [(type(event), event.proxy) for event in world.controller.runner.pending_events]
     assert calls == [(ProxyDisconnected, "dns/east"), (ProxyConnected, "dns/east")]
     assert len(world.targets()) == 3
@@ -557,7 +563,7 @@
 def fetch(world, zone, serial=0, tcp=True, source="127.0.0.1"):
     """A transfer by the library's own client; raises what it finds wrong."""
     query, since = dns.xfr.make_query(zone, serial=serial)
-    send = world.front.stream if tcp else world.front.datagram
+    send = world.front.queries.answer_stream if tcp else world.front.queries.answer_datagram
     replies = send(query.to_wire(), source, "east", world.now)
     rdtype = query.question[0].rdtype
     with dns.xfr.Inbound(zone, rdtype, since, is_udp=not tcp) as inbound:
@@ -615,12 +621,18 @@
 def test_a_transfer_by_datagram_is_the_soa_alone_if_it_is_too_large_and_others_are_refused(world):
     query = dns.message.make_query(ORIGIN, "IXFR")
     query.authority = [dns.rrset.from_text(ORIGIN, 0, "IN", "SOA", "ns. h. 1 1 1 1 1")]
-    reply = dns.message.from_wire(world.front.datagram(query.to_wire(), "127.0.0.1", "east", world.now))
+    reply = dns.message.from_wire(
+        world.front.queries.answer_datagram(query.to_wire(), "127.0.0.1", "east", world.now)
+    )
     assert [r.rdtype for r in reply.answer] == [dns.rdatatype.SOA]
     for source, view in (("10.0.0.9", "east"), ("127.0.0.1", "west")):
-        reply = dns.message.from_wire(world.front.stream(ask(ORIGIN, "AXFR"), source, view, world.now)[0])
+        reply = dns.message.from_wire(
+            world.front.queries.answer_stream(ask(ORIGIN, "AXFR"), source, view, world.now)[0]
+        )
         assert reply.rcode() == dns.rcode.REFUSED
-    reply = dns.message.from_wire(world.front.datagram(ask(ORIGIN, "AXFR"), "127.0.0.1", "east", world.now))
+    reply = dns.message.from_wire(
+        world.front.queries.answer_datagram(ask(ORIGIN, "AXFR"), "127.0.0.1", "east", world.now)
+    )
     assert reply.rcode() == dns.rcode.FORMERR
 
 
@@ -645,19 +657,19 @@
 
 
 def test_notifies_are_repeated_within_a_limit_until_they_are_answered():
-    made = Secondaries([("east", ("127.0.0.1", 53))], dns.name.from_text(ORIGIN), 30 * S, 2 * S, 7)
-    made.changed(5, NOW)
+    made = SecondaryServers([("east", ("127.0.0.1", 53))], dns.name.from_text(ORIGIN), 30 * S, 2 * S, 7)
+    made.on_serial_changed(5, NOW)
     sent, at = [], NOW
     for _ in range(20):
-        sent += made.take(at)
-        at = made.due or at
-    assert len(sent) == TRIES
-    assert made.lost == 1
-    message = dns.message.from_wire(sent[0][1])
+        sent += made.due_notifies(at)
+        at = made.notify_due_ns or at
+    assert len(sent) == MAX_NOTIFY_ATTEMPTS
+    assert made.unanswered_notifies == 1
+    message = dns.message.from_wire(sent[0].data)
     assert (message.opcode(), message.question[0].rdtype) == (dns.opcode.NOTIFY, dns.rdatatype.SOA)
-    made.changed(6, NOW)
-    ((_, data),) = made.take(NOW)
-    made.answered("127.0.0.2", dns.message.make_response(dns.message.from_wire(data)).to_wire())
-    assert made.due is not None  # another host's word
-    made.answered("127.0.0.1", dns.message.make_response(dns.message.from_wire(data)).to_wire())
-    assert made.due is None
+    made.on_serial_changed(6, NOW)
+    (notify,) = made.due_notifies(NOW)
+    made.on_notify_reply("127.0.0.2", dns.message.make_response(dns.message.from_wire(notify.data)).to_wire())
+    assert made.notify_due_ns is not None  # another host's word
+    made.on_notify_reply("127.0.0.1", dns.message.make_response(dns.message.from_wire(notify.data)).to_wire())
+    assert made.notify_due_ns is None
--- a/tests/dns/test_server.py
+++ b/tests/dns/test_server.py
@@ -236,7 +236,7 @@
             drips = []
             for _ in range(1000):
                 drips.append(await asyncio.open_connection(*world.at["north"]))
-            assert len(world.service.dns_server.streams) <= 20
+            assert len(world.service.dns_server.connections) <= 20
             for byte in b"\0\x1eabcdef":  # a byte now and then is no message
                 for _, writer in drips[-20:]:
                     if not writer.is_closing():
@@ -246,7 +246,7 @@
             assert (
                 world.service.dns_server.closed["streams_idle"] >= 10
             )  # my own streams took the place of others
-            assert len(world.service.dns_server.streams) <= 1
+            assert len(world.service.dns_server.connections) <= 1
             assert await drips[0][0].read() == b""
             reader, writer = await asyncio.open_connection(*world.at["north"])
             writer.write(b"\0\0")  # a message of nothing
@@ -264,10 +264,10 @@
             await world.until(lambda r: len(targets(r)) == 200)
             _, writer = await asyncio.open_connection(*world.at["north"], limit=1024)
             query = dns.message.make_query(SRV, "SRV").to_wire()
-            before = world.service.dns_server.front.counts["queries"]
+            before = world.service.dns_server.frontend.queries.counts["queries"]
             writer.write((len(query).to_bytes(2, "big") + query) * 4000)
             await asyncio.sleep(0.5)
-            answered = world.service.dns_server.front.counts["queries"] - before
+            answered = world.service.dns_server.frontend.queries.counts["queries"] - before
             assert 10 < answered < 2000
             assert len(targets(await world.ask(tcp=True))) == 200
             writer.transport.abort()
