--- a/swiftchute/versions/canary.py
+++ b/swiftchute/versions/canary.py
@@ -54,8 +54,6 @@
     ) -> bool:
         """Process a change of a table's weights that may be delayed for some proxies.
 
-        A change within a trial goes to the proxies on the canary alone; a large one restarts its time.
-
         Args:
             table: Name of the table.
             before: Weights before the change.
@@ -70,8 +68,8 @@
             Whether a trial is open now.
         """
         trial = self.open_trials.get(table)
-        held_weights = trial.baseline_weights if trial else before
-        baseline = {endpoint: weight for endpoint, weight in held_weights.items() if endpoint in starts}
+        held = trial.baseline_weights if trial else before
+        baseline = {endpoint: weight for endpoint, weight in held.items() if endpoint in starts}
         old_shares, new_shares = weight_shares(baseline), weight_shares(after)
         if _lowers_any(warming_up, old_shares, new_shares):
             self.close(table)  # a slow-start limit may need it: it must not wait
@@ -96,6 +94,7 @@
     def _change_trial(
         self, trial: Trial, old_shares: dict[str, float], new_shares: dict[str, float], version: bytes
     ) -> None:
+        """Give the proxies on the canary another change; a large one restarts its time."""
         if moved_fraction(trial.shares, new_shares) >= self.limits.min_moved_fraction:
             trial.restart(new_shares)
         trial.version = version
