--- a/swiftchute/daemon/service.py
+++ b/swiftchute/daemon/service.py
@@ -115,7 +115,7 @@
             commands = AdminCommands(self.controller, self.clock, self.scheduler.request_round)
             self.admin_server = AdminServer(config.control, commands.by_name())
         self.source = self._make_source()
-        self.stop = asyncio.Event()
+        self.stop_requested = asyncio.Event()
         self.fatal_error: Exception | None = None
         self.address: tuple[str, int] | None = None
         self._reported_drops, self._next_drop_report_ns = self._drop_totals(), 0
@@ -126,11 +126,11 @@
         Raises `ListenError`, or the error that ended a round.
         """
         for number in (signal.SIGTERM, signal.SIGINT) if signals else ():
-            asyncio.get_running_loop().add_signal_handler(number, self.stop.set)
+            asyncio.get_running_loop().add_signal_handler(number, self.stop_requested.set)
         self.address = await self._start_servers()
         source = asyncio.ensure_future(self.source.run())
         self.log.info("serving", address=f"{self.address[0]}:{self.address[1]}")
-        stopped = asyncio.ensure_future(self.stop.wait())
+        stopped = asyncio.ensure_future(self.stop_requested.wait())
         try:
             if self.admin_server is not None:
                 try:
@@ -234,7 +234,7 @@
             # A fault of the program itself, not of the policy: its state may be inconsistent, so the process
             # ends with an error and is started anew. Proxies keep their tables meanwhile.
             self.fatal_error = error
-            self.stop.set()
+            self.stop_requested.set()
             raise
         deadline_ns = self.controller.next_deadline_ns
         if self.dns_server is not None:
--- a/tests/admin/test_server.py
+++ b/tests/admin/test_server.py
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize("cut", range(1, 40))
-def test_a_request_cut_anywhere_is_whole_at_its_end(cut):
+def test_a_request_in_two_pieces_is_complete_with_the_second(cut):
     session, data = protocol.RequestParser(), protocol.encode_request("add", a=1, b=2)
     found = session.feed(data[:cut]) + session.feed(data[cut:])
     assert [(r.command, r.arguments) for r in found] == [("add", {"a": 1, "b": 2})]
@@ -62,7 +62,7 @@
         protocol.RequestParser().feed(data)
 
 
-def test_a_line_past_the_bound_ends_the_session():
+def test_a_line_over_the_limit_is_an_error():
     session = protocol.RequestParser(max_line_bytes=100)
     with pytest.raises(RequestError, match="more than 100 bytes"):
         session.feed(b"x" * 101)
@@ -110,7 +110,7 @@
     served(play)
 
 
-def test_a_socket_left_by_a_killed_planner_is_taken_over_and_a_living_ones_is_not(served, tmp_path):
+def test_a_stale_socket_is_replaced_and_one_in_use_is_not(served, tmp_path):
     with socket.socket(socket.AF_UNIX) as left:
         left.bind(served.path)  # closed without unlink, as a kill leaves it
 
@@ -125,7 +125,7 @@
         served(play)
 
 
-def test_explain_of_a_planner_that_is_not_there_or_has_no_socket(tmp_path):
+def test_explain_fails_without_a_running_instance_or_a_socket(tmp_path):
     with open("examples/planner.hcl", encoding="utf-8") as source:
         text = source.read()
     path = tmp_path / "p.hcl"
@@ -137,7 +137,7 @@
     assert (result.exit_code, "control.socket: missing" in result.stderr) == (2, True)
 
 
-def test_explain_says_which_rule_holds_which_line(served, tmp_path, controller_with_warming_endpoint):
+def test_explain_names_the_rule_that_changes_an_entry(served, tmp_path, controller_with_warming_endpoint):
     controller, now, cold = controller_with_warming_endpoint
 
     async def play(control):
@@ -169,7 +169,7 @@
     )
 
 
-def test_staff_look_at_versions_and_go_back(served, tmp_path, controller_with_warming_endpoint):
+def test_operators_list_compare_and_roll_back_versions(served, tmp_path, controller_with_warming_endpoint):
     controller, now, cold = controller_with_warming_endpoint
     controller.run_round(now + 2 * 10**9)
     kicked = []
