--- a/benchmarks/taps.py
+++ b/benchmarks/taps.py
@@ -20,8 +20,8 @@
 from swiftchute.controller.controller import Controller
 from swiftchute.discovery.endpoint_list import EndpointListChange
 from swiftchute.policy import Reconciler
-from swiftchute.safety.validator import LATE, SafetyRules
-from swiftchute.simulator.host import Host
+from swiftchute.safety.proposal import Rule, SafetyRules
+from swiftchute.simulator.host import SimulatorHost
 
 S = 1_000_000_000
 
@@ -101,13 +101,13 @@
             if t.weights.get(n, 0) > were.get(number, {}).get(n, 0)
         }
         for rule in (
-            {r.rule for r in controller.publish_gate.refusals} - {LATE}
+            {r.rule for r in controller.publish_gate.violations} - {Rule.STALE_LIST}
             if now == controller.last_review_ns
             else ()
         ):
             ordered = moved and any(
-                r.rule == rule and (not r.servers or raised & set(r.servers))
-                for r in controller.publish_gate.refusals
+                r.rule == rule and (not r.endpoints or raised & set(r.endpoints))
+                for r in controller.publish_gate.violations
             )
             self.stood[rule, ordered] += 1
         for event, fields in turn.log_events:
@@ -123,13 +123,13 @@
     """One recording: what was found, and how many replies differed from the recorded ones."""
     Played.made = []
     # as the module's adapter is seeded: the maker is given settings and seed alone
-    host, differ, asked = Host(Played, sys.stderr), 0, None
+    host, differ, asked = SimulatorHost(Played, sys.stderr), 0, None
     with open(path, "rb") as tap:
         for number, text in enumerate(tap, 1):
             if text[:2] in (b">>", b"<<"):
                 way = text[:2]
             elif way == b">>":
-                asked = host.batch(text, number)
+                asked = host.answer(text, number)
             elif json.loads(asked) != json.loads(text):
                 differ += 1
     return Played.made, differ
--- a/swiftchute/cli/versions.py
+++ b/swiftchute/cli/versions.py
@@ -146,11 +146,12 @@
 def model(proxies: int, versions: int, channel: int, most: int, bug: str | None) -> None:
     """Explore how tables are kept in step, every interleaving of loss, doubling, reordering and restarts."""
     from swiftchute.versions import model_checker
+    from swiftchute.versions.known_bugs import KNOWN_BUGS
 
-    if bug is not None and bug not in model_checker.KNOWN_BUGS:
-        click.echo("\n".join(model_checker.KNOWN_BUGS), err=bug != "list")
+    if bug is not None and bug not in KNOWN_BUGS:
+        click.echo("\n".join(KNOWN_BUGS), err=bug != "list")
         sys.exit(0 if bug == "list" else EXIT_USAGE)
-    sides = model_checker.KNOWN_BUGS[bug] if bug else (model_checker.Sender, model_checker.Receiver)
+    sides = KNOWN_BUGS[bug] if bug else ()
     explored = model_checker.explore(model_checker.Model(proxies, versions, channel, *sides), most)
     outcome = explored.broken or "no invariant is broken"
     click.echo(f"{explored.states} states, {explored.steps} steps: {outcome}")
--- a/swiftchute/controller/endpoint_directory.py
+++ b/swiftchute/controller/endpoint_directory.py
@@ -4,7 +4,7 @@
 
 from swiftchute.api.endpoints import EndpointRecord, EndpointState
 from swiftchute.discovery.endpoint_list import EndpointListChange
-from swiftchute.safety.validator import EndpointStatus
+from swiftchute.safety.proposal import EndpointStatus
 
 MAX_ENDPOINTS = 200_000  # removed ones among them; past it those are forgotten
 
@@ -23,7 +23,7 @@
         """Take over a change of the endpoint list."""
         self.change_count += 1
         unavailable = set(self.unavailable)
-        for record in change.entries:
+        for record in change.endpoints:
             self._remember(record)
             if self._is_unavailable(record):
                 unavailable.add(record.endpoint)
@@ -40,7 +40,7 @@
     def start_times(self, ejected: Collection[str]) -> dict[str, int]:
         """Return when each endpoint started that is ready and not ejected."""
         return {
-            name: status.started
+            name: status.started_ns
             for name, status in self.statuses.items()
             if status.state == "ready" and name not in ejected
         }
@@ -51,7 +51,7 @@
         return frozenset(
             name
             for name, status in self.statuses.items()
-            if status.started > since and status.started and status.state == "ready"
+            if status.started_ns > since and status.started_ns and status.state == "ready"
         )
 
     def zone_of(self, endpoint: str) -> str:
--- a/swiftchute/daemon/commands.py
+++ b/swiftchute/daemon/commands.py
@@ -5,12 +5,18 @@
 from typing import Any
 
 from swiftchute.admin.errors import CommandRejectedError
-from swiftchute.controller.change_causes import ChangeCause
 from swiftchute.controller.controller import Controller
 from swiftchute.controller.version_control import short_version
-from swiftchute.versions.encoding import ADMISSION_RATE_SCALE, WEIGHT_SCALE, Table, diff, encode
-from swiftchute.versions.history import UnknownVersionError, VersionChange
-from swiftchute.versions.pinning import PinError
+from swiftchute.versions.encoding import (
+    ADMISSION_RATE_SCALE,
+    WEIGHT_SCALE,
+    Table,
+    TableEntry,
+    encode,
+    make_delta,
+)
+from swiftchute.versions.errors import PinError, UnknownVersionError
+from swiftchute.versions.table_log import ChangeCause, VersionChange
 
 NS_PER_S = 1_000_000_000
 MAX_LOG_ROWS = 1000
@@ -59,7 +65,7 @@
 
     def log(self, table: str | None = None, most: int = 20) -> list[dict[str, Any]]:
         """Return the last `most` changes, newest first."""
-        changes = self.controller.history.log(table, min(int(most), MAX_LOG_ROWS))
+        changes = self.controller.history.changes(table, min(int(most), MAX_LOG_ROWS))
         return [self._change_row(change) for change in changes]
 
     def show(self, table: str, version: str = "~0") -> dict[str, Any]:
@@ -67,10 +73,10 @@
         change, content = self._find(table, version)
         return self._change_row(change) | {
             "levels": [
-                [operation, rate / ADMISSION_RATE_SCALE, retry_policy]
-                for operation, rate, retry_policy in content.levels
+                [row.operation, row.rate_millionths / ADMISSION_RATE_SCALE, row.retry_policy]
+                for row in content.admission
             ],
-            "lines": [[endpoint, zone, units / WEIGHT_SCALE] for endpoint, zone, units in content.lines],
+            "lines": [[entry.endpoint, entry.zone, _weight(entry)] for entry in content.entries],
             "pinned": self._pin_row(table),
             "ordered": self.controller.commanded_weights(table),
         }
@@ -78,17 +84,19 @@
     def diff(self, table: str, before: str, after: str) -> dict[str, Any]:
         """Return what changed from one version to another."""
         (old_change, old), (new_change, new) = self._find(table, before), self._find(table, after)
-        delta = diff(old, new)
-        old_weights = {endpoint: units / WEIGHT_SCALE for endpoint, _, units in old.lines}
+        delta = make_delta(old, new)
+        old_weights = {entry.endpoint: _weight(entry) for entry in old.entries}
         changed = [
-            [endpoint, old_weights.get(endpoint), units / WEIGHT_SCALE] for endpoint, _, units in delta.put
+            [entry.endpoint, old_weights.get(entry.endpoint), _weight(entry)] for entry in delta.changed
         ]
-        removed = [[endpoint, old_weights[endpoint], None] for endpoint in delta.gone]
+        removed = [[endpoint, old_weights[endpoint], None] for endpoint in delta.removed]
         return {
             "before": old_change.version.hex(),
             "after": new_change.version.hex(),
             "lines": changed + removed,
-            "levels": None if delta.levels is None else {"before": old.levels, "after": new.levels},
+            "levels": None
+            if delta.admission is None
+            else {"before": _admission_rows(old), "after": _admission_rows(new)},
             "bytes": len(encode(delta)),
             "whole": len(encode(new)),
         }
@@ -120,38 +128,38 @@
 
     def _find(self, table: str, version: str) -> tuple[VersionChange, Table]:
         change = self.controller.history.find(table, version)
-        content = self.controller.history.get(change.version)
+        content = self.controller.history.content(change.version)
         if content is None:
             raise CommandRejectedError(f"version {short_version(change.version)} is no longer kept")
         return change, content
 
     def _change_row(self, change: VersionChange) -> dict[str, Any]:
-        states = self.controller.deliveries.states(change.table)
+        states = self.controller.deliveries.holder_counts(change.table)
         acknowledged, under_way = states.get(change.version, (0, 0))
         return {
             "table": change.table,
             "serial": change.serial,
             "version": change.version.hex(),
             "parent": change.parent.hex() if change.parent else None,
-            "at": time.time() + (change.at - self.clock()) / NS_PER_S,
+            "at": time.time() + (change.recorded_at_ns - self.clock()) / NS_PER_S,
             "cause": change.cause,
-            "planner": change.planner,
-            "put": change.put,
-            "gone": change.gone,
-            "newest": self.controller.history.current(change.table) == change,
+            "planner": change.instance,
+            "put": change.changed_count,
+            "gone": change.removed_count,
+            "newest": self.controller.history.newest_change(change.table) == change,
             "acknowledged": acknowledged,
             "under_way": under_way,
         }
 
     def _pin_row(self, table: str) -> dict[str, Any] | None:
-        pin = self.controller.pins.by.get(table)
+        pin = self.controller.pins.by_table.get(table)
         if pin is None:
             return None
         return {
             "version": pin.change.version.hex(),
             "cause": pin.cause,
-            "levels": pin.levels,
-            "seconds": round((pin.until - self.clock()) / NS_PER_S, 1),
+            "levels": pin.pins_admission,
+            "seconds": round((pin.until_ns - self.clock()) / NS_PER_S, 1),
         }
 
 
@@ -163,3 +171,11 @@
             raise CommandRejectedError(str(error)) from None
 
     return run
+
+
+def _weight(entry: TableEntry) -> float:
+    return entry.weight_units / WEIGHT_SCALE
+
+
+def _admission_rows(table: Table) -> list[tuple[str, int, int]]:
+    return [(row.operation, row.rate_millionths, row.retry_policy) for row in table.admission]
--- a/tests/controller/test_deliveries.py
+++ b/tests/controller/test_deliveries.py
@@ -13,7 +13,7 @@
     warming = frozenset({"a"})
 
     def share():
-        return controller.deliveries.pending("p", ["read"], warming, lambda proxy: 1.0)
+        return controller.deliveries.pending_shares("p", ["read"], warming, lambda proxy: 1.0)
 
     controller.on_fully_acknowledged("p", 1001 * NS_PER_S)
     assert share() == ((1.0, {"a": pytest.approx(1 / 3)}),)
@@ -31,7 +31,7 @@
     content = {"t": TableContent((TableEntry("a", "east", 1.0),), ())}
     sent = [ProxyTables((("read", "t"),), content) for _ in range(30)]
     for tables in sent:
-        tracker.pushed("p", tables)
-    assert len(tracker.by["p"]) == 8
-    assert tracker.by["p"][0] is sent[0]
-    assert tracker.by["p"][-1] is sent[-1]
+        tracker.on_pushed("p", tables)
+    assert len(tracker.holdings_by_proxy["p"]) == 8
+    assert tracker.holdings_by_proxy["p"][0] is sent[0]
+    assert tracker.holdings_by_proxy["p"][-1] is sent[-1]
--- a/tests/controller/test_safety_review.py
+++ b/tests/controller/test_safety_review.py
@@ -5,7 +5,7 @@
 from swiftchute.api.events import DemandReport, EndpointLoadReport, PushAcknowledged
 from swiftchute.controller.controller import Controller
 from swiftchute.discovery.endpoint_list import EndpointListChange
-from swiftchute.safety.validator import SafetyRules
+from swiftchute.safety.proposal import SafetyRules
 from tests.support.controller import (
     NS_PER_S,
     SETTINGS,
