--- a/swiftchute/fakes/backend.py
+++ b/swiftchute/fakes/backend.py
@@ -141,7 +141,7 @@
         previous_host, _, port = self.address.rpartition(":")
         self.server = AbortableServer([self], codec=RawCodec())
         await self.server.start(previous_host or host, int(port or 0), reuse_address=True)
-        self.address = "{}:{}".format(*self.server._server.sockets[0].getsockname()[:2])
+        self.address = "{}:{}".format(*self.server.address)
         self._cores = asyncio.Semaphore(self.profile.cores)
         self.started_at_s = time.monotonic() if warm_up else None
         self.behaviour = Behaviour.NORMAL
@@ -153,16 +153,15 @@
         """Close the socket and break all connections."""
         if self.server is not None:
             server, self.server = self.server, None
-            server._server.close()
+            server.close_listener()
             server.abort_connections()
             server.close()
 
     def stop_reading(self) -> None:
         """Read nothing more on open connections, and answer nothing on new ones."""
         self.behaviour = Behaviour.HANG
-        for protocol in list(self.server.made) if self.server is not None else ():
-            if protocol.connection is not None and not protocol.connection.is_closing():
-                protocol.connection._transport.pause_reading()
+        if self.server is not None:
+            self.server.pause_reading()
 
     def pause(self, duration_s: float) -> None:
         """Let all work that runs stop for so long."""
--- a/swiftchute/platform/session_manager.py
+++ b/swiftchute/platform/session_manager.py
@@ -131,6 +131,7 @@
         self.statistics.malformed += 1
         count = self.statistics.malformed
         if count <= MAX_LOGGED_MALFORMED or not count % MALFORMED_LOG_STEP:
+            sender: dict[str, int | str | None]
             if session.proxy is not None:
                 sender = {"proxy": session.proxy}
             else:
--- a/swiftchute/platform/wire_messages.py
+++ b/swiftchute/platform/wire_messages.py
@@ -24,17 +24,17 @@
     """Base class of messages that arrive; fields that this program does not know are ignored."""
 
 
-class LivenessProbe(_Message, tag="probe"):
+class LivenessProbe(_Message, tag="probe", frozen=True):
     """Asks for a sign of life."""
 
 
-class CollectorHello(_Message, tag="agent"):
+class CollectorHello(_Message, tag="agent", frozen=True):
     """A collector of load reports states its zone."""
 
     zone: Name
 
 
-class ProxyHello(_Message, tag="hello"):
+class ProxyHello(_Message, tag="hello", frozen=True):
     """A proxy connects."""
 
     proxy: Count
@@ -43,7 +43,7 @@
     fresh: bool  # the proxy holds no tables of an earlier session
 
 
-class Acknowledgement(_Message, tag="ack"):
+class Acknowledgement(_Message, tag="ack", frozen=True):
     """A proxy has applied all messages up to the one with this nonce."""
 
     proxy: Count
@@ -51,7 +51,7 @@
     latency_ms: Amount = msgspec.field(name="took_ms")
 
 
-class EndpointOutcomes(_Message, tag="outcomes"):
+class EndpointOutcomes(_Message, tag="outcomes", frozen=True):
     """Attempts that the proxies of a zone made at an endpoint within a window."""
 
     zone: Name
@@ -63,7 +63,7 @@
     load: dict[str, float] | None = None  # figures that the endpoint reports of itself
 
 
-class ProxyDemand(_Message, tag="demand"):
+class ProxyDemand(_Message, tag="demand", frozen=True):
     """Requests for an operation that arrived at a proxy within a window."""
 
     proxy: Count
--- a/swiftchute/proxy/http2_connection.py
+++ b/swiftchute/proxy/http2_connection.py
@@ -193,10 +193,10 @@
             case h2.events.StreamReset():
                 self._partial_messages.pop(h2_event.stream_id, None)
                 self._unsent_bodies.pop(h2_event.stream_id, None)
-                events.append(StreamReset(h2_event.stream_id, int(h2_event.error_code)))
+                events.append(StreamReset(h2_event.stream_id, int(h2_event.error_code or 0)))
             case h2.events.ConnectionTerminated():
                 self.closing = True
-                events.append(GoAway(h2_event.last_stream_id or 0, int(h2_event.error_code)))
+                events.append(GoAway(h2_event.last_stream_id or 0, int(h2_event.error_code or 0)))
             case h2.events.PingAckReceived():
                 events.append(PingAcknowledged())
 
--- a/swiftchute/safety/rules/zone_limits.py
+++ b/swiftchute/safety/rules/zone_limits.py
@@ -9,6 +9,7 @@
 """
 
 from collections import defaultdict
+from collections.abc import Mapping
 from dataclasses import dataclass, field
 
 from swiftchute.safety.proposal import Rule
@@ -86,7 +87,7 @@
     return change
 
 
-def _usable_weights(weights: dict[str, float], usable: set[str]) -> dict[str, float]:
+def _usable_weights(weights: Mapping[str, float], usable: set[str]) -> dict[str, float]:
     """Return the weights of usable endpoints: what a closed one loses is not a change by choice."""
     return {endpoint: weight for endpoint, weight in weights.items() if endpoint in usable}
 
--- a/swiftchute/versions/delivery.py
+++ b/swiftchute/versions/delivery.py
@@ -21,8 +21,10 @@
 
 
 class Content(Protocol):
-    """The content of a table: entries (endpoint, zone, weight), and by operation its admission rate and retry
-    policy."""
+    """The content of a table.
+
+    Entries (endpoint, zone, weight), and by operation its admission rate and retry policy.
+    """
 
     version: bytes
     entries: tuple[tuple[str, str, float], ...]
@@ -32,8 +34,13 @@
 class Holding(Protocol):
     """What a proxy holds: (operation, table name) pairs, and the tables' contents by name."""
 
-    tables_by_operation: tuple[tuple[str, str], ...]
-    contents: dict[str, Any]
+    @property
+    def tables_by_operation(self) -> tuple[tuple[str, str], ...]:
+        """Pairs of operation and table name."""
+
+    @property
+    def contents(self) -> Mapping[str, Any]:
+        """The tables' contents by name."""
 
 
 class HolderCount(NamedTuple):
--- a/swiftchute/versions/model_checker.py
+++ b/swiftchute/versions/model_checker.py
@@ -140,6 +140,11 @@
     apply: Callable[[ProxyState], None]
 
 
+def _bind(method: Callable[..., None], *arguments: Any) -> Callable[[ProxyState], None]:
+    """Return a call of a method of a proxy's state with these arguments."""
+    return lambda proxy: method(proxy, *arguments)
+
+
 class Step(NamedTuple):
     """A state that may follow another: a text for the trace, and the state."""
 
@@ -245,23 +250,21 @@
         for place, message in enumerate(proxy.messages):
             kind = "whole" if isinstance(message.update, Table) else "delta"
             name = f"{kind} {message.number}"
-            yield Action(f"{name} is lost", lambda own, place=place: own.drop_message(place))
+            yield Action(f"{name} is lost", _bind(ProxyState.drop_message, place))
             if len(proxy.responses) < self.channel_capacity:
-                yield Action(f"{name} arrives", lambda own, place=place: own.deliver_message(place, False))
+                yield Action(f"{name} arrives", _bind(ProxyState.deliver_message, place, False))
                 yield Action(
                     f"{name} arrives, and will again",
-                    lambda own, place=place: own.deliver_message(place, True),
+                    _bind(ProxyState.deliver_message, place, True),
                 )
 
     @staticmethod
     def _response_actions(proxy: ProxyState) -> Iterator[Action]:
         for place, response in enumerate(proxy.responses):
             name = f"answer {response.number}"
-            yield Action(f"{name} is lost", lambda own, place=place: own.drop_response(place))
-            yield Action(f"{name} arrives", lambda own, place=place: own.deliver_response(place, False))
-            yield Action(
-                f"{name} arrives, and will again", lambda own, place=place: own.deliver_response(place, True)
-            )
+            yield Action(f"{name} is lost", _bind(ProxyState.drop_response, place))
+            yield Action(f"{name} arrives", _bind(ProxyState.deliver_response, place, False))
+            yield Action(f"{name} arrives, and will again", _bind(ProxyState.deliver_response, place, True))
 
     def _restart_sender(self, proxy: ProxyState) -> None:
         """Restart the control plane: it has its tables, and knows of the proxy only what that says."""
--- a/swiftchute/xds/grpc_transport.py
+++ b/swiftchute/xds/grpc_transport.py
@@ -87,9 +87,21 @@
 
     def abort_connections(self) -> None:
         """Abort all open connections, as the death of a process would."""
-        for protocol in self._protocols:
-            if protocol.connection is not None and not protocol.connection.is_closing():
-                protocol.connection._transport.abort()
+        for transport in self._open_transports():
+            transport.abort()
+
+    def pause_reading(self) -> None:
+        """Read nothing more from the open connections."""
+        for transport in self._open_transports():
+            transport.pause_reading()
+
+    def close_listener(self) -> None:
+        """Stop listening; open connections stay."""
+        cast(asyncio.Server, self._server).close()
+
+    def _open_transports(self) -> list[asyncio.Transport]:
+        connections = [protocol.connection for protocol in self._protocols]
+        return [made._transport for made in connections if made is not None and not made.is_closing()]
 
 
 def _is_open(protocol: Any) -> bool:
