--- /dev/null
+++ b/tests/test_architecture.py
@@ -0,0 +1,59 @@
+"""Imports go down only and form no circle, as docs/architecture.md says."""
+
+import ast
+from graphlib import TopologicalSorter
+from pathlib import Path
+
+ROOT = Path(__file__).parent.parent
+# From the lowest layer up: a package imports only packages that stand before it.
+LAYERS = (
+    "api", "policy", "discovery", "safety", "versions", "controller", "simulator", "xds", "dns", "proxy",
+    "admin",
+    "platform", "observability", "config", "daemon", "fakes", "drill", "cli", "__main__",
+)  # fmt: skip
+
+
+def module_name(path):
+    parts = path.relative_to(ROOT).with_suffix("").parts
+    return ".".join(parts[:-1] if parts[-1] == "__init__" else parts)
+
+
+def imported_names(path):
+    for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
+        if isinstance(node, ast.ImportFrom) and (node.module or "").startswith("swiftchute"):
+            for alias in node.names:
+                yield node.module, alias.name
+
+
+def import_graph():
+    """Each module of the program with the modules that it imports."""
+    paths = {module_name(path): path for path in (ROOT / "swiftchute").rglob("*.py")}
+    graph = {}
+    for module, path in paths.items():
+        found = (
+            f"{parent}.{name}" if f"{parent}.{name}" in paths else parent
+            for parent, name in imported_names(path)
+        )
+        graph[module] = set(found) - {module}
+    return graph
+
+
+def package(module):
+    return module.split(".")[1] if "." in module else ""
+
+
+def test_imports_form_no_circle():
+    graph = import_graph()
+    assert len(graph) > 100
+    TopologicalSorter(graph).prepare()  # raises CycleError with the circle
+
+
+def test_packages_import_only_lower_layers():
+    upward = [
+        f"{module} imports {imported}"
+        for module, targets in import_graph().items()
+        for imported in targets
+        if package(module) and package(imported) and package(module) != package(imported)
+        and LAYERS.index(package(imported)) > LAYERS.index(package(module))
+    ]  # fmt: skip
+    assert upward == []
