--- a/swiftchute/proxy/request.py
+++ b/swiftchute/proxy/request.py
@@ -18,6 +18,7 @@
 from collections import Counter
 from collections.abc import Mapping
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from swiftchute.proxy.admission import AdmissionControl
 from swiftchute.proxy.endpoint_table import EndpointTable
@@ -31,22 +32,21 @@
 DEFAULT_REQUEST_TIMEOUT_NS = 15 * NS_PER_S  # where neither the settings nor the route have one
 
 
-@dataclass(frozen=True)
+@dataclass(frozen=True, slots=True)
 class Rejection:
     """A request that is answered at once, and why."""
 
     cause: RequestResult
 
 
-@dataclass(frozen=True)
-class Attempt:
+class Attempt(NamedTuple):
     """The endpoint of an attempt, and when the attempt ends at the latest."""
 
     endpoint: str
     deadline_ns: int
 
 
-@dataclass
+@dataclass(slots=True)
 class ActiveRequest:
     """A request in flight, with its table as it was when the request arrived.
 
