--- a/tests/proxy/test_daemon.py
+++ b/tests/proxy/test_daemon.py
@@ -10,7 +10,7 @@
 from swiftchute.config.proxy import load as load_proxy
 from swiftchute.daemon.proxy import Daemon
 from swiftchute.daemon.service import Service
-from swiftchute.observability.logging import setup
+from swiftchute.observability.logging import configure_logging
 from swiftchute.policy import Reconciler
 from swiftchute.xds.server import RawCodec
 from tests.support.proxy import call, run, start_backends
@@ -120,12 +120,14 @@
         def make_daemon(port):
             path = tmp_path / "proxy.hcl"
             path.write_text(PROXY.format(port=port, keep=tmp_path / "kept", form=form))
-            return Daemon(load_proxy(str(path)), setup("error"))
+            return Daemon(load_proxy(str(path)), configure_logging("error"))
 
         publish({first.address: "ready", second.address: "ready"})
         settings = tmp_path / "planner.hcl"
         settings.write_text(CONTROL_PLANE.format(list=endpoint_list, port=0))
-        async with RunningService(Service(load(str(settings)), setup("error"), Reconciler)) as control_plane:
+        async with RunningService(
+            Service(load(str(settings)), configure_logging("error"), Reconciler)
+        ) as control_plane:
             daemon = make_daemon(control_plane.address[1])
             async with RunningService(daemon) as proxy:
                 await wait_for_table(daemon, {first.address, second.address})
--- a/tests/versions/test_history.py
+++ b/tests/versions/test_history.py
@@ -344,16 +344,16 @@
 
 
 @pytest.fixture
-def planner(fixed):
+def planner(scripted_controller):
     """A core with a table of three servers, pushed and acknowledged: (core, decider, round)."""
-    controller, decider = fixed
+    controller, decider = scripted_controller
     entries = [EndpointRecord(n, "east", "", 0, "ready", 1.0, 0) for n in "abd"]
     controller.on_list_update(EndpointListChange("held", tuple(entries), ()))
     controller.on_proxy_connected("p", "east", 1.0, True)
 
     def play(now, *writes):
         decider.writes = list(writes)
-        controller.pending_events.append(TimerFired(0))
+        controller.runner.pending_events.append(TimerFired(0))
         pushed = [p for p, _ in controller.run_round(now).pushes + controller.run_round(now + S // 2).pushes]
         if "p" in pushed:
             controller.tables_of("p")
