--- a/swiftchute/daemon/proxy.py
+++ b/swiftchute/daemon/proxy.py
@@ -29,11 +29,12 @@
 
     def on_stream_opened(self, server: str, stream: int) -> None:
         """Log that the proxy is connected."""
-        self.log.info("joined", planner=server, stream=stream)
+        self.log.info("connected to control plane", planner=server, stream=stream)
 
     def on_stream_closed(self, server: str, stream: int) -> None:
         """Log that the connection was lost; the tables stay in force."""
-        self.log.warning("planner lost", planner=server, stream=stream, tables=len(self.router.tables))
+        tables = len(self.router.tables)
+        self.log.warning("connection to control plane lost", planner=server, stream=stream, tables=tables)
 
     def on_applied(self) -> None:
         """Put the received tables in force for the next request."""
@@ -109,7 +110,7 @@
         if self.table_cache is None:
             return
         self.client.tables = self.table_cache.load(time.time_ns())
-        self.log.info("kept tables", tables=len(self.client.tables), why=self.table_cache.last_error)
+        self.log.info("cached tables loaded", tables=len(self.client.tables), why=self.table_cache.last_error)
 
     async def _save_periodically(self) -> None:
         while True:
@@ -121,4 +122,4 @@
     def _save_tables(self, cache: TableCache, tables: dict[str, EndpointTable]) -> None:
         previous_error = cache.last_error
         if not cache.save(tables, time.time_ns()) and cache.last_error != previous_error:
-            self.log.warning("tables not kept", cause=cache.last_error)
+            self.log.warning("tables not cached", cause=cache.last_error)
--- a/tests/proxy/test_recorded_behaviour.py
+++ b/tests/proxy/test_recorded_behaviour.py
@@ -410,7 +410,7 @@
     assert repr(digest) == HEADERS
 
 
-# A file of kept tables, as the first release wrote it.
+# A file of cached tables, as the first release wrote it.
 STORED = bytes.fromhex(
     "b0b463048af6188b9301cf000000e8d4a5100082a47265616497a8302e312f7265616482ab31302e302e302e313a383003"
     "ab31302e302e302e323a383001cb3fe000000000000001c3c0cb4010000000000000a370617997a7372e332f70617981aa"
