--- a/benchmarks/proxy.py
+++ b/benchmarks/proxy.py
@@ -1,10 +1,10 @@
-"""What a proxy adds to a call, how many it carries, and what a table's change costs it.
+"""What a proxy adds to a call, how many calls it carries, and what a changed table costs it.
 
     PYTHONPATH=. python benchmarks/proxy.py
 
-A server that answers at once, a proxy process as it is run (no planner: its standing table), and a client
-process that calls the server directly and through the proxy by turns. Figures are compared within a run only;
-the client's and the server's own time is in all of them.
+A server that answers at once, a proxy process as it is run (without a control plane, on its static
+endpoints), and a client process that calls the server directly and through the proxy by turns. Figures are
+compared within a run only; the client's and the server's own time is in all of them.
 """
 
 import argparse
@@ -26,11 +26,22 @@
 from swiftchute.proxy.settings import Idempotency, ProxyLimits, RouteSettings
 from swiftchute.proxy.xds_client import XdsClient
 
-S = 1_000_000_000
-HEADERS = [(b":method", b"POST"), (b":path", b"/svc/read"), (b":scheme", b"http"), (b":authority", b"x"),
-           (b"content-type", b"application/grpc"), (b"te", b"trailers")]  # fmt: skip
-REPLY = [(b":status", b"200"), (b"content-type", b"application/grpc")]
-SETTINGS = """
+NS_PER_S = 1_000_000_000
+LOAD_S = 2.0  # duration of one measurement
+STARTUP_S = 2
+CONNECTIONS = 1000
+TABLE_TURNS = 30
+REQUESTS = 20_000
+REQUEST_HEADERS = [
+    (b":method", b"POST"),
+    (b":path", b"/svc/read"),
+    (b":scheme", b"http"),
+    (b":authority", b"x"),
+    (b"content-type", b"application/grpc"),
+    (b"te", b"trailers"),
+]
+RESPONSE_HEADERS = [(b":status", b"200"), (b"content-type", b"application/grpc")]
+PROXY_SETTINGS = """
 proxy {{
   name = "gw"
   zone = "z"
@@ -51,171 +62,202 @@
 """
 
 
-class Server(asyncio.Protocol):
-    """Answers every request with its own body."""
+class EchoServer(asyncio.Protocol):
+    """A connection of a server that answers every request with its own body."""
 
     def connection_made(self, transport):
-        self.transport, self.wire = transport, Http2Connection(False, 2**20, 1000)
-        self.wire.start()
-        transport.write(self.wire.data_to_send())
+        self.transport, self.framing = transport, Http2Connection(False, 2**20, 1000)
+        self.framing.start()
+        transport.write(self.framing.data_to_send())
 
     def data_received(self, data):
-        for event in self.wire.receive_data(data):
+        for event in self.framing.receive_data(data):
             if isinstance(event, HttpMessage):
-                self.wire.send(HttpMessage(event.stream_id, REPLY, event.body, [(b"grpc-status", b"0")]))
-        self.transport.write(self.wire.data_to_send())
+                self.framing.send(
+                    HttpMessage(event.stream_id, RESPONSE_HEADERS, event.body, [(b"grpc-status", b"0")])
+                )
+        self.transport.write(self.framing.data_to_send())
 
 
-class Load(asyncio.Protocol):
-    """Keeps `window` calls under way; their times by number."""
+class LoadClient(asyncio.Protocol):
+    """A connection that keeps `max_in_flight` calls in flight; `latencies_ns` of those that ended."""
 
-    def __init__(self, window):
-        self.window, self.out, self.took = window, {}, []
+    def __init__(self, max_in_flight):
+        self.max_in_flight = max_in_flight
+        self.started_ns = {}  # by stream id
+        self.latencies_ns = []
 
     def connection_made(self, transport):
-        self.transport, self.wire = transport, Http2Connection(True, 2**20)
-        self.wire.start()
-        for _ in range(self.window):
+        self.transport, self.framing = transport, Http2Connection(True, 2**20)
+        self.framing.start()
+        for _ in range(self.max_in_flight):
             self.call()
-        transport.write(self.wire.data_to_send())
+        transport.write(self.framing.data_to_send())
 
     def call(self):
-        self.out[self.wire.send(HttpMessage(0, HEADERS, bytes(5) + b"x" * 100))] = time.perf_counter_ns()
+        stream_id = self.framing.send(HttpMessage(0, REQUEST_HEADERS, bytes(5) + b"x" * 100))
+        self.started_ns[stream_id] = time.perf_counter_ns()
 
     def data_received(self, data):
-        for event in self.wire.receive_data(data):
+        for event in self.framing.receive_data(data):
             if isinstance(event, HttpMessage):
-                self.took.append(time.perf_counter_ns() - self.out.pop(event.stream_id))
+                self.latencies_ns.append(time.perf_counter_ns() - self.started_ns.pop(event.stream_id))
                 self.call()
-        self.transport.write(self.wire.data_to_send())
+        self.transport.write(self.framing.data_to_send())
 
 
-async def load(port, window, seconds):
-    """Call for so long; a JSON line of figures."""
-    transport, made = await asyncio.get_running_loop().create_connection(
-        lambda: Load(window), "127.0.0.1", port
+async def generate_load(port, max_in_flight, duration_s):
+    """Call for so long, and print a JSON line of figures."""
+    transport, client = await asyncio.get_running_loop().create_connection(
+        lambda: LoadClient(max_in_flight), "127.0.0.1", port
     )
-    await asyncio.sleep(seconds)
+    await asyncio.sleep(duration_s)
     transport.abort()
-    took = sorted(made.took)
-    at = {name: took[int(part * (len(took) - 1))] / 1e6 for name, part in (("p50", 0.5), ("p99", 0.99))}
-    print(json.dumps({"rate": len(took) / seconds} | at))
+    latencies_ns = sorted(client.latencies_ns)
+    last = len(latencies_ns) - 1
+    percentiles = {
+        name: latencies_ns[int(fraction * last)] / 1e6 for name, fraction in (("p50", 0.5), ("p99", 0.99))
+    }
+    print(json.dumps({"rate": len(latencies_ns) / duration_s} | percentiles))
 
 
 async def serve(port):
-    """The server, until it is ended."""
-    await asyncio.get_running_loop().create_server(Server, "127.0.0.1", port, backlog=2048)
+    """Run the echo server until the process is ended."""
+    await asyncio.get_running_loop().create_server(EchoServer, "127.0.0.1", port, backlog=2048)
     await asyncio.sleep(3600)
 
 
-async def asked(port, window, seconds=2.0):
-    """One client process's figures."""
+async def measure_load(port, max_in_flight, duration_s=LOAD_S):
+    """The figures of one client process."""
     child = await asyncio.create_subprocess_exec(
         sys.executable,
         __file__,
         "--load",
         str(port),
-        str(window),
-        str(seconds),
+        str(max_in_flight),
+        str(duration_s),
         stdout=asyncio.subprocess.PIPE,
     )
     return json.loads((await child.communicate())[0])
 
 
-def memory(pid):
-    """Resident MiB."""
+def resident_mib(pid):
+    """Resident memory of a process in MiB."""
     with open(f"/proc/{pid}/status", encoding="utf-8") as status:
-        return int(next(x for x in status if x.startswith("VmRSS")).split()[1]) / 1024
+        return int(next(line for line in status if line.startswith("VmRSS")).split()[1]) / 1024
 
 
-def cpu(pid):
-    """Seconds of CPU."""
+def cpu_s(pid):
+    """CPU time of a process in seconds."""
     with open(f"/proc/{pid}/stat", encoding="utf-8") as stat:
         fields = stat.read().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-async def calls(turns):
-    """Direct and through the proxy, by turns: one call at a time, and 64."""
-    server, port = free_port(), free_port()
+async def measure_calls(turns):
+    """Calls directly and through the proxy, by turns: one at a time, and 64."""
+    server_port, proxy_port = free_port(), free_port()
     with tempfile.TemporaryDirectory() as folder:
-        path = os.path.join(folder, "p.hcl")
-        with open(path, "w", encoding="utf-8") as out:
-            out.write(SETTINGS.format(port=port, server=server))
-        behind = await asyncio.create_subprocess_exec(sys.executable, __file__, "--serve", str(server))
+        path = os.path.join(folder, "proxy.hcl")
+        with open(path, "w", encoding="utf-8") as file:
+            file.write(PROXY_SETTINGS.format(port=proxy_port, server=server_port))
+        server = await asyncio.create_subprocess_exec(sys.executable, __file__, "--serve", str(server_port))
         proxy = await asyncio.create_subprocess_exec(sys.executable, "-m", "swiftchute", "proxy", path)
-        await asyncio.sleep(2)
-        for window in (1, 64):
-            rows = {"direct": [], "proxy": []}
-            spent = 0.0
-            for _ in range(turns):
-                rows["direct"].append(await asked(server, window))
-                before = cpu(proxy.pid)
-                rows["proxy"].append(await asked(port, window))
-                spent += cpu(proxy.pid) - before
-            mid = {
-                w: {k: statistics.median(r[k] for r in found) for k in found[0]} for w, found in rows.items()
-            }
-            one, two = mid["direct"], mid["proxy"]
-            many = sum(r["rate"] for r in rows["proxy"]) * 2.0
-            print(f"{window} under way: direct {one['rate']:.0f} a second, p50 {one['p50']:.2f} and p99"
-                  f" {one['p99']:.2f} ms; by the proxy {two['rate']:.0f}, {two['p50']:.2f} and"
-                  f" {two['p99']:.2f}: {two['p50'] - one['p50']:.2f} and"
-                  f" {two['p99'] - one['p99']:.2f} ms added,"
-                  f" {1e6 * spent / many:.0f} us of CPU an invocation")  # fmt: skip
-        empty = memory(proxy.pid)
-        held = [await asyncio.open_connection("127.0.0.1", port) for _ in range(1000)]
-        for _, writer in held:
-            writer.write(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\x04\0\0\0\0\0")
-        await asyncio.sleep(1)
-        full = memory(proxy.pid)
-        print(f"memory {empty:.0f} MiB, with 1,000 callers' connections {full:.0f}:"
-              f" {1024 * (full - empty) / 1000:.0f} KiB each")  # fmt: skip
-        for _, writer in held:
-            writer.close()
-        for child in (proxy, behind):
+        await asyncio.sleep(STARTUP_S)
+        for max_in_flight in (1, 64):
+            await compare_calls(turns, max_in_flight, server_port, proxy_port, proxy.pid)
+        await measure_connections(proxy_port, proxy.pid)
+        for child in (proxy, server):
             child.terminate()
             await child.wait()
 
 
-def changes():
-    """A table's change of 1 and of 100 lines, in tables of 100 and 400."""
-    for many in (100, 400):
+async def compare_calls(turns, max_in_flight, server_port, proxy_port, proxy_pid):
+    """Print what the proxy adds to calls with so many in flight."""
+    direct_rows, proxy_rows = [], []
+    used_s = 0.0
+    for _ in range(turns):
+        direct_rows.append(await measure_load(server_port, max_in_flight))
+        before_s = cpu_s(proxy_pid)
+        proxy_rows.append(await measure_load(proxy_port, max_in_flight))
+        used_s += cpu_s(proxy_pid) - before_s
+    direct, through = medians(direct_rows), medians(proxy_rows)
+    calls = sum(row["rate"] for row in proxy_rows) * LOAD_S
+    print(
+        f"{max_in_flight} in flight: direct {direct['rate']:.0f} a second, p50 {direct['p50']:.2f} and p99"
+        f" {direct['p99']:.2f} ms; by the proxy {through['rate']:.0f}, {through['p50']:.2f} and"
+        f" {through['p99']:.2f}: {through['p50'] - direct['p50']:.2f} and"
+        f" {through['p99'] - direct['p99']:.2f} ms added, {1e6 * used_s / calls:.0f} us of CPU a request"
+    )
+
+
+def medians(rows):
+    """The median of each figure."""
+    return {name: statistics.median(row[name] for row in rows) for name in rows[0]}
+
+
+async def measure_connections(proxy_port, proxy_pid):
+    """Print the memory of callers' connections."""
+    before_mib = resident_mib(proxy_pid)
+    connections = [await asyncio.open_connection("127.0.0.1", proxy_port) for _ in range(CONNECTIONS)]
+    for _, writer in connections:
+        writer.write(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\x04\0\0\0\0\0")
+    await asyncio.sleep(1)
+    after_mib = resident_mib(proxy_pid)
+    print(
+        f"memory {before_mib:.0f} MiB, with {CONNECTIONS} callers' connections {after_mib:.0f}:"
+        f" {1024 * (after_mib - before_mib) / CONNECTIONS:.0f} KiB each"
+    )
+    for _, writer in connections:
+        writer.close()
+
+
+def measure_decisions():
+    """Print the cost of changed tables of 100 and 400 endpoints, and of a request's decisions."""
+    for size in (100, 400):
         client = XdsClient("gw", "z", 1.0)
-        lines = {f"10.0.{k // 200}.{k % 200}:80": 10_000 + k for k in range(many)}
-        core = RequestRouter(
-            client, {"read": RouteSettings("read", S, Idempotency.IDEMPOTENT)}, ProxyLimits(), 7
+        routes = {"read": RouteSettings("read", NS_PER_S, Idempotency.IDEMPOTENT)}
+        router = RequestRouter(client, routes, ProxyLimits(), 7)
+        weights = {f"10.0.{k // 200}.{k % 200}:80": 10_000 + k for k in range(size)}
+        one_us, many_us = (measure_table_change(router, weights, changed) for changed in (1, 100))
+        request_us = measure_requests(router)
+        print(
+            f"{size} endpoints: a change of 1 {one_us:.0f} us, of 100 {many_us:.0f}; a request's decisions"
+            f" {request_us:.1f} us"
         )
-        took = {}
-        for changed in (1, 100):
-            rows = []
-            for turn in range(30):
-                new = lines | {n: w + turn + 1 for n, w in list(lines.items())[:changed]}
-                client.tables = {"read": EndpointTable("c", new)}
-                start = time.process_time_ns()
-                core.update_tables()
-                rows.append((time.process_time_ns() - start) / 1000)
-            took[changed] = statistics.median(rows)
-        client.resources = {kind: {} for kind in client.resources}
-        start = time.process_time_ns()
-        for _ in range(20_000):
-            inv = core.admit("read", "k", 0)
-            core.next_attempt(inv, 0)
-            core.abandon(inv, 0)
-        pick = (time.process_time_ns() - start) / 20_000_000
-        print(f"{many} lines: a change of 1 line {took[1]:.0f} us, of 100 {took[100]:.0f}; an invocation's"
-              f" decisions {pick:.1f} us")  # fmt: skip
+
+
+def measure_table_change(router, weights, changed):
+    """Median time in us to put a table in force of which so many weights changed."""
+    rows = []
+    for turn in range(TABLE_TURNS):
+        new = weights | {name: w + turn + 1 for name, w in list(weights.items())[:changed]}
+        router.client.tables = {"read": EndpointTable("c", new)}
+        start_ns = time.process_time_ns()
+        router.update_tables()
+        rows.append((time.process_time_ns() - start_ns) / 1000)
+    return statistics.median(rows)
+
+
+def measure_requests(router):
+    """Time in us of the decisions for one request."""
+    start_ns = time.process_time_ns()
+    for _ in range(REQUESTS):
+        request = router.admit("read", "k", 0)
+        router.next_attempt(request, 0)
+        router.abandon(request, 0)
+    return (time.process_time_ns() - start_ns) / REQUESTS / 1000
 
 
 async def run(options):
-    """All of it."""
-    changes()
-    await calls(options.turns)
+    """Run all measurements."""
+    measure_decisions()
+    await measure_calls(options.turns)
 
 
 if __name__ == "__main__":
     if sys.argv[1:2] == ["--load"]:
-        uvloop.run(load(int(sys.argv[2]), int(sys.argv[3]), float(sys.argv[4])))
+        uvloop.run(generate_load(int(sys.argv[2]), int(sys.argv[3]), float(sys.argv[4])))
     elif sys.argv[1:2] == ["--serve"]:
         uvloop.run(serve(int(sys.argv[2])))
     else:
