--- a/tests/controller/conftest.py
+++ b/tests/controller/conftest.py
@@ -3,7 +3,7 @@
 import pytest
 
 from swiftchute.controller.controller import Controller
-from swiftchute.safety.validator import SafetyRules
+from swiftchute.safety.proposal import SafetyRules
 from tests.support.controller import (
     NS_PER_S,
     SETTINGS,
