--- a/tests/proxy/test_daemon.py
+++ b/tests/proxy/test_daemon.py
@@ -2,6 +2,7 @@
 
 import asyncio
 import json
+import time
 
 import pytest
 from grpclib.client import Channel
@@ -133,7 +134,8 @@
                 await wait_for_table(daemon, {first.address, second.address})
                 assert await send_calls(proxy.address, 20) == ["ok"] * 20
                 await asyncio.sleep(0.6)
-                assert control_plane.service.controller.observed_traffic.good  # its load reports arrived
+                observed = control_plane.service.controller.observed_traffic
+                assert observed.responding_endpoints(time.monotonic_ns())  # its load reports arrived
                 publish({first.address: "draining", second.address: "ready"})
                 await wait_for_table(daemon, {second.address})
                 await control_plane.__aexit__()
