--- a/tests/proxy/test_server.py
+++ b/tests/proxy/test_server.py
@@ -11,7 +11,7 @@
 from swiftchute.fakes.backend import BackendProfile
 from swiftchute.proxy.endpoint_table import EndpointTable
 from swiftchute.proxy.settings import Idempotency, PoolLimits, ProxyLimits, RouteSettings
-from swiftchute.xds.server import RawCodec
+from swiftchute.xds.grpc_transport import RawCodec
 from tests.support.proxy import (
     SETTINGS,
     ProxyUnderTest,
--- a/tests/xds/test_server.py
+++ b/tests/xds/test_server.py
@@ -23,7 +23,8 @@
 from swiftchute.policy import Reconciler
 from swiftchute.proxy.xds_client import XdsClient
 from swiftchute.xds import names
-from swiftchute.xds.server import ADS, RawCodec
+from swiftchute.xds.grpc_transport import RawCodec
+from swiftchute.xds.server import ADS
 
 SETTINGS = Path("examples/planner.hcl").read_text(encoding="utf-8")
 
@@ -209,9 +210,9 @@
             while not (stuck.resources[names.CDS] and stuck.resources[names.EDS]):
                 for answer in stuck.receive(await stream.recv_message()):
                     await stream.send_message(answer)
-            await until(lambda: "stuck" in front.sids)
+            await until(lambda: front.is_connected("stuck"))
             began = time.monotonic()
-            await until(lambda: "stuck" not in front.sids, 5)
+            await until(lambda: not front.is_connected("stuck"), 5)
             assert time.monotonic() - began > 0.5
             await stream.cancel()
     finally:
@@ -336,7 +337,7 @@
             except ConnectionResetError:
                 said = b""
             assert said == b""  # closed without a word
-        assert place.service.xds_server.server.turned_away == 2
+        assert place.service.xds_server.rejected_connections == 2
         assert all(g.connected_to for g in gateways)
         for _, writer in idle:
             writer.close()
