--- a/swiftchute/controller/canary_rollout.py
+++ b/swiftchute/controller/canary_rollout.py
@@ -6,7 +6,6 @@
 
 from typing import Any
 
-from swiftchute.controller.change_causes import IMMEDIATE_CAUSES
 from swiftchute.controller.endpoint_directory import EndpointDirectory
 from swiftchute.controller.load_aggregation import LoadReport
 from swiftchute.controller.policy_runner import PolicyRunner
@@ -18,6 +17,9 @@
 from swiftchute.versions.canary_statistics import ReportTotals
 from swiftchute.versions.table_log import ChangeCause
 
+# Changes that the safety rules or an operator asked for reach all proxies at once, without a canary.
+IMMEDIATE_CAUSES = frozenset({ChangeCause.GUARD, ChangeCause.ROLLBACK, ChangeCause.PIN})
+
 
 class CanaryRollout:
     """Canaries of all tables."""
--- a/swiftchute/daemon/service.py
+++ b/swiftchute/daemon/service.py
@@ -98,7 +98,12 @@
             config.seed,
         )
         self.xds_server = XdsServer(
-            self.xds_frontend, config.settings, config.xds, self.scheduler.request_round, self.clock, log
+            self.xds_frontend,
+            config.settings,
+            dict(config.xds),
+            self.scheduler.request_round,
+            self.clock,
+            log,
         )
         wall_clock_offset_ns = time.time_ns() - now
         self.endpoint_list = EndpointList(config.settings.zones, wall_clock_offset_ns)
--- a/swiftchute/versions/delivery.py
+++ b/swiftchute/versions/delivery.py
@@ -30,10 +30,15 @@
 
 
 class Holding(Protocol):
-    """What a proxy holds: (operation, table name) pairs, and the tables' contents by name."""
+    """What a proxy holds."""
 
-    tables_by_operation: tuple[tuple[str, str], ...]
-    contents: dict[str, Any]
+    @property
+    def tables_by_operation(self) -> tuple[tuple[str, str], ...]:
+        """Pairs of operation and table name."""
+
+    @property
+    def contents(self) -> Mapping[str, Any]:
+        """Contents by table name."""
 
 
 class HolderCount(NamedTuple):
