--- a/swiftchute/daemon/service.py
+++ b/swiftchute/daemon/service.py
@@ -22,7 +22,7 @@
 from swiftchute.observability.logging import condition_fields
 from swiftchute.policy import Reconciler
 from swiftchute.safety.proposal import SafetyRules
-from swiftchute.xds.frontend import FrontendOutput, XdsFrontend
+from swiftchute.xds.frontend import FrontendOptions, FrontendOutput, XdsFrontend
 from swiftchute.xds.server import XdsServer
 
 NS_PER_S = 1_000_000_000
@@ -91,10 +91,12 @@
         self.xds_frontend = XdsFrontend(
             self.controller,
             config.settings,
-            int(time.time() * 1000),  # differs from that of earlier incarnations
-            config.xds["ack_within"],
-            config.xds["proxy_rate"],
-            config.xds["streams"],
+            FrontendOptions(
+                incarnation=int(time.time() * 1000),
+                ack_timeout_ns=config.xds["ack_within"],
+                default_request_rate=config.xds["proxy_rate"],
+                max_streams=config.xds["streams"],
+            ),
             config.seed,
         )
         self.xds_server = XdsServer(
@@ -230,8 +232,8 @@
             output = self.controller.run_round(now)
             if self.dns_server is not None:
                 self.dns_server.turn(output, now)
-            xds_output = self.xds_frontend.turn(output, now)
-            self.xds_server.carry_out(xds_output)
+            xds_output = self.xds_frontend.publish(output, now)
+            self.xds_server.send(xds_output)
             self._log_events(xds_output)
         except Exception as error:
             # A fault of the program itself, not of the policy: its state may be inconsistent, so the process
@@ -250,19 +252,18 @@
             self._reported_drops = totals
             self._next_drop_report_ns = self.clock() + DROP_REPORT_INTERVAL_NS
             self.log.warning("limits exceeded", **totals)
-        for name, fields in xds_output.events:
+        for name, fields in xds_output.log_events:
             if name == "condition changed":
                 fields = condition_fields(fields["text"])
             (self.log.warning if name in WARNING_EVENTS else self.log.info)(name, **fields)
 
     def _drop_totals(self) -> dict[str, int]:
         """Return what was dropped or rejected past a limit, since the start."""
-        server = self.xds_server.server
         totals = {
             "sums": self.controller.load_aggregator.dropped,
             "calls": self.controller.counts["calls_lost"],
             "events": self.controller.counts["events_lost"],
-            "connections": server.turned_away if server else 0,
+            "connections": self.xds_server.rejected_connections,
         }
         if self.dns_server is not None:
             totals["dns_streams"] = self.dns_server.closed["streams_past_bound"]
@@ -271,7 +272,7 @@
 
     def _log_totals(self) -> None:
         gate = self.controller.publish_gate
-        counts = self.controller.counts | self.xds_frontend.counts
+        counts = self.controller.counts | self.xds_frontend.counts.log_fields()
         if self.dns_server is not None:
             counts |= self.dns_server.counts
         self.log.info("stopped", counts=counts, guard=gate.counts if gate else {})
--- a/swiftchute/policy/zone_spillover.py
+++ b/swiftchute/policy/zone_spillover.py
@@ -2,7 +2,8 @@
 
 from swiftchute.policy.conditions import report_condition
 from swiftchute.policy.load_stats import CALM_LOAD_RATIO, is_suspended, zone_load_ratio
-from swiftchute.policy.state import PolicyState, ZonePair, ZonePairKey
+from swiftchute.policy.model import ZonePair, ZonePairKey
+from swiftchute.policy.state import PolicyState
 from swiftchute.policy.units import NS_PER_S
 
 START_LOAD_RATIO = 0.12  # latency / objective from which a zone spills over, without a price of crossing
@@ -63,4 +64,5 @@
 def _target_fraction(load_ratio: float, cross_zone_price: float) -> float:
     """Return the fraction to spill over at a load ratio, given the price of a request that crosses zones."""
     excess = load_ratio - START_LOAD_RATIO - START_LOAD_RATIO_PER_PRICE * cross_zone_price
-    return min(max(excess / FULL_LOAD_RATIO_RANGE, 0.0), 1.0) ** EXPONENT
+    fraction: float = min(max(excess / FULL_LOAD_RATIO_RANGE, 0.0), 1.0) ** EXPONENT
+    return fraction
