--- a/swiftchute/daemon/service.py
+++ b/swiftchute/daemon/service.py
@@ -70,6 +70,18 @@
     return None if guard["mode"] == "off" else SafetyRules.from_config(guard)
 
 
+def _make_controller(config: Config, policy_factory: PolicyFactory, now: int) -> Controller:
+    return Controller(
+        config.settings,
+        config.seed,
+        policy_factory,
+        now,
+        _safety_rules(config.guard),
+        config.guard["mode"] == "enforce",
+        _retention_settings(config.tables),
+    )
+
+
 class Service:
     """Runs one instance until it is stopped."""
 
@@ -78,15 +90,7 @@
         self.config, self.log = config, log
         self.clock: Callable[[], int] = time.monotonic_ns
         now = self.clock()
-        self.controller = Controller(
-            config.settings,
-            config.seed,
-            policy_factory,
-            now,
-            _safety_rules(config.guard),
-            config.guard["mode"] == "enforce",
-            _retention_settings(config.tables),
-        )
+        self.controller = _make_controller(config, policy_factory, now)
         self.scheduler = RoundScheduler(self._run_round, self.clock)
         self.xds_frontend = XdsFrontend(
             self.controller,
--- a/tests/config/test_schema.py
+++ b/tests/config/test_schema.py
@@ -5,7 +5,6 @@
 import pytest
 
 from swiftchute.config import ConfigError, load
-from swiftchute.observability.logging import condition_fields
 from swiftchute.proxy.xds_client import XdsClient
 from swiftchute.xds import load_reports
 
@@ -82,21 +81,6 @@
         load(str(tmp_path / "none.hcl"))
 
 
-@pytest.mark.parametrize(
-    ("text", "fields"),
-    [
-        ("cut a:80: on, 9 of 24 tries errored, 1840 ms a good answer, usual 260",
-         {"mode": "cut a:80", "on": True, "errored": 9, "tries": 24, "good_ms": 1840, "usual_ms": 260}),
-        ("level north 1: on, 0.60, time 0.71 of the objective",
-         {"mode": "level north 1", "on": True, "level": 0.6, "time": 0.71}),
-        ("list lost: off, 12 entries", {"mode": "list lost", "on": False, "entries": 12}),
-        ("something else", {"text": "something else"}),
-    ],
-)  # fmt: skip
-def test_the_modules_lines_become_fields(text, fields):
-    assert condition_fields(text) == fields
-
-
 # -- load reports
 
 
--- /dev/null
+++ b/tests/observability/test_logging.py
@@ -0,0 +1,20 @@
+"""Log lines of the policy as fields."""
+
+import pytest
+
+from swiftchute.observability.logging import condition_fields
+
+
+@pytest.mark.parametrize(
+    ("text", "fields"),
+    [
+        ("cut a:80: on, 9 of 24 tries errored, 1840 ms a good answer, usual 260",
+         {"mode": "cut a:80", "on": True, "errored": 9, "tries": 24, "good_ms": 1840, "usual_ms": 260}),
+        ("level north 1: on, 0.60, time 0.71 of the objective",
+         {"mode": "level north 1", "on": True, "level": 0.6, "time": 0.71}),
+        ("list lost: off, 12 entries", {"mode": "list lost", "on": False, "entries": 12}),
+        ("something else", {"text": "something else"}),
+    ],
+)  # fmt: skip
+def test_log_lines_of_the_policy_become_fields(text, fields):
+    assert condition_fields(text) == fields
