--- a/swiftchute/versions/delivery.py
+++ b/swiftchute/versions/delivery.py
@@ -21,8 +21,10 @@
 
 
 class Content(Protocol):
-    """The content of a table: entries (endpoint, zone, weight), and by operation its admission rate and retry
-    policy."""
+    """The content of a table.
+
+    Entries (endpoint, zone, weight), and by operation its admission rate and retry policy.
+    """
 
     version: bytes
     entries: tuple[tuple[str, str, float], ...]
@@ -30,7 +32,7 @@
 
 
 class Holding(Protocol):
-    """What a proxy holds."""
+    """What a proxy holds: (operation, table name) pairs, and the tables' contents by name."""
 
     @property
     def tables_by_operation(self) -> tuple[tuple[str, str], ...]:
@@ -38,7 +40,7 @@
 
     @property
     def contents(self) -> Mapping[str, Any]:
-        """Contents by table name."""
+        """The tables' contents by name."""
 
 
 class HolderCount(NamedTuple):
