--- a/swiftchute/proxy/__init__.py
+++ b/swiftchute/proxy/__init__.py
@@ -1,1 +1,5 @@
-"""The project's own proxy: follows the published tables exactly. Cores without I/O, and a thin shell."""
+"""The data-plane proxy: routes requests by the tables that the control plane publishes.
+
+`request.RequestRouter` decides what happens to a request, `xds_client.XdsClient` holds the received tables; both
+have no I/O. `server.ProxyServer` and `control_client.ControlPlaneClient` own the sockets.
+"""
--- a/swiftchute/proxy/control_client.py
+++ b/swiftchute/proxy/control_client.py
@@ -15,6 +15,7 @@
 from grpclib.const import Cardinality
 from grpclib.exceptions import GRPCError, StreamTerminatedError
 
+from swiftchute.proxy.settings import NS_PER_S
 from swiftchute.proxy.xds_client import XdsClient
 from swiftchute.xds.grpc_transport import RawCodec
 from swiftchute.xds.server import ADS, LRS
@@ -24,7 +25,6 @@
 RECONNECT_DELAY_S = (0.1, 0.6)  # drawn from this range
 KEEPALIVE_S = 1.0
 MIN_REPORT_INTERVAL_S = 0.05
-NS_PER_S_FLOAT = 1e9
 
 
 class ControlPlaneClient:
@@ -165,7 +165,7 @@
             if response is None:
                 return
             interval = LoadStatsResponse.FromString(response).load_reporting_interval
-            interval_s = interval.ToNanoseconds() / NS_PER_S_FLOAT
+            interval_s = interval.ToNanoseconds() / NS_PER_S
             while True:
                 await asyncio.sleep(max(interval_s, MIN_REPORT_INTERVAL_S))
                 await stream.send_message(self.client.build_load_report(interval_s))
--- a/swiftchute/proxy/endpoint_table.py
+++ b/swiftchute/proxy/endpoint_table.py
@@ -9,9 +9,10 @@
 from envoy.config.endpoint.v3.endpoint_pb2 import ClusterLoadAssignment
 from envoy.config.route.v3.route_components_pb2 import RouteAction
 
+from swiftchute.proxy.settings import NS_PER_S
+
 RETRY_ON_PROOF = "refused-stream,connect-failure"  # `retry_on` of a route whose retries need proof
 DROP_DENOMINATOR = 1_000_000  # of the drop percentages
-NS_PER_S_FLOAT = 1e9
 
 
 @dataclass
@@ -44,9 +45,9 @@
     retry_policy = action.retry_policy
     attempt_timeout_s = request_timeout_s = None
     if retry_policy.HasField("per_try_timeout"):
-        attempt_timeout_s = retry_policy.per_try_timeout.ToNanoseconds() / NS_PER_S_FLOAT
+        attempt_timeout_s = retry_policy.per_try_timeout.ToNanoseconds() / NS_PER_S
     if action.HasField("timeout"):
-        request_timeout_s = action.timeout.ToNanoseconds() / NS_PER_S_FLOAT
+        request_timeout_s = action.timeout.ToNanoseconds() / NS_PER_S
     drops = assignment.policy.drop_overloads
     return EndpointTable(
         cluster=action.cluster,
--- a/swiftchute/proxy/load_stats.py
+++ b/swiftchute/proxy/load_stats.py
@@ -5,10 +5,10 @@
 from envoy.config.core.v3.base_pb2 import Locality
 from envoy.config.endpoint.v3.load_report_pb2 import ClusterStats
 
+from swiftchute.proxy.settings import NS_PER_S
 from swiftchute.xds.load_reports import TOOK
 
 MS_PER_S = 1000
-NS_PER_S_FLOAT = 1e9
 
 
 @dataclass(slots=True)
@@ -49,7 +49,7 @@
             cluster_service_name=cluster.partition("/")[0],
             total_dropped_requests=self.dropped,
         )
-        stats.load_report_interval.FromNanoseconds(int(window_s * NS_PER_S_FLOAT))
+        stats.load_report_interval.FromNanoseconds(int(window_s * NS_PER_S))
         for address, load in sorted(self.endpoints.items()):
             locality_stats = stats.upstream_locality_stats.add(
                 locality=Locality(sub_zone=address),
