--- a/tests/proxy/test_recorded_behaviour.py
+++ b/tests/proxy/test_recorded_behaviour.py
@@ -92,81 +92,107 @@
     )
 
 
-def play_requests(digest, limits, seed, count=1500):
-    """Requests of four operations through the router: arrivals, attempts, outcomes, tables that change."""
-    chance = random.Random(seed)
-    client = XdsClient("gw", "z", 1.0)
-    operations = {
-        "read": RouteSettings("read", 2 * S, Idempotency.IDEMPOTENT),
-        "key": RouteSettings("key", S, Idempotency.WITH_KEY),
-        "pay": RouteSettings("pay", 4 * S, Idempotency.SIDE_EFFECTING),
-    }
-    router = RequestRouter(client, operations, limits, seed)
-    operation_names = [*operations, "new", "none"]
-    now, active = NOW, []
-    client.resources[names.LDS]["new"] = ("1", None)
-    for step in range(count):
-        now += chance.randrange(S // 20)
-        if step % 60 == 0:
-            client.tables = {
-                op: random_table(chance, op) for op in operation_names[:4] if chance.random() < 0.9
-            }
-            client.static_endpoints = dict.fromkeys(chance.sample(ENDPOINTS, chance.randint(0, 2)), 1)
-            withdrawn = ClusterLoadAssignment()
-            address = withdrawn.endpoints.add().lb_endpoints.add().endpoint.address.socket_address
-            address.address, address.port_value = chance.choice(ENDPOINTS).split(":")[0], 80
-            client.resources[names.EDS][names.WITHDRAWN] = ("1", withdrawn)
-            router.update_tables()
-            digest.add(
-                "tables",
-                sorted(router.known_endpoints),
-                sorted(client.withdrawn_endpoints()),
-                sorted(router.tables),
-            )
-        if chance.random() < 0.6 or not active:
-            request = router.admit(chance.choice(operation_names), f"caller-{chance.randrange(20)}", now)
-            if isinstance(request, Rejection):
-                digest.add("rejected", str(request.cause))
-                continue
-            active.append(request)
-        else:
-            request = active[chance.randrange(len(active))]
-            outcome = chance.choice(OUTCOMES)
-            if outcome is None:
-                active.remove(request)
-                router.abandon(request, now)
-                digest.add("abandoned", router.in_flight)
-                continue
-            if router.attempt_ended(request, outcome, now):
-                active.remove(request)
-                digest.add("ended", outcome.result.value, request.retries, router.in_flight)
-                continue
-        attempt = router.next_attempt(request, now)
+class RequestPlay:
+    """Requests of four operations through a router: arrivals, attempts, outcomes, tables that change."""
+
+    def __init__(self, digest, limits, seed):
+        self.digest = digest
+        self.chance = random.Random(seed)
+        self.client = XdsClient("gw", "z", 1.0)
+        self.client.resources[names.LDS]["new"] = ("1", None)
+        routes = {
+            "read": RouteSettings("read", 2 * S, Idempotency.IDEMPOTENT),
+            "key": RouteSettings("key", S, Idempotency.WITH_KEY),
+            "pay": RouteSettings("pay", 4 * S, Idempotency.SIDE_EFFECTING),
+        }
+        self.operations = [*routes, "new", "none"]
+        self.router = RequestRouter(self.client, routes, limits, seed)
+        self.now = NOW
+        self.active = []
+
+    def run(self, steps=1500):
+        for step in range(steps):
+            self.now += self.chance.randrange(S // 20)
+            if step % 60 == 0:
+                self.change_tables()
+            request = self.arrive() if self.chance.random() < 0.6 or not self.active else self.end_attempt()
+            if request is not None:
+                self.start_attempt(request)
+        self.observe_counts()
+
+    def change_tables(self):
+        chance, client = self.chance, self.client
+        client.tables = {
+            operation: random_table(chance, operation)
+            for operation in self.operations[:4]
+            if chance.random() < 0.9
+        }
+        client.static_endpoints = dict.fromkeys(chance.sample(ENDPOINTS, chance.randint(0, 2)), 1)
+        withdrawn = ClusterLoadAssignment()
+        address_of(withdrawn.endpoints.add().lb_endpoints.add(), chance.choice(ENDPOINTS))
+        client.resources[names.EDS][names.WITHDRAWN] = ("1", withdrawn)
+        self.router.update_tables()
+        self.digest.add(
+            "tables",
+            sorted(self.router.known_endpoints),
+            sorted(client.withdrawn_endpoints()),
+            sorted(self.router.tables),
+        )
+
+    def arrive(self):
+        operation, caller = self.chance.choice(self.operations), f"caller-{self.chance.randrange(20)}"
+        request = self.router.admit(operation, caller, self.now)
+        if isinstance(request, Rejection):
+            self.digest.add("rejected", str(request.cause))
+            return None
+        self.active.append(request)
+        return request
+
+    def end_attempt(self):
+        """End the attempt of a request; returns the request if it has another one."""
+        request = self.active[self.chance.randrange(len(self.active))]
+        outcome = self.chance.choice(OUTCOMES)
+        if outcome is None:
+            self.abandon(request, "abandoned")
+            return None
+        if not self.router.attempt_ended(request, outcome, self.now):
+            return request
+        self.active.remove(request)
+        self.digest.add("ended", outcome.result.value, request.retries, self.router.in_flight)
+        return None
+
+    def start_attempt(self, request):
+        router = self.router
+        attempt = router.next_attempt(request, self.now)
         if attempt is None:
-            active.remove(request)
-            router.abandon(request, now)
-            digest.add("nothing left", router.in_flight)
+            self.abandon(request, "nothing left")
         else:
-            digest.add(attempt.endpoint, attempt.deadline_ns, request.retries, request.deadline_ns)
-        budget = router.retry_budget
-        digest.add(
-            round(budget.tokens, 9), budget.granted, budget.denied, sorted(router.ejector.ejected(now))
+            self.digest.add(attempt.endpoint, attempt.deadline_ns, request.retries, request.deadline_ns)
+        budget, ejected = router.retry_budget, router.ejector.ejected(self.now)
+        self.digest.add(round(budget.tokens, 9), budget.granted, budget.denied, sorted(ejected))
+
+    def abandon(self, request, text):
+        self.active.remove(request)
+        self.router.abandon(request, self.now)
+        self.digest.add(text, self.router.in_flight)
+
+    def observe_counts(self):
+        router = self.router
+        self.digest.add(
+            router.ejector.ejection_count,
+            sorted(router.in_flight_by_endpoint.items()),
+            sorted((str(result), count) for result, count in router.attempt_counts.items()),
         )
-    digest.add(
-        router.ejector.ejection_count,
-        sorted(router.in_flight_by_endpoint.items()),
-        sorted((str(result), count) for result, count in router.attempt_counts.items()),
-    )
-    digest.add(sorted((str(cause), many) for cause, many in router.rejection_counts.items()))
-    rows = (
-        (
-            cluster,
-            c.dropped,
-            [(address, list(astuple(load))) for address, load in sorted(c.endpoints.items())],
+        self.digest.add(sorted((str(cause), count) for cause, count in router.rejection_counts.items()))
+        rows = (
+            (
+                cluster,
+                load.dropped,
+                [(address, list(astuple(row))) for address, row in sorted(load.endpoints.items())],
+            )
+            for cluster, load in sorted(self.client.load_by_cluster.items())
         )
-        for cluster, c in sorted(client.load_by_cluster.items())
-    )
-    digest.add(*rows)
+        self.digest.add(*rows)
 
 
 def test_router_decisions_equal_the_recording():
@@ -174,8 +200,8 @@
     seeds = itertools.count(1)
     for pick, draw, limit in itertools.product(LoadBalancing, AdmissionDraw, (0, 2)):
         limits = ProxyLimits(30, limit, pick, 3, S, 0.1, 0.5, draw)
-        play_requests(digest, limits, next(seeds))
-    play_requests(digest, ProxyLimits(), next(seeds))
+        RequestPlay(digest, limits, next(seeds)).run()
+    RequestPlay(digest, ProxyLimits(), next(seeds)).run()
     assert repr(digest) == ROUTER
 
 
@@ -225,60 +251,70 @@
     address.address, address.port_value = host, int(port)
 
 
-def random_resources(chance, kind, uses_collections):
+def random_resources(chance, type_url, uses_collections):
     """Resources by name, as a control plane may send them, complete or not."""
-    if kind == names.CDS:
-        found = {}
-        for operation in chance.sample(["read", "pay"], chance.randint(1, 2)):
-            cluster = Cluster(name=f"0.1/{operation}")
-            cluster.eds_cluster_config.service_name = chance.choice(["0.1", "0.2"])
-            found[cluster.name] = cluster
-        return found
-    if kind == names.EDS:
-        found = {}
-        for name in chance.sample(["0.1", "0.2", names.WITHDRAWN], 2):
-            made = ClusterLoadAssignment(cluster_name=name)
-            locality = made.endpoints.add()
-            if uses_collections and name != names.WITHDRAWN:
-                locality.leds_cluster_locality_config.leds_collection_name = names.collection(name, "z")
-            for endpoint in chance.sample(ENDPOINTS, chance.randint(1, 4)):
-                row = locality.lb_endpoints.add()
-                address_of(row, endpoint)
-                row.load_balancing_weight.value = chance.randint(1, 9)
-                if chance.random() < 0.2:
-                    row.health_status = DRAINING
-            if chance.random() < 0.3:
-                made.policy.drop_overloads.add(category="level").drop_percentage.numerator = 250_000
-            found[name] = made
-        return found
-    if kind == names.LEDS:
-        found = {}
-        for endpoint in chance.sample(ENDPOINTS, 4):
-            row = LbEndpoint()
-            address_of(row, endpoint)
-            row.load_balancing_weight.value = chance.randint(1, 9)
-            found[names.line_name(chance.choice(["0.1", "0.2"]), "z", endpoint)] = row
-        return found
-    found = {}
-    for operation in chance.sample(["read", "pay"], chance.randint(1, 2)):
-        if kind == names.LDS:
-            manager = HttpConnectionManager()
-            manager.rds.route_config_name = operation
-            listener = Listener(name=operation)
-            listener.api_listener.api_listener.Pack(manager)
-            found[operation] = listener
-        else:
-            configuration = RouteConfiguration(name=operation)
-            action = configuration.virtual_hosts.add().routes.add().route
-            action.cluster = f"0.1/{operation}"
-            if chance.random() < 0.5:
-                action.retry_policy.retry_on = chance.choice(["refused-stream,connect-failure", "5xx"])
-                action.retry_policy.num_retries.value = 2
-                action.retry_policy.per_try_timeout.FromMilliseconds(300)
-            if chance.random() < 0.5:
-                action.timeout.FromMilliseconds(1500)
-            found[operation] = configuration
-    return found
+    if type_url == names.EDS:
+        return random_assignments(chance, uses_collections)
+    if type_url == names.LEDS:
+        return random_collection_entries(chance)
+    make = {names.CDS: random_cluster, names.LDS: random_listener, names.RDS: random_route}[type_url]
+    made = [make(chance, op) for op in chance.sample(["read", "pay"], chance.randint(1, 2))]
+    return {resource.name: resource for resource in made}
+
+
+def random_cluster(chance, operation):
+    cluster = Cluster(name=f"0.1/{operation}")
+    cluster.eds_cluster_config.service_name = chance.choice(["0.1", "0.2"])
+    return cluster
+
+
+def random_listener(chance, operation):
+    manager = HttpConnectionManager()
+    manager.rds.route_config_name = operation
+    listener = Listener(name=operation)
+    listener.api_listener.api_listener.Pack(manager)
+    return listener
+
+
+def random_route(chance, operation):
+    configuration = RouteConfiguration(name=operation)
+    action = configuration.virtual_hosts.add().routes.add().route
+    action.cluster = f"0.1/{operation}"
+    if chance.random() < 0.5:
+        action.retry_policy.retry_on = chance.choice(["refused-stream,connect-failure", "5xx"])
+        action.retry_policy.num_retries.value = 2
+        action.retry_policy.per_try_timeout.FromMilliseconds(300)
+    if chance.random() < 0.5:
+        action.timeout.FromMilliseconds(1500)
+    return configuration
+
+
+def random_assignments(chance, uses_collections):
+    assignments = {}
+    for name in chance.sample(["0.1", "0.2", names.WITHDRAWN], 2):
+        assignment = assignments[name] = ClusterLoadAssignment(cluster_name=name)
+        locality = assignment.endpoints.add()
+        if uses_collections and name != names.WITHDRAWN:
+            locality.leds_cluster_locality_config.leds_collection_name = names.collection(name, "z")
+        for endpoint in chance.sample(ENDPOINTS, chance.randint(1, 4)):
+            entry = locality.lb_endpoints.add()
+            address_of(entry, endpoint)
+            entry.load_balancing_weight.value = chance.randint(1, 9)
+            if chance.random() < 0.2:
+                entry.health_status = DRAINING
+        if chance.random() < 0.3:
+            assignment.policy.drop_overloads.add(category="level").drop_percentage.numerator = 250_000
+    return assignments
+
+
+def random_collection_entries(chance):
+    entries = {}
+    for endpoint in chance.sample(ENDPOINTS, 4):
+        entry = LbEndpoint()
+        address_of(entry, endpoint)
+        entry.load_balancing_weight.value = chance.randint(1, 9)
+        entries[names.line_name(chance.choice(["0.1", "0.2"]), "z", endpoint)] = entry
+    return entries
 
 
 @pytest.mark.parametrize("delta, lines", [(True, True), (True, False), (False, False)])
