--- a/tests/proxy/test_daemon.py
+++ b/tests/proxy/test_daemon.py
@@ -92,56 +92,63 @@
         await asyncio.gather(self.task, return_exceptions=True)
 
 
+def publish(folder, states):
+    """Write the endpoint list: state by address."""
+    rows = [
+        {"targets": [address], "labels": {"zone": "z", "state": state}} for address, state in states.items()
+    ]
+    (folder / "new").write_text(json.dumps(rows))
+    (folder / "new").replace(folder / "list.json")
+
+
+def make_control_plane(folder):
+    path = folder / "planner.hcl"
+    path.write_text(CONTROL_PLANE.format(list=folder / "list.json", port=0))
+    return Service(load(str(path)), configure_logging("error"), Reconciler)
+
+
+def make_daemon(folder, port, form):
+    path = folder / "proxy.hcl"
+    path.write_text(PROXY.format(port=port, keep=folder / "kept", form=form))
+    return Daemon(load_proxy(str(path)), configure_logging("error"))
+
+
+async def wait_for_table(daemon, endpoints):
+    for _ in range(400):
+        routing = daemon.router.tables.get("read")
+        if routing is not None and set(routing.table.weights) == endpoints:
+            return
+        await asyncio.sleep(0.02)
+    raise AssertionError(daemon.router.tables)
+
+
+async def send_calls(address, count):
+    channel = Channel(*address, codec=RawCodec())
+    try:
+        return [await call(channel, body=b"%d|0|g" % k) for k in range(count)]
+    finally:
+        channel.close()
+
+
 @pytest.mark.parametrize("form", ["delta", "sotw"])
 def test_a_proxy_follows_the_control_plane_and_continues_and_restarts_without_it(tmp_path, form):
     async def scenario():
         first, second = await start_backends(2)
-        endpoint_list = tmp_path / "list.json"
-
-        def publish(states):
-            rows = [{"targets": [n], "labels": {"zone": "z", "state": s}} for n, s in states.items()]
-            (tmp_path / "new").write_text(json.dumps(rows))
-            (tmp_path / "new").replace(endpoint_list)
-
-        async def wait_for_table(daemon, endpoints):
-            for _ in range(400):
-                routing = daemon.router.tables.get("read")
-                if routing is not None and set(routing.table.weights) == endpoints:
-                    return
-                await asyncio.sleep(0.02)
-            raise AssertionError(daemon.router.tables)
-
-        async def send_calls(address, count):
-            channel = Channel(*address, codec=RawCodec())
-            try:
-                return [await call(channel, body=b"%d|0|g" % k) for k in range(count)]
-            finally:
-                channel.close()
-
-        def make_daemon(port):
-            path = tmp_path / "proxy.hcl"
-            path.write_text(PROXY.format(port=port, keep=tmp_path / "kept", form=form))
-            return Daemon(load_proxy(str(path)), configure_logging("error"))
-
-        publish({first.address: "ready", second.address: "ready"})
-        settings = tmp_path / "planner.hcl"
-        settings.write_text(CONTROL_PLANE.format(list=endpoint_list, port=0))
-        async with RunningService(
-            Service(load(str(settings)), configure_logging("error"), Reconciler)
-        ) as control_plane:
-            daemon = make_daemon(control_plane.address[1])
+        publish(tmp_path, {first.address: "ready", second.address: "ready"})
+        async with RunningService(make_control_plane(tmp_path)) as control_plane:
+            daemon = make_daemon(tmp_path, control_plane.address[1], form)
             async with RunningService(daemon) as proxy:
                 await wait_for_table(daemon, {first.address, second.address})
                 assert await send_calls(proxy.address, 20) == ["ok"] * 20
                 await asyncio.sleep(0.6)
                 observed = control_plane.service.controller.observed_traffic
                 assert observed.responding_endpoints(time.monotonic_ns())  # its load reports arrived
-                publish({first.address: "draining", second.address: "ready"})
+                publish(tmp_path, {first.address: "draining", second.address: "ready"})
                 await wait_for_table(daemon, {second.address})
                 await control_plane.__aexit__()
                 await asyncio.sleep(0.3)
                 assert await send_calls(proxy.address, 5) == ["ok"] * 5
-        daemon = make_daemon(1)  # no control plane answers now
+        daemon = make_daemon(tmp_path, 1, form)  # no control plane answers now
         async with RunningService(daemon) as proxy:
             assert await send_calls(proxy.address, 5) == ["ok"] * 5
             assert set(daemon.router.tables["read"].table.weights) == {second.address}
