--- a/swiftchute/daemon/service.py
+++ b/swiftchute/daemon/service.py
@@ -71,6 +71,18 @@
     return None if guard["mode"] == "off" else SafetyRules.from_config(guard)
 
 
+def _make_controller(config: Config, policy_factory: PolicyFactory, now: int) -> Controller:
+    return Controller(
+        config.settings,
+        config.seed,
+        policy_factory,
+        now,
+        _safety_rules(config.guard),
+        config.guard["mode"] == "enforce",
+        _retention_settings(config.tables),
+    )
+
+
 class Service:
     """Runs one instance until it is stopped."""
 
@@ -79,15 +91,7 @@
         self.config, self.log = config, log
         self.clock: Callable[[], int] = time.monotonic_ns
         now = self.clock()
-        self.controller = Controller(
-            config.settings,
-            config.seed,
-            policy_factory,
-            now,
-            _safety_rules(config.guard),
-            config.guard["mode"] == "enforce",
-            _retention_settings(config.tables),
-        )
+        self.controller = _make_controller(config, policy_factory, now)
         self.scheduler = RoundScheduler(self._run_round, self.clock)
         self.xds_frontend = XdsFrontend(
             self.controller,
@@ -101,7 +105,12 @@
             config.seed,
         )
         self.xds_server = XdsServer(
-            self.xds_frontend, config.settings, config.xds, self.scheduler.request_round, self.clock, log
+            self.xds_frontend,
+            config.settings,
+            dict(config.xds),
+            self.scheduler.request_round,
+            self.clock,
+            log,
         )
         wall_clock_offset_ns = time.time_ns() - now
         self.endpoint_list = EndpointList(config.settings.zones, wall_clock_offset_ns)
@@ -120,7 +129,7 @@
             commands = AdminCommands(self.controller, self.clock, self.scheduler.request_round)
             self.admin_server = AdminServer(config.control, commands.by_name())
         self.source = self._make_source()
-        self.stop = asyncio.Event()
+        self.stop_requested = asyncio.Event()
         self.fatal_error: Exception | None = None
         self.address: tuple[str, int] | None = None
         self._reported_drops, self._next_drop_report_ns = self._drop_totals(), 0
@@ -131,11 +140,11 @@
         Raises `ListenError`, or the error that ended a round.
         """
         for number in (signal.SIGTERM, signal.SIGINT) if signals else ():
-            asyncio.get_running_loop().add_signal_handler(number, self.stop.set)
+            asyncio.get_running_loop().add_signal_handler(number, self.stop_requested.set)
         self.address = await self._start_servers()
         source = asyncio.ensure_future(self.source.run())
         self.log.info("serving", address=f"{self.address[0]}:{self.address[1]}")
-        stopped = asyncio.ensure_future(self.stop.wait())
+        stopped = asyncio.ensure_future(self.stop_requested.wait())
         try:
             if self.admin_server is not None:
                 try:
@@ -239,7 +248,7 @@
             # A fault of the program itself, not of the policy: its state may be inconsistent, so the process
             # ends with an error and is started anew. Proxies keep their tables meanwhile.
             self.fatal_error = error
-            self.stop.set()
+            self.stop_requested.set()
             raise
         deadline_ns = self.controller.next_deadline_ns
         if self.dns_server is not None:
