--- a/swiftchute/dns/query_handler.py
+++ b/swiftchute/dns/query_handler.py
@@ -32,6 +32,7 @@
 
 MAX_TCP_MESSAGE_BYTES = 65_535
 _TRANSFER_TYPES = (dns.rdatatype.AXFR, dns.rdatatype.IXFR)
+_DROP, _TRUNCATE = Verdict.DROP, Verdict.TRUNCATE  # members are slow to look up per message
 _META_TYPES = (dns.rdatatype.OPT, dns.rdatatype.TSIG)
 
 
@@ -77,14 +78,14 @@
         """
         self.counts["queries"] += 1
         verdict = self.limiter.check(source, now_ns)
-        if verdict is Verdict.DROP:
+        if verdict is _DROP:
             return None
         try:
             query = self._parse(data)
         except QueryError as error:
             self.counts["bad"] += 1
             return error.reply
-        if verdict is Verdict.TRUNCATE:
+        if verdict is _TRUNCATE:
             return compose_reply(query, dns.rcode.NOERROR, EMPTY_SECTIONS, truncated=True)
         if query.record_type in _TRANSFER_TYPES and query.record_class == dns.rdataclass.IN:
             return self._transfer(query, source, view, now_ns, by_tcp=False)[0]
--- a/swiftchute/dns/rate_limit.py
+++ b/swiftchute/dns/rate_limit.py
@@ -31,6 +31,9 @@
     DROP = "drop"
 
 
+_ANSWER = Verdict.ANSWER  # members are slow to look up per message
+
+
 @lru_cache(maxsize=MAX_CACHED_PREFIXES_ENTRIES)
 def network_prefix(source: str) -> str:
     """Return the network that a source address is counted with.
@@ -97,18 +100,18 @@
     def check(self, source: str, now_ns: int) -> Verdict:
         """Return what a query by datagram from this source gets."""
         if not self._cost_ns:
-            return Verdict.ANSWER
+            return _ANSWER
         prefix = network_prefix(source)
         bucket = self._bucket_by_prefix.get(prefix)
         if bucket is None:
             bucket = self._unknown_bucket
             if bucket.take(self._unknown_cost_ns, now_ns):
                 self._add_known(prefix, now_ns)
-                return self._count(Verdict.ANSWER)
+                return self._count(_ANSWER)
         else:
             self._bucket_by_prefix.move_to_end(prefix)
             if bucket.take(self._cost_ns, now_ns):
-                return self._count(Verdict.ANSWER)
+                return self._count(_ANSWER)
         bucket.rejected += 1
         truncates = self._truncate_every and bucket.rejected % self._truncate_every == 0
         return self._count(Verdict.TRUNCATE if truncates else Verdict.DROP)
--- a/swiftchute/dns/records.py
+++ b/swiftchute/dns/records.py
@@ -13,6 +13,7 @@
 import struct
 from collections.abc import Mapping
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 import dns.name
 import dns.rdata
@@ -88,8 +89,9 @@
     known: bool = True
 
 
-@dataclass(frozen=True, slots=True)
-class _SrvTarget:
+class _SrvTarget(NamedTuple):
+    """The fields of an SRV record, with the endpoint in place of its name."""
+
     endpoint: str
     priority: int
     weight: int
@@ -122,10 +124,10 @@
         """Index the names of targets; records are made on demand."""
         target_wire = self.names.target_wire
         self._endpoint_by_target = {
-            target_wire(entry.endpoint): entry.endpoint
+            target_wire(endpoint): endpoint
             for entries_by_operation in self.entries_by_zone.values()
             for entries in entries_by_operation.values()
-            for entry in entries
+            for endpoint, _, _ in entries
         }
 
     def exists(self, name: bytes) -> bool:
@@ -151,10 +153,9 @@
     def srv_records(self, operation: str, zone: str) -> tuple[bytes, ...]:
         """Return the SRV records of an operation for a zone; targets are not compressed (RFC 2782)."""
         records = []
-        for srv in self._srv_targets(operation, zone):
-            target = self.names.target_wire(srv.endpoint)
-            length = _SRV_FIELDS_BYTES + len(target)
-            fields = (self.ttl_s, length, srv.priority, srv.weight, srv.port)
+        for endpoint, priority, weight, port in self._srv_targets(operation, zone):
+            target = self.names.target_wire(endpoint)
+            fields = (self.ttl_s, _SRV_FIELDS_BYTES + len(target), priority, weight, port)
             records.append(_SRV_RECORD.pack(_QUESTION_NAME, dns.rdatatype.SRV, IN, *fields) + target)
         return tuple(records)
 
@@ -256,12 +257,12 @@
         demotes_remote = self.layout.remote_entries == "spare" and has_local
         return [
             _SrvTarget(
-                entry.endpoint,
-                int(demotes_remote and entry.zone != zone),
+                endpoint,
+                int(demotes_remote and entry_zone != zone),
                 weight,
-                int(entry.endpoint.rpartition(":")[2]),
+                int(endpoint.rpartition(":")[2]),
             )
-            for entry, weight in zip(entries, srv_weights(entries), strict=True)
+            for (endpoint, entry_zone, _), weight in zip(entries, srv_weights(entries), strict=True)
         ]
 
     def _srv_rdata(self, operation: str, zone: str) -> list[dns.rdata.Rdata]:
@@ -280,8 +281,8 @@
     def _target_addresses(self, operation: str, zone: str) -> tuple[bytes, ...]:
         """Return the addresses of the targets of an operation, one per name: ports of an address share it."""
         endpoint_by_target = {
-            self.names.target_wire(entry.endpoint): entry.endpoint
-            for entry in self.entries(operation, zone) or ()
+            self.names.target_wire(endpoint): endpoint
+            for endpoint, _, _ in self.entries(operation, zone) or ()
         }
         return tuple(self.address_record(endpoint, name) for name, endpoint in endpoint_by_target.items())
 
