--- a/swiftchute/dns/records.py
+++ b/swiftchute/dns/records.py
@@ -13,13 +13,13 @@
 import struct
 from collections.abc import Mapping
 from dataclasses import dataclass, field
-from typing import NamedTuple
 
 import dns.name
 import dns.rdata
 import dns.rdataclass
 import dns.rdatatype
 import dns.rrset
+import msgspec
 from dns.rdtypes.ANY.HINFO import HINFO
 from dns.rdtypes.ANY.NS import NS
 from dns.rdtypes.ANY.SOA import SOA
@@ -89,7 +89,7 @@
     known: bool = True
 
 
-class _SrvTarget(NamedTuple):
+class _SrvTarget(msgspec.Struct, frozen=True, gc=False):
     """The fields of an SRV record, with the endpoint in place of its name."""
 
     endpoint: str
@@ -153,9 +153,9 @@
     def srv_records(self, operation: str, zone: str) -> tuple[bytes, ...]:
         """Return the SRV records of an operation for a zone; targets are not compressed (RFC 2782)."""
         records = []
-        for endpoint, priority, weight, port in self._srv_targets(operation, zone):
-            target = self.names.target_wire(endpoint)
-            fields = (self.ttl_s, _SRV_FIELDS_BYTES + len(target), priority, weight, port)
+        for srv in self._srv_targets(operation, zone):
+            target = self.names.target_wire(srv.endpoint)
+            fields = (self.ttl_s, _SRV_FIELDS_BYTES + len(target), srv.priority, srv.weight, srv.port)
             records.append(_SRV_RECORD.pack(_QUESTION_NAME, dns.rdatatype.SRV, IN, *fields) + target)
         return tuple(records)
 
