--- a/swiftchute/api/commands.py
+++ b/swiftchute/api/commands.py
@@ -24,7 +24,16 @@
     def set_admission(
         self, table: int | None, operation_mask: int, admission_rate: float, retry_policy: int
     ) -> None:
-        """Set the share of requests to admit and the retry policy, in one table or (None) in all."""
+        """Set admission and retries, in one table or (None) in all.
+
+        Args:
+            table: Number of the table.
+            operation_mask: Operations concerned.
+            admission_rate: Where `Settings.admission_mode` is "share", the share of requests to admit, 0 to
+                1; else requests per second.
+            retry_policy: 0: no retry; 1: one, if the attempt provably never ran; 2: one after any failure;
+                3: two after any failure.
+        """
 
     def set_ejected(self, endpoint: str, ejected: bool) -> None:
         """Eject an endpoint from the tables of all connected proxies, or restore it."""
--- a/swiftchute/api/settings.py
+++ b/swiftchute/api/settings.py
@@ -46,7 +46,7 @@
     key_range_count: int
     single_owner: bool  # a key range is served by one endpoint at a time
     admission_mode: str  # "share", "rate" or "none"
-    default_retry_policy: int
+    default_retry_policy: int  # as in `CommandSink.set_admission`
     attempt_timeout_objectives: float  # timeout of one attempt, in latency objectives
     ejection_failures: int  # consecutive failures after which a proxy avoids an endpoint; 0: never
     subset_size: int  # endpoints in one subset of a zone
--- a/swiftchute/safety/validator.py
+++ b/swiftchute/safety/validator.py
@@ -20,7 +20,9 @@
 9. `full channel` (`PublishGate`): the message quota is nearly used up; the table is not changed.
 
 Where no table is safe the least harmful one is published under a named exception: `no open server` (what
-there is stays), `only cold servers` (weights stay, the admission rate falls to what they may be sent).
+there is stays), `only cold servers` (weights stay, the admission rate falls to what they may be sent). A list
+that may be stale (`late list`) is only reported. The names are those of settings and log records
+(`proposal.Rule`).
 """
 
 from collections.abc import Mapping
--- a/swiftchute/xds/resources.py
+++ b/swiftchute/xds/resources.py
@@ -1,13 +1,13 @@
-"""Tables into xDS resources: no I/O, no clock.
+"""Translates tables into xDS resources: no I/O, no clock.
 
-`Translator(settings).wanted(holding, shut, lines)` gives all resources that a proxy with this holding should
-have, as {type URL: {name: Resource}}. Resources are immutable and shared: a table's content is encoded once a
-change, whatever number of proxies hold it (the document's "one push context between them").
+`Translator(settings).wanted(tables, ejected, collections)` returns all resources that a proxy with these
+tables should hold, as {type URL: {name: Resource}}. Resources are immutable and shared: a table's content is
+encoded once a change, however many proxies hold it.
 
-A line is a locality of its own (zone, and the server as sub-zone), with the line's weight as the locality's:
-clients that pick localities by weight then follow the table exactly, whatever their policy for endpoints
-within one, and load reports, which every client makes by locality, tell servers apart. A client that takes
-lines one by one (LEDS) is given a locality a zone, with a collection of lines.
+An entry of a table is a locality of its own (zone, and the endpoint as sub-zone), with the entry's weight as
+the locality's: clients that pick localities by weight then follow the table exactly, whatever their policy
+for endpoints within one, and load reports, which every client makes by locality, tell endpoints apart. A
+client that takes endpoints one by one (LEDS) is given a locality a zone, with a collection of entries.
 """
 
 from collections.abc import Collection, Iterable
