--- a/swiftchute/drill/__init__.py
+++ b/swiftchute/drill/__init__.py
@@ -1,2 +1,1 @@
-"""Scripted bad days through the real planner, and the checker of the five rules from what passed on
-the sockets."""
+"""Fault scenarios played through real instances, and the invariants that judge the recorded traffic."""
--- a/swiftchute/xds/server.py
+++ b/swiftchute/xds/server.py
@@ -10,6 +10,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any, NamedTuple
 
+from envoy.config.core.v3.base_pb2 import Node
 from grpclib.config import Configuration
 from grpclib.const import Cardinality, Handler, Status
 from grpclib.exceptions import GRPCError, StreamTerminatedError
@@ -174,12 +175,15 @@
             data = await self._receive_first(stream)
             if data is None:
                 return
-            writer = self._open(stream_id, stream, data, delta)
-            while data is not None:
-                request, _ = messages.decode(data, delta)
+            request, node = messages.decode(data, delta)
+            writer = self._open(stream_id, stream, node, delta)
+            while True:
                 self._frontend.on_request(stream_id, request, self._clock())
                 self._request_round()
                 data = await receive(stream, self._max_message_bytes)
+                if data is None:
+                    break
+                request, _ = messages.decode(data, delta)
         except ProtocolViolationError as error:
             cause = error.text
             self._log.warning("stream refused", stream=stream_id, status=error.status, cause=error.text)
@@ -199,9 +203,8 @@
             self._frontend.close_stream(stream_id, cause)
             self._request_round()
 
-    def _open(self, stream_id: int, stream: Stream, data: bytes, delta: bool) -> "asyncio.Task[_Termination]":
+    def _open(self, stream_id: int, stream: Stream, node: Node, delta: bool) -> "asyncio.Task[_Termination]":
         """Connect the proxy of a stream's first request and start the stream's writer."""
-        _, node = messages.decode(data, delta)
         proxy = messages.parse_node(node, self._settings.zones)
         self._frontend.open_stream(stream_id, proxy, delta, self._clock())
         opened = self._streams[stream_id] = _OpenStream(asyncio.Queue(MAX_QUEUED_RESPONSES), delta)
