--- a/swiftchute/policy/egress_budget.py
+++ b/swiftchute/policy/egress_budget.py
@@ -1,9 +1,9 @@
-"""The egress budget: how much may be written to proxies, and what they have not acknowledged yet.
+"""The egress budget: limits what is written to proxies by what they have not acknowledged yet.
 
-All entries that were not acknowledged count as still queued. So a slow channel, a lost acknowledgement or a
-proxy that has stopped holds pushes back. The budget counts what this policy reserved for proxies that are
-connected; a frontend may observe more in the channel: what waits for sessions that have ended, what a policy
-wrote that has crashed since, and entries that the frontend added. Neither may exceed the limit.
+Every unacknowledged entry counts as still queued, so a slow channel, a lost acknowledgement or a stopped
+proxy delays pushes. The budget counts what this policy reserved for connected proxies. A frontend may observe
+more entries in the channel: those queued for ended sessions, those written by a policy that has crashed
+since, and those that the frontend added. Neither count may exceed the limit.
 """
 
 from collections.abc import Iterable
@@ -14,57 +14,57 @@
 from swiftchute.policy.state import PolicyState
 from swiftchute.policy.units import NS_PER_S
 
-# Parts of the egress queue up to which it may be filled.
+# Fractions of the egress queue limit up to which the queue may be filled.
 PUSH_THRESHOLD = 0.5  # by ordinary pushes and assignments
-DRAIN_NOTICE_THRESHOLD = 0.7  # by assignments and ejections that tell of drains: drains in tables pass them
-URGENT_THRESHOLD = 0.9  # by urgent entries of tables
-QUEUE_THRESHOLD = 0.95  # by everything that may wait; the rest is for entries that a frontend adds
-PUSH_QUOTA_FRACTION = 0.6  # part of a proxy's message quota for ordinary pushes; the rest is for urgent ones
-MIN_QUEUED_FRACTION = 0.1  # of the queue, ahead of a message whose acknowledgement tells of the speed
-MIN_CHANNEL_SPEED_RATIO = 0.15  # the channel is not taken for slower than this part of its nominal speed
+DRAIN_NOTICE_THRESHOLD = 0.7  # by assignments and ejections due to drains; drains in tables may exceed it
+URGENT_THRESHOLD = 0.9  # by urgent table entries
+QUEUE_THRESHOLD = 0.95  # by all queued entries; the rest is for entries that a frontend adds
+PUSH_QUOTA_FRACTION = 0.6  # of a proxy's message quota for ordinary pushes; the rest is for urgent ones
+MIN_QUEUED_FRACTION = 0.1  # of the queue, ahead of a message whose latency is used to estimate the speed
+MIN_CHANNEL_SPEED_RATIO = 0.15  # lower bound of the estimated speed / nominal speed
 SLOW_CHANNEL_RATIO = 0.5  # speed / nominal speed below which operators are told
-SPEED_RECOVERY_FACTOR = 2  # growth of the speed in an evaluation without any evidence
-MAX_TRACKED_NONCES = 2000  # nonces of which the entries queued ahead are remembered
-MAX_NONCE = 60_000  # after which nonces begin again
-ACK_REQUEST_ENTRIES = 1  # size of the request for an acknowledgement in a message
+SPEED_RECOVERY_FACTOR = 2  # growth of the estimated speed per evaluation without evidence
+MAX_TRACKED_NONCES = 2000  # nonces for which the queue length is remembered
+MAX_NONCE = 60_000  # the next nonce after it is 1
+ACK_REQUEST_ENTRIES = 1  # size of an acknowledgement request within a message
 
 
 class EgressBudget:
-    """The entries reserved in this round, and those on their way to the proxies.
+    """Tracks the entries reserved in this round and those not yet acknowledged by the proxies.
 
     Attributes:
-        unacknowledged_entries: Entries written that no proxy has acknowledged.
-        channel_speed_ratio: Speed of the channel as a part of its nominal speed.
-        nonce: Nonce of the last round that wrote something.
-        reserved_entries: Entries of this round's message, by proxy.
+        unacknowledged_entries: Entries written to connected proxies and not acknowledged by them.
+        channel_speed_ratio: Estimated speed of the channel / its nominal speed.
+        nonce: Nonce of the last round that wrote to any proxy.
+        reserved_entries: Size of this round's message by proxy, in entries.
     """
 
     def __init__(self) -> None:
-        """Create the budget of a channel that is empty and has its nominal speed."""
+        """Create the budget of an empty channel that is assumed to run at nominal speed."""
         self.unacknowledged_entries: float = 0
         self.channel_speed_ratio = 1.0
         self.nonce = 0
         self.reserved_entries: dict[ProxyId, float] = {}
-        self._unreserved_entries: float = 0  # in the channel, and not in `unacknowledged_entries`
-        self._max_observed_ratio = 0.0  # the fastest since the last evaluation
+        self._unreserved_entries: float = 0  # observed in the channel beyond `unacknowledged_entries`
+        self._max_observed_ratio = 0.0  # highest speed / nominal speed since the last evaluation
         self._queued_entries_at_nonce: dict[int, float] = {}
 
     @property
     def queued_entries(self) -> float:
-        """Entries that may wait in the channel."""
+        """Entries that may be queued in the channel, reserved by this policy or not."""
         return self.unacknowledged_entries + self._unreserved_entries
 
     def begin_round(self) -> None:
-        """Start a round in which nothing is reserved yet."""
+        """Start a round without any reservation."""
         self.reserved_entries = {}
         self._unreserved_entries = 0
 
     def release(self, proxy: Proxy) -> None:
-        """Give back what a disconnected proxy has not acknowledged."""
+        """Release the unacknowledged entries of a disconnected proxy."""
         self.unacknowledged_entries -= sum(proxy.unacknowledged_entries.values())
 
     def on_push_acknowledged(self, state: PolicyState, event: PushAcknowledged) -> None:
-        """Give back the entries of a message and of all before it to the same proxy."""
+        """Release the entries of a message and of all earlier ones to the same proxy."""
         proxy = state.proxies.get(event.proxy)
         if proxy is None or event.nonce not in proxy.unacknowledged_entries:
             return
@@ -74,13 +74,13 @@
             self.unacknowledged_entries -= pending.pop(next(iter(pending)))
 
     def on_egress_queue_observed(self, event: EgressQueueObserved) -> None:
-        """Count what is in the channel beyond what was reserved."""
+        """Record how many entries the channel holds beyond the unacknowledged ones."""
         self._unreserved_entries = max(event.entries - self.unacknowledged_entries, 0)
 
     def update_channel_speed(self, state: PolicyState) -> None:
-        """Move the channel's speed half of the way to what acknowledgements showed since the last call.
+        """Move the estimated speed halfway to the speed that acknowledgements showed since the last call.
 
-        The fastest one tells of the channel, the others of their proxies. Without any the channel recovers.
+        Only the fastest counts: slower ones may be due to their proxies. Without any the estimate recovers.
         """
         recovered = min(SPEED_RECOVERY_FACTOR * self.channel_speed_ratio, 1.0)
         observed = self._max_observed_ratio or recovered
@@ -97,17 +97,17 @@
         threshold: float = URGENT_THRESHOLD,
         quota_fraction: float = 1.0,
     ) -> bool:
-        """Reserve capacity for entries to each of the proxies.
+        """Reserve capacity for a number of entries to each of the proxies.
 
         Args:
             state: State of the policy.
-            proxies: Proxies that are written to.
-            entries: Entries for each of them.
-            threshold: Part of the egress queue that may be filled.
-            quota_fraction: Part of each proxy's message quota that may be used.
+            proxies: Proxies to write to.
+            entries: Number of entries for each of them.
+            threshold: Fraction of the egress queue limit that may be used.
+            quota_fraction: Fraction of each proxy's message quota that may be used.
 
         Returns:
-            False, without reserving anything, if the channel or a proxy's quota lacks the capacity.
+            False, with nothing reserved, if the channel or the message quota of a proxy lacks capacity.
         """
         overhead = state.settings.message_overhead_entries + ACK_REQUEST_ENTRIES
         costs = {p: entries + (0 if p in self.reserved_entries else overhead) for p in proxies}
@@ -121,7 +121,7 @@
         return True
 
     def end_round(self, state: PolicyState) -> None:
-        """Request acknowledgements of what was written in this round."""
+        """Request an acknowledgement from each proxy written to in this round."""
         if not self.reserved_entries:
             return
         self.nonce = self.nonce % MAX_NONCE + 1
@@ -135,7 +135,7 @@
             proxy.unacknowledged_entries[self.nonce] = entries
 
     def _observe_speed(self, state: PolicyState, event: PushAcknowledged) -> None:
-        """Compare the time that the entries ahead of a message take at nominal speed with its latency."""
+        """Estimate the speed: time of the queued entries at nominal speed / acknowledgement latency."""
         settings = state.settings
         queued = self._queued_entries_at_nonce.get(event.nonce, 0)
         if queued > MIN_QUEUED_FRACTION * settings.egress_queue_limit_entries:
@@ -144,19 +144,19 @@
             self._max_observed_ratio = max(self._max_observed_ratio, nominal_ns / latency_ns)
 
     def _channel_has_capacity(self, state: PolicyState, cost: float, threshold: float) -> bool:
-        """Return whether the queue may take a cost in entries.
+        """Return whether the queue has room for `cost` more entries.
 
-        A slow channel may hold no more than leaves it in the same time: a drain behind more would be late.
+        A slow channel may hold only what it sends in the same time: a drain queued behind more would be late.
         """
         limit = state.settings.egress_queue_limit_entries
         own_limit = threshold * limit
-        own = self.unacknowledged_entries
-        if own + cost > own_limit or own > self.channel_speed_ratio * own_limit:
+        own_entries = self.unacknowledged_entries
+        if own_entries + cost > own_limit or own_entries > self.channel_speed_ratio * own_limit:
             return False
         return self.queued_entries + cost <= QUEUE_THRESHOLD * limit
 
     def _quotas_allow(self, state: PolicyState, proxies: Iterable[ProxyId], quota_fraction: float) -> bool:
-        """Return whether each proxy without a message in this round may be sent one."""
+        """Return whether the quotas allow a message to each proxy that has none in this round yet."""
         settings = state.settings
         if not settings.message_quota:
             return True
--- a/swiftchute/policy/load_stats.py
+++ b/swiftchute/policy/load_stats.py
@@ -1,4 +1,4 @@
-"""What load and demand reports say: request rates, cost of answers by endpoint, and the load of a zone."""
+"""Statistics from load and demand reports: request rates, cost per success of an endpoint, load of a zone."""
 
 from collections import deque
 from collections.abc import Collection, Iterable
@@ -10,29 +10,29 @@
 from swiftchute.policy.state import PolicyState
 from swiftchute.policy.units import NS_PER_MS, NS_PER_S
 
-MAX_SAMPLE_AGE_NS = 2500 * NS_PER_MS  # a report counts for so long after its window, or its successor is due
+MAX_SAMPLE_AGE_NS = 2500 * NS_PER_MS  # how long a report stays valid after the next one is due
 MAX_LOAD_RATIO_SAMPLE_AGE_NS = (
     1 * NS_PER_S
-)  # the same for the load of a zone: admission needs fresher reports
-MIN_ATTEMPTS = 6  # with fewer attempts the figures of an endpoint, or of a zone, are chance
-MIN_COST_NS = 1.0  # collectors may round a mean latency down to 0; costs are divided by
-MIN_SUCCESSES = 0.1  # stands for no success at all in the cost of a good answer
-CALM_LOAD_RATIO = 0.35  # latency / objective below which a zone is not overloaded
-FLOODED_LOAD_RATIO = 1.0  # latency / objective above which most requests of a zone are answered too late
+)  # the same for zone load ratios: admission control needs fresher reports
+MIN_ATTEMPTS = 6  # statistics of an endpoint or zone over fewer attempts are mostly noise
+MIN_COST_NS = 1.0  # avoids division by zero: collectors may round a mean latency down to 0
+MIN_SUCCESSES = 0.1  # avoids division by zero where no attempt succeeded
+NORMAL_LOAD_RATIO = 0.35  # latency / objective below which a zone is not overloaded
+SEVERE_LOAD_RATIO = 1.0  # latency / objective above which most requests of a zone miss the objective
 
 
 class RecentStats(NamedTuple):
-    """Recent attempts at an endpoint."""
+    """Statistics of the recent attempts at an endpoint."""
 
     attempts: int
     failures: int
-    cost_ns: float  # mean cost of a good answer, above 0, where a failed attempt costs a latency objective
+    cost_ns: float  # time per success, above 0; a failed attempt counts as one latency objective
 
 
 def record_load_report(state: PolicyState, report: EndpointLoadReport) -> None:
-    """Keep a load report of a known endpoint.
+    """Store a load report of a known endpoint.
 
-    Large fleets report in turn: a report stands until the next of its kind is due, one window later.
+    In large fleets proxies report in turn, so a report is current until the next one is due, a window later.
     """
     endpoint = state.endpoints.get(report.endpoint)
     if endpoint is not None:
@@ -49,7 +49,7 @@
 
 
 def record_demand_report(state: PolicyState, report: DemandReport) -> None:
-    """Keep a demand report of a connected proxy."""
+    """Store a demand report of a connected proxy."""
     proxy = state.proxies.get(report.proxy)
     if proxy is not None:
         samples = proxy.demand.setdefault(report.operation, deque(maxlen=MAX_DEMAND_SAMPLES))
@@ -57,7 +57,7 @@
 
 
 def request_rate(proxy: Proxy) -> float:
-    """Return the requests per second that reached a proxy; before any report, what it announced."""
+    """Return the requests per second at a proxy; before the first report, the rate that it announced."""
     rates = [
         sum(requests for requests, _ in samples)
         * NS_PER_S
@@ -68,41 +68,41 @@
 
 
 def zone_request_rate(state: PolicyState, zone: str) -> float:
-    """Return the requests per second that reached a zone's proxies, repeats of rejected ones included."""
+    """Return the requests per second at a zone's proxies, including repeats of rejected requests."""
     return sum(request_rate(proxy) for proxy in state.proxies.values() if proxy.zone == zone)
 
 
 def is_suspended(state: PolicyState, proxy_zone: str, endpoint_zone: str) -> bool:
-    """Return whether the network between two zones was found unhealthy a short while ago."""
+    """Return whether a pair of zones is suspended because the network between them was found unhealthy."""
     pair = state.zone_pairs.get((proxy_zone, endpoint_zone))
     return pair is not None and pair.suspended_until_ns > state.now_ns
 
 
 def endpoint_stats(state: PolicyState, endpoint: Endpoint) -> RecentStats:
-    """Sum up the recent reports of an endpoint.
+    """Aggregate the recent reports of an endpoint.
 
-    Reports from behind an unhealthy network between zones say nothing about the endpoint: they do not count.
+    Reports from zones behind an unhealthy network are ignored: they say nothing about the endpoint itself.
     """
     oldest_ns = state.now_ns - MAX_SAMPLE_AGE_NS
     samples = [sample for sample in endpoint.samples if sample.next_report_ns >= oldest_ns]
     ignored = [zone for zone in state.settings.zones if is_suspended(state, zone, endpoint.zone)]
     if ignored:
         samples = [sample for sample in samples if sample.proxy_zone not in ignored]
-    return _sum_up(state, samples)
+    return _aggregate(state, samples)
 
 
 def _zone_stats(state: PolicyState, endpoint: Endpoint, proxy_zone: str) -> RecentStats:
-    """Sum up the latest reports of an endpoint by the proxies of one zone."""
+    """Aggregate the latest reports of an endpoint from the proxies of one zone."""
     oldest_ns = state.now_ns - MAX_LOAD_RATIO_SAMPLE_AGE_NS
     samples = [
         sample
         for sample in endpoint.samples
         if sample.proxy_zone == proxy_zone and sample.next_report_ns >= oldest_ns
     ]
-    return _sum_up(state, samples)
+    return _aggregate(state, samples)
 
 
-def _sum_up(state: PolicyState, samples: Iterable[LoadSample]) -> RecentStats:
+def _aggregate(state: PolicyState, samples: Iterable[LoadSample]) -> RecentStats:
     attempts = failures = latency_ns = 0
     for _, sample_attempts, sample_failures, mean_latency_ns, _, _ in samples:
         attempts += sample_attempts
@@ -116,13 +116,13 @@
 def success_rate(
     state: PolicyState, proxy_zone: str, endpoints: Iterable[Endpoint], max_window_ns: int
 ) -> float:
-    """Return the good answers per second to the proxies of a zone, by the last report of each endpoint.
+    """Return the successes per second at a zone's proxies, from the latest valid report of each endpoint.
 
     Args:
         state: State of the policy.
         proxy_zone: Zone of the proxies.
-        endpoints: Endpoints that answer.
-        max_window_ns: Reports over longer windows do not count.
+        endpoints: Endpoints whose successes are counted.
+        max_window_ns: Reports over longer windows are ignored.
     """
     oldest_ns = state.now_ns - MAX_SAMPLE_AGE_NS
     rates = []
@@ -142,19 +142,19 @@
 def zone_load_ratio(
     state: PolicyState, proxy_zone: str, endpoint_zones: Collection[str], quantile: float
 ) -> float | None:
-    """Return the cost of a good answer to a zone's proxies as a multiple of the latency objective.
+    """Return the cost per success for a zone's proxies as a multiple of the latency objective.
 
-    It is a quantile of the endpoints by attempts: a few unhealthy ones concern outlier detection, and are no
-    load.
+    The ratio is a quantile over endpoints, weighted by attempts: a few unhealthy endpoints are a matter of
+    outlier detection and do not mean that the zone is loaded.
 
     Args:
         state: State of the policy.
         proxy_zone: Zone of the proxies.
         endpoint_zones: Zones of the endpoints.
-        quantile: Part of all attempts that reached endpoints with a lower cost, 0 to 1.
+        quantile: Fraction of the attempts that went to endpoints of lower or equal cost, 0 to 1.
 
     Returns:
-        The ratio, or None with too few attempts.
+        The ratio, or None if there were too few attempts.
     """
     stats = [_zone_stats(state, e, proxy_zone) for e in state.endpoints.values() if e.zone in endpoint_zones]
     costs = sorted((each.cost_ns, each.attempts) for each in stats if each.attempts)
--- a/swiftchute/policy/outlier_detection.py
+++ b/swiftchute/policy/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection: endpoints whose answers cost more than usual get less weight."""
+"""Outlier detection: lowers the weight of endpoints that fail more or answer slower than the median."""
 
 from statistics import median
 
@@ -12,28 +12,30 @@
 
 MIN_HEALTH_WEIGHT = 0.25
 MAX_HEALTH_WEIGHT = 1.3
-MAX_WARMING_UP_HEALTH_WEIGHT = 1.0  # an endpoint under little load looks fast
-ADJUSTMENT_STEP = 0.25  # part of the way to its target, in logarithms, that a weight goes in one evaluation
-IMMEDIATE_FAILURE_FRACTION = 0.8  # failures / attempts above which a weight falls to its target at once
-REMOVAL_FAILURE_FRACTION = 0.5  # failures / attempts above which a suspected removal is believed
-UNOBSERVED_RECOVERY_FACTOR = 1.15  # growth in one evaluation of a low weight that gets no attempts
-REPORTED_HEALTH_WEIGHT = 0.5  # operators are told of endpoints with a lower one
-MIN_OBSERVED_ENDPOINTS = 2  # with fewer there is no usual cost to compare with
+MAX_WARMING_UP_HEALTH_WEIGHT = 1.0  # a warming endpoint gets little load and so looks fast
+ADJUSTMENT_STEP = 0.25  # fraction of the logarithmic distance to its target moved per evaluation
+IMMEDIATE_FAILURE_FRACTION = 0.8  # failures / attempts above which a weight drops to its target at once
+REMOVAL_FAILURE_FRACTION = 0.5  # failures / attempts above which a suspected removal is confirmed
+UNOBSERVED_RECOVERY_FACTOR = 1.15  # growth per evaluation of a low weight without attempts
+REPORTED_HEALTH_WEIGHT = 0.5  # a lower weight is reported to the operators
+MIN_OBSERVED_ENDPOINTS = 2  # with fewer there is no median to compare with
 
 
 class OutlierDetector:
-    """Compares each ready endpoint's cost of a good answer with the usual one.
+    """Compares each ready endpoint's cost per success with the median of all.
 
     Attributes:
-        evaluation_count: Evaluations with enough evidence so far.
+        evaluation_count: Number of evaluations so far that had enough attempts to compare.
     """
 
     def __init__(self) -> None:
-        """Create a detector that knows nothing yet."""
+        """Create a detector without any evaluation."""
         self.evaluation_count = 0
 
     def evaluate(self, state: PolicyState, ready: dict[str, Endpoint]) -> bool:
-        """Update the health weights; returns False, without any change, if there is too little evidence.
+        """Update the health weights, and return whether there were enough attempts to do so.
+
+        Without them nothing changes.
 
         Args:
             state: State of the policy.
@@ -71,10 +73,11 @@
         )
 
     def _step(self, endpoint: Endpoint, stats: RecentStats, target: float, warming_up: bool) -> float:
-        """Return the part of the way to its target that a weight goes now.
+        """Return the fraction of the distance to its target that a weight moves in this evaluation.
 
-        Reports are late, so a weight goes step by step. It falls at once where nearly all attempts fail, as
-        timeouts are late already; and the first evaluations after a start weigh as much as all so far.
+        Reports lag, so weights move in steps. A weight drops at once where nearly all attempts fail, because
+        timeouts are reported late already. The first evaluations after a start take larger steps, each of
+        1 / (1 + evaluations so far).
         """
         failing = stats.failures > IMMEDIATE_FAILURE_FRACTION * stats.attempts
         if failing and target < endpoint.health_weight:
@@ -83,6 +86,6 @@
 
 
 def _recover_unobserved(endpoint: Endpoint) -> None:
-    """Raise a low weight step by step until there is evidence: none is not good evidence."""
+    """Raise a low weight step by step: the lack of attempts does not show that the endpoint is healthy."""
     raised = min(endpoint.health_weight * UNOBSERVED_RECOVERY_FACTOR, 1.0)
     endpoint.health_weight = max(endpoint.health_weight, raised)
--- a/swiftchute/policy/slow_start.py
+++ b/swiftchute/policy/slow_start.py
@@ -1,7 +1,7 @@
-"""Slow start: what an endpoint that has just started may be sent until it has warmed up."""
+"""Slow start: limits the request rate of a recently started endpoint until it has warmed up."""
 
 from swiftchute.policy.load_stats import (
-    FLOODED_LOAD_RATIO,
+    SEVERE_LOAD_RATIO,
     request_rate,
     success_rate,
     zone_request_rate,
@@ -10,16 +10,16 @@
 from swiftchute.policy.state import MAX_THROUGHPUT_SAMPLES, PolicyState
 from swiftchute.policy.units import NS_PER_S
 
-INITIAL_WEIGHT_FRACTION = 0.25  # part of its weight with which an endpoint starts
-OVERLOAD_SAFETY_FACTOR = 0.4  # part of the permitted rate that a table plans for: proxies' choices vary
-MIN_WARMING_UP_ADMISSION_RATE = 0.1  # where all endpoints of a table are warming up
+INITIAL_WEIGHT_FRACTION = 0.25  # fraction of its full weight that a starting endpoint gets
+OVERLOAD_SAFETY_FACTOR = 0.4  # fraction of the permitted rate to plan for: proxies' choices vary
+MIN_WARMING_UP_ADMISSION_RATE = 0.1  # lower bound where all endpoints of a table are warming up
 MAX_REPORT_WINDOW_NS = MAX_THROUGHPUT_SAMPLES * NS_PER_S  # longer reports say nothing about throughput
-MIN_TOTAL_WEIGHT = 0.001  # stands for no weight at all in a quotient
-MIN_REQUEST_RATE_PER_S = 0.1  # stands for no requests at all in a quotient
+MIN_TOTAL_WEIGHT = 0.001  # replaces a zero weight in divisions
+MIN_REQUEST_RATE_PER_S = 0.1  # replaces a zero rate in divisions
 
 
 def warmup_progress(state: PolicyState, endpoint: Endpoint) -> float:
-    """Return how far an endpoint is on the longest way to being warm, from 0 at its start to 1."""
+    """Return the elapsed fraction of the maximum warm-up time, from 0 at the endpoint's start to 1."""
     if not endpoint.started_ns:
         return 1.0
     return min(max((state.now_ns - endpoint.started_ns) / state.settings.max_warmup_ns, 0), 1)
@@ -31,13 +31,13 @@
 
 
 def endpoint_weight(state: PolicyState, endpoint: Endpoint) -> float:
-    """Return the weight of an endpoint by its list, its health and its warm-up."""
+    """Return the effective weight: listed weight, corrected for health and warm-up."""
     ramp = INITIAL_WEIGHT_FRACTION + (1 - INITIAL_WEIGHT_FRACTION) * warmup_progress(state, endpoint)
     return endpoint.listed_weight * endpoint.health_weight * ramp
 
 
 def record_throughput(state: PolicyState, ready: dict[str, Endpoint]) -> None:
-    """Note for each zone what its warm endpoints answer per second and unit of weight."""
+    """Record the successes per second and unit of weight of each zone's warm endpoints."""
     for zone in state.settings.zones:
         warm = [e for e in ready.values() if e.zone == zone and not is_warming_up(state, e)]
         if warm:
@@ -52,7 +52,7 @@
 def max_request_rate(state: PolicyState, endpoint: Endpoint) -> float:
     """Return the requests per second that a warming endpoint may be sent.
 
-    That is a safe part of the multiple of its present capacity at which it would be overloaded.
+    This is a safe fraction of the multiple of its current capacity at which it would be overloaded.
     """
     start_fraction = state.settings.start_capacity_fraction
     capacity_fraction = start_fraction + (1 - start_fraction) * warmup_progress(state, endpoint)
@@ -62,9 +62,9 @@
 
 
 def _full_throughput(state: PolicyState, zone: str) -> float:
-    """Return requests per second and unit of weight that stand for the full capacity of a zone's endpoints.
+    """Estimate the full capacity of a zone's endpoints, in requests per second and unit of weight.
 
-    It is the most that they answered of late; before any report, what the proxies announced.
+    The estimate is the highest recent throughput; before any report, it follows from the announced rates.
     """
     observed = max(state.observed_throughput.get(zone, ()), default=0)
     if observed:
@@ -74,15 +74,15 @@
 
 
 def limit_warming_endpoints(state: PolicyState, table: EndpointTable, entries: dict[str, float]) -> float:
-    """Limit the weights of warming endpoints to what they may be sent, whatever the others take.
+    """Limit the weights of warming endpoints so that none exceeds its maximum request rate.
 
     Args:
         state: State of the policy.
-        table: The table for which the entries are.
-        entries: Weights by endpoint; limited, or taken out, in place.
+        table: Table that the entries are for.
+        entries: Weights by endpoint; warming endpoints are limited or removed in place.
 
     Returns:
-        The admission rate at which warming endpoints alone can carry the table; 1 beside warm endpoints.
+        The admission rate that the warming endpoints can serve alone; 1 if the table has warm endpoints.
     """
     warming = [name for name in entries if is_warming_up(state, state.endpoints[name])]
     if not warming:
@@ -91,7 +91,7 @@
     max_shares = {name: max_request_rate(state, state.endpoints[name]) / table_rate for name in warming}
     total_share = sum(max_shares.values())
     warm_weight = sum(weight for name, weight in entries.items() if name not in max_shares)
-    if warm_weight and _must_wait(state, table.zone, total_share):
+    if warm_weight and _must_exclude_warming(state, table.zone, total_share):
         for name in warming:
             del entries[name]
         return 1.0
@@ -103,21 +103,21 @@
 
 
 def _table_request_rate(state: PolicyState, table: EndpointTable) -> float:
-    """Return the requests per second admitted by a table's proxies, at least its part of its zone's."""
+    """Return the admitted requests per second of a table's proxies, at least an equal share of the zone's."""
     assigned = [p for p in state.proxies.values() if (p.zone, p.subset) == (table.zone, table.subset)]
     zone_part = zone_request_rate(state, table.zone) / state.subset_counts[table.zone]
     return max(sum(request_rate(proxy) for proxy in assigned), zone_part) * table.admission_rate
 
 
-def _must_wait(state: PolicyState, zone: str, total_share: float) -> bool:
-    """Return whether warming endpoints must stay out of a table with warm ones.
+def _must_exclude_warming(state: PolicyState, zone: str, total_share: float) -> bool:
+    """Return whether warming endpoints must be left out of a table that also has warm ones.
 
-    Where proxies avoid endpoints that fail, a small entry beside failing ones soon gets everything. So it is
-    in a flooded zone that the warming endpoints could not carry. The first reports after a start come from
-    the first proxies to connect, so a flood may not be known yet.
+    Where proxies avoid failing endpoints, the few that do not fail soon get all requests, even those of low
+    weight. So warming endpoints are left out of an overloaded zone that they could not serve. The first
+    reports after a start come from the first proxies to connect, so an overload may not be known yet.
     """
     if not state.settings.ejection_failures:
         return False
-    unknown = len(state.observed_throughput[zone]) < REPORT_LAG_EVALUATIONS
-    flooded = (state.load_ratios[zone] or 0) > FLOODED_LOAD_RATIO
-    return unknown or (flooded and total_share < OVERLOAD_SAFETY_FACTOR)
+    load_unknown = len(state.observed_throughput[zone]) < REPORT_LAG_EVALUATIONS
+    overloaded = (state.load_ratios[zone] or 0) > SEVERE_LOAD_RATIO
+    return load_unknown or (overloaded and total_share < OVERLOAD_SAFETY_FACTOR)
--- a/swiftchute/policy/zone_spillover.py
+++ b/swiftchute/policy/zone_spillover.py
@@ -1,25 +1,25 @@
-"""Cross-zone spillover: how much of its requests a loaded zone sends to the endpoints of others."""
+"""Cross-zone spillover: how many of its requests a loaded zone sends to endpoints of other zones."""
 
 from swiftchute.policy.conditions import report_condition
-from swiftchute.policy.load_stats import CALM_LOAD_RATIO, is_suspended, zone_load_ratio
+from swiftchute.policy.load_stats import NORMAL_LOAD_RATIO, is_suspended, zone_load_ratio
 from swiftchute.policy.model import ZonePair, ZonePairKey
 from swiftchute.policy.state import PolicyState
 from swiftchute.policy.units import NS_PER_S
 
-START_LOAD_RATIO = 0.12  # latency / objective from which a zone spills over, without a price of crossing
-START_LOAD_RATIO_PER_PRICE = 0.6  # added to it for a cross-zone price of 1
-FULL_LOAD_RATIO_RANGE = 0.28  # so much above the start a zone spills over in full
-EXPONENT = 1.5  # little at first: on calm days requests stay in their zone
-RISE_STEP = 0.6  # part of the way up that the fraction goes in one evaluation
-FALL_STEP = 0.05  # the same for the way down: causes tend to stay
-MIN_SPILLOVER_FRACTION = 0.05  # a smaller fraction is not worth its entries
-SATURATED_FRACTION = 0.8  # from here on other zones have no capacity left to offer
+START_LOAD_RATIO = 0.12  # latency / objective where spillover starts if crossing zones is free
+START_LOAD_RATIO_PER_PRICE = 0.6  # added to the above for a cross-zone price of 1
+FULL_LOAD_RATIO_RANGE = 0.28  # distance from the start of spillover to full spillover
+SPILLOVER_EXPONENT = 1.5  # > 1: little spillover at first, so that under normal load requests stay local
+RISE_STEP = 0.6  # fraction of the distance to a higher target covered per evaluation
+FALL_STEP = 0.05  # the same for a lower target: causes of load tend to persist
+MIN_SPILLOVER_FRACTION = 0.05  # smaller fractions are not worth the table entries
+SATURATED_FRACTION = 0.8  # above it other zones count as having no spare capacity
 MAX_REMOTE_LOAD_MULTIPLE = (
-    1.8  # a pair whose good endpoints cost more than so many times the usual is unhealthy
+    1.8  # a pair whose better endpoints exceed this multiple of the zone's load ratio is unhealthy
 )
-SUSPENSION_NS = 12 * NS_PER_S  # an unhealthy pair carries no spillover for so long
-LOAD_QUANTILE = 0.5  # the endpoint in the middle stands for the zone
-PAIR_QUANTILE = 0.25  # an unhealthy network makes even the better endpoints behind it look bad
+SUSPENSION_NS = 12 * NS_PER_S  # how long an unhealthy pair carries no spillover
+LOAD_QUANTILE = 0.5  # the median endpoint represents the zone
+PAIR_QUANTILE = 0.25  # a bad network makes even the better endpoints behind it look bad
 
 
 def evaluate_spillover(state: PolicyState) -> None:
@@ -36,7 +36,7 @@
 
 
 def is_saturated(state: PolicyState, zone: str) -> bool:
-    """Return whether a zone spills over as much as it can to all others."""
+    """Return whether a zone already spills over to every other zone as much as possible."""
     return all(
         pair.spillover_fraction > SATURATED_FRACTION or pair.suspended_until_ns > state.now_ns
         for (proxy_zone, _), pair in state.zone_pairs.items()
@@ -45,10 +45,10 @@
 
 
 def _evaluate_pair(state: PolicyState, key: ZonePairKey, pair: ZonePair, load_ratio: float) -> None:
-    """Suspend a pair whose proxies fare far worse there, and move its fraction towards its target."""
+    """Suspend a pair whose remote load ratio is far too high, and move its fraction towards the target."""
     proxy_zone, endpoint_zone = key
     remote_ratio = zone_load_ratio(state, proxy_zone, (endpoint_zone,), PAIR_QUANTILE)
-    unhealthy_ratio = MAX_REMOTE_LOAD_MULTIPLE * max(load_ratio, CALM_LOAD_RATIO)
+    unhealthy_ratio = MAX_REMOTE_LOAD_MULTIPLE * max(load_ratio, NORMAL_LOAD_RATIO)
     if remote_ratio is not None and remote_ratio > unhealthy_ratio:
         pair.suspended_until_ns = state.now_ns + SUSPENSION_NS
     suspended = is_suspended(state, proxy_zone, endpoint_zone)
@@ -62,7 +62,7 @@
 
 
 def _target_fraction(load_ratio: float, cross_zone_price: float) -> float:
-    """Return the fraction to spill over at a load ratio, given the price of a request that crosses zones."""
+    """Return the spillover fraction for a load ratio, given the price of a request that crosses zones."""
     excess = load_ratio - START_LOAD_RATIO - START_LOAD_RATIO_PER_PRICE * cross_zone_price
-    fraction: float = min(max(excess / FULL_LOAD_RATIO_RANGE, 0.0), 1.0) ** EXPONENT
+    fraction: float = min(max(excess / FULL_LOAD_RATIO_RANGE, 0.0), 1.0) ** SPILLOVER_EXPONENT
     return fraction
