--- a/swiftchute/policy/desired_tables.py
+++ b/swiftchute/policy/desired_tables.py
@@ -1,4 +1,4 @@
-"""Desired tables: the entries that each table should have by health, warm-up, spillover and admission."""
+"""Desired tables: computes the entries of each table from health, warm-up, spillover and admission."""
 
 from swiftchute.policy.model import ADMISSION_KEY, Endpoint, EndpointTable
 from swiftchute.policy.publishing import is_urgent_drop
@@ -6,16 +6,16 @@
 from swiftchute.policy.state import PolicyState
 from swiftchute.policy.zone_spillover import MIN_SPILLOVER_FRACTION
 
-MIN_WEIGHT_CHANGE = 0.12  # a weight that changes by less than this part of itself stays
-MIN_ADMISSION_CHANGE = 0.04  # the same for an admission rate
+MIN_WEIGHT_CHANGE = 0.12  # smaller relative changes of a weight are ignored
+MIN_ADMISSION_CHANGE = 0.04  # the same for admission rates
 WEIGHT_DIGITS = 4  # decimal places of weights and admission rates
-MIN_WEIGHT = 0.0001  # in place of a weight that would be rounded to 0, which removes an entry
+MIN_WEIGHT = 0.0001  # replaces a weight that would be rounded to 0, as 0 removes the entry
 
 Entries = dict[str, float]
 
 
 def compute_desired_tables(state: PolicyState) -> None:
-    """Compute the entries of each table, and note when they change."""
+    """Compute the desired entries of each table, and record when they change."""
     ready = state.ready_endpoints()
     weights = {name: endpoint_weight(state, endpoint) for name, endpoint in ready.items()}
     for table in state.all_tables():
@@ -27,7 +27,7 @@
 
 
 def _local_entries(table: EndpointTable, ready: dict[str, Endpoint], weights: Entries) -> Entries:
-    """Return entries for the endpoints of the table's subset; without any, for those of its zone."""
+    """Return entries for the endpoints of the table's subset, or of its zone if the subset has none."""
     in_zone = [name for name, endpoint in ready.items() if endpoint.zone == table.zone]
     in_subset = [name for name in in_zone if ready[name].subset == table.subset]
     return {name: weights[name] for name in in_subset or in_zone}
@@ -40,10 +40,10 @@
     weights: Entries,
     warming_only: bool,
 ) -> Entries:
-    """Return entries for endpoints of other zones, by the spillover between the zones.
+    """Return entries for endpoints of other zones, weighted by the spillover between the zones.
 
-    A table whose own endpoints are all warming up, or that has none, uses the others in full. Warming ones
-    are left out unless there are no others.
+    A table without local endpoints, or whose local endpoints are all warming up, uses the remote ones at full
+    weight. Warming remote endpoints are left out, unless such a table has no other remote ones.
     """
     if table.zone_local:
         return {}
@@ -53,7 +53,7 @@
         for name, endpoint in ready.items()
         if endpoint.zone != table.zone
     }
-    fractions = _own_part(state, table, ready, fractions)
+    fractions = _table_partition(state, table, ready, fractions)
     entries = {
         name: fraction * weights[name]
         for name, fraction in fractions.items()
@@ -64,7 +64,7 @@
 
 
 def _spillover_fractions(state: PolicyState, zone: str) -> dict[str, float]:
-    """Return the part of the endpoints' weight that a zone's tables carry, by zone of the endpoints."""
+    """Return the spillover fractions from a zone to other zones, by zone of the endpoints."""
     return {
         endpoint_zone: pair.spillover_fraction
         for (proxy_zone, endpoint_zone), pair in state.zone_pairs.items()
@@ -72,23 +72,28 @@
     }
 
 
-def _own_part(
+def _table_partition(
     state: PolicyState, table: EndpointTable, ready: dict[str, Endpoint], fractions: dict[str, float]
 ) -> dict[str, float]:
-    """Return the table's part of the remote endpoints, or all of them if it has none.
+    """Return the table's partition of the remote endpoints, or all of them if its partition is empty.
 
     With all of them in each table, connections and entries would grow as proxies times endpoints.
     """
-    parts = max(state.subset_counts.values())
-    part = table.subset + state.settings.zones.index(table.zone)
-    own = {name: fraction for name, fraction in fractions.items() if (ready[name].order - part) % parts == 0}
+    partition_count = max(state.subset_counts.values())
+    partition = table.subset + state.settings.zones.index(table.zone)
+    own = {
+        name: fraction
+        for name, fraction in fractions.items()
+        if (ready[name].listing_index - partition) % partition_count == 0
+    }
     return own or fractions
 
 
 def _add_admission(state: PolicyState, table: EndpointTable, entries: Entries) -> None:
-    """Limit warming endpoints, and add the entry of the admission rate; it is negative without retries.
+    """Limit warming endpoints, and add the admission entry, which is negative if retries are disabled.
 
-    Beside warming endpoints there are no retries: what full endpoints reject would be retried at those.
+    A table with warming endpoints allows no retries: requests that full endpoints reject would be retried at
+    the warming ones.
     """
     rate = min(limit_warming_endpoints(state, table, entries), table.admission_rate)
     may_retry = table.retry_policy and not any(
@@ -98,10 +103,10 @@
 
 
 def _update_desired(state: PolicyState, table: EndpointTable, entries: Entries) -> None:
-    """Replace the desired entries where they changed enough, and start or extend the table's debounce."""
+    """Update desired entries that changed enough, and start or extend the table's debounce."""
     before = table.desired
     table.desired = {name: weight for name, weight in before.items() if name in entries}
-    # by what was published: an entry may wait for its removal when its endpoint begins to drain
+    # checks published entries, as one may already wait for its removal when its endpoint begins to drain
     table.urgent |= any(
         not state.endpoints[name].is_ready for name in table.published.keys() - entries.keys()
     )
--- a/swiftchute/policy/draining.py
+++ b/swiftchute/policy/draining.py
@@ -1,7 +1,7 @@
-"""Draining: ejection of endpoints that must receive nothing new, and forgetting removed ones.
+"""Draining: ejects endpoints that must not receive new requests, and discards removed endpoints.
 
-Tables carry drains to the proxies that are assigned to them. Proxies that wait for their first assignment may
-hold entries which this instance does not know; an ejection reaches those too.
+Proxies that are assigned to a table learn of drains from its entries. Proxies that wait for their first
+assignment may hold entries which this instance does not know; an ejection reaches them too.
 """
 
 from itertools import chain
@@ -12,26 +12,26 @@
 from swiftchute.policy.egress_budget import DRAIN_NOTICE_THRESHOLD, EgressBudget
 from swiftchute.policy.state import PolicyState
 
-MAX_REMOVED_ENDPOINTS = 200  # that are remembered: proxies of other instances may still hold them
-EJECTION_ENTRIES = 1  # size of an ejection in a message
+MAX_REMOVED_ENDPOINTS = 200  # kept in memory: proxies of other instances may still hold them
+EJECTION_ENTRIES = 1  # size of an ejection within a message
 
 
 class Ejections:
-    """The endpoints that are ejected at present.
+    """Tracks the endpoints that are currently ejected.
 
     Attributes:
-        ejected: Their names.
+        ejected: Names of these endpoints.
     """
 
     def __init__(self) -> None:
-        """Create the state of an instance that has ejected nothing."""
+        """Create the tracker of an instance that has not ejected any endpoint."""
         self.ejected: set[str] = set()
 
     def update(self, state: PolicyState, budget: EgressBudget) -> None:
         """Eject endpoints that are not ready while a proxy waits for its first assignment; restore others.
 
-        Ejections may fill the egress queue no further than assignments, which come first: one assignment
-        tells of all drains, and a queue that ejections keep full would hold it back for good.
+        Ejections use the same queue threshold as assignments, which come first: one assignment announces all
+        drains, and ejections that kept the queue full would delay it indefinitely.
         """
         unknown_tables = _any_proxy_never_assigned(state)
         for name, endpoint in state.endpoints.items():
@@ -42,12 +42,12 @@
             if budget.reserve(state, proxies, EJECTION_ENTRIES, DRAIN_NOTICE_THRESHOLD):
                 self._set_ejected(state, name, eject)
             else:
-                unknown_tables = False  # no further ejection in this round: it would concern as many proxies
+                unknown_tables = False  # no more ejections this round: each would need as much capacity
 
     def forget_removed(self, state: PolicyState) -> None:
-        """Forget the removed endpoints that were listed first, if there are too many.
+        """Discard the removed endpoints that were listed first if there are more than the limit.
 
-        None is forgotten that a table names, or while a proxy waits for its first assignment.
+        An endpoint is kept while a table names it, and all are while a proxy waits for its first assignment.
         """
         if len(state.endpoints) <= MAX_REMOVED_ENDPOINTS:
             return
@@ -62,7 +62,7 @@
     def _forget(self, state: PolicyState, name: str) -> None:
         del state.endpoints[name]
         state.conditions.discard(health_condition(name))
-        if name in self.ejected:  # it concerns no proxy any more, so nothing is reserved for it
+        if name in self.ejected:  # no proxy holds it any more, so no entries are reserved
             self._set_ejected(state, name, False)
 
     def _set_ejected(self, state: PolicyState, name: str, ejected: bool) -> None:
@@ -78,9 +78,9 @@
 
 
 def _affected_proxies(state: PolicyState, endpoint: str) -> list[ProxyId]:
-    """Return the proxies that may hold an endpoint: the others get no message.
+    """Return the proxies that may hold an endpoint; the others get no message about it.
 
-    Entries reserved for those would never be acknowledged, and would hold pushes back.
+    Entries reserved for the others would never be acknowledged and would delay pushes.
     """
     subsets = {key for key, tables in state.tables.items() if any(endpoint in t.published for t in tables)}
     return [name for name, p in state.proxies.items() if p.subset is None or (p.zone, p.subset) in subsets]
--- a/swiftchute/policy/model.py
+++ b/swiftchute/policy/model.py
@@ -1,14 +1,14 @@
-"""Endpoints, proxies, tables and pairs of zones as the rules of the policy see them."""
+"""Data model of the policy: endpoints, proxies, tables and pairs of zones."""
 
 from collections import deque
 from typing import NamedTuple
 
 from swiftchute.api.endpoints import EndpointRecord, EndpointState
 
-MAX_LOAD_SAMPLES = 10  # load reports that are kept of one endpoint
-MAX_DEMAND_SAMPLES = 4  # demand reports that are kept of one operation at one proxy
-REPORT_LAG_EVALUATIONS = 4  # load reports describe what was in force so many evaluations ago
-ADMISSION_KEY = ""  # key of a table's admission rate among its entries; no endpoint is named so
+MAX_LOAD_SAMPLES = 10  # load reports kept per endpoint
+MAX_DEMAND_SAMPLES = 4  # demand reports kept per proxy and operation
+REPORT_LAG_EVALUATIONS = 4  # load reports describe the state of this many evaluations ago
+ADMISSION_KEY = ""  # key of the admission rate among a table's entries; no endpoint has this name
 
 SubsetKey = tuple[str, int]  # zone, index of the subset in it
 ZonePairKey = tuple[str, str]  # zone of the proxies, zone of the endpoints
@@ -17,7 +17,7 @@
 class LoadSample(NamedTuple):
     """One load report of an endpoint."""
 
-    next_report_ns: int  # when the next report of its kind is due; the sample ages from then on
+    next_report_ns: int  # when the next report is due; the age of the sample counts from here
     attempts: int
     failures: int
     mean_latency_ns: int  # of the successful attempts
@@ -33,7 +33,7 @@
 
 
 class AdmissionSample(NamedTuple):
-    """The admission rate of a table at an evaluation, and the request rate of its zone then."""
+    """Admission rate of a table and request rate of its zone at one evaluation."""
 
     admission_rate: float
     request_rate: float
@@ -43,15 +43,15 @@
     """An endpoint of the list with its latest load reports.
 
     Attributes:
-        order: Position in which it was first listed among all endpoints.
-        subset: Index of its subset in its zone, None before it has one.
+        listing_index: Position among all endpoints in the order of first listing.
+        subset: Index of its subset in its zone, None until it has one.
         samples: The latest load reports.
-        health_weight: Correction of the listed weight by outlier detection.
-        suspected_removed: Missing from a list whose removals do not bind; its failures decide.
-        zone: Zone in which it is.
-        state: What the endpoint list says, as far as it is believed; changed by `set_state`.
-        is_ready: It may receive requests.
-        listed_weight: Weight by the endpoint list.
+        health_weight: Factor by which outlier detection corrects the listed weight.
+        suspected_removed: Missing from a list whose removals are not binding; its failed attempts decide.
+        zone: Zone of the endpoint.
+        state: State from the endpoint list, except for suspected removals; changed by `set_state`.
+        is_ready: Whether it may receive requests.
+        listed_weight: Weight from the endpoint list.
         started_ns: Time of its last start, 0 if unknown.
     """
 
@@ -59,7 +59,7 @@
         "health_weight",
         "is_ready",
         "listed_weight",
-        "order",
+        "listing_index",
         "samples",
         "started_ns",
         "state",
@@ -68,9 +68,9 @@
         "zone",
     )
 
-    def __init__(self, record: EndpointRecord, order: int, subset: int | None = None) -> None:
-        """Create the endpoint of a record, without any load report."""
-        self.order = order
+    def __init__(self, record: EndpointRecord, listing_index: int, subset: int | None = None) -> None:
+        """Create an endpoint from its record, without load reports."""
+        self.listing_index = listing_index
         self.subset = subset
         self.samples: deque[LoadSample] = deque(maxlen=MAX_LOAD_SAMPLES)
         self.health_weight = 1.0
@@ -81,7 +81,7 @@
         self.started_ns = record.started_ns
 
     def set_state(self, state: EndpointState | str) -> None:
-        """Note another state."""
+        """Set the state, and `is_ready` with it."""
         self.state = state
         self.is_ready = state == EndpointState.READY
 
@@ -90,12 +90,12 @@
     """A connected proxy.
 
     Attributes:
-        zone: Zone in which it is.
+        zone: Zone of the proxy.
         expected_request_rate: Requests per second that it announced when it connected.
-        subset: Index of the subset of its zone that it is assigned to, None before the first assignment.
-        unassigned: Waits for an assignment; a proxy that migrates keeps its old subset's tables until then.
-        message_times_ns: When messages were written to it.
-        unacknowledged_entries: Entries by nonce of the messages that it has not acknowledged.
+        subset: Index of its assigned subset in its zone, None before the first assignment.
+        unassigned: Whether it waits for an assignment; until then a migrating proxy keeps its old tables.
+        message_times_ns: Times at which messages were written to it.
+        unacknowledged_entries: Entries of each unacknowledged message, by nonce.
         demand: Latest demand reports by operation.
     """
 
@@ -121,26 +121,26 @@
 
 
 class EndpointTable:
-    """The table of a subset, for the operations that may cross zones or for those that may not.
+    """A table of a subset, for either the operations that may cross zones or the zone-local ones.
 
-    Entries map endpoints to weights; the entry of `ADMISSION_KEY` holds the admission rate, negative where
-    proxies must not retry.
+    Entries map endpoints to weights. The entry of `ADMISSION_KEY` holds the admission rate, which is negative
+    if proxies must not retry.
 
     Attributes:
         number: Number of the table in commands.
         zone: Zone of its subset.
         subset: Index of its subset in the zone.
-        zone_local: Serves operations that stay in their zone.
+        zone_local: Whether it serves the operations that must stay in their zone.
         operation_mask: Operations that it serves.
-        desired: Entries that the rules ask for.
-        published: Entries that were pushed.
-        first_change_ns: First change of `desired` since the last push, None without a change.
-        last_change_ns: Last such change.
-        urgent: A change must not wait for the debounce.
+        desired: Entries that the rules currently call for.
+        published: Entries that were last pushed.
+        first_change_ns: Time of the first change of `desired` since the last push, None without a change.
+        last_change_ns: Time of the last change of `desired`.
+        urgent: Whether a change must not wait for the debounce.
         pushed_at_ns: Time of the last ordinary push, None before the first.
-        admission_rate: Share of requests to admit by overload control, 0 to 1.
-        retry_policy: Retries that overload control allows.
-        admission_history: What was in force at the last evaluations, oldest first.
+        admission_rate: Share of requests that overload control admits, 0 to 1.
+        retry_policy: Retry policy that overload control allows.
+        admission_history: Samples of the last evaluations, oldest first.
     """
 
     __slots__ = (
@@ -163,7 +163,7 @@
     def __init__(
         self, number: int, subset_key: SubsetKey, zone_local: bool, operation_mask: int, retry_policy: int
     ) -> None:
-        """Create an empty table that admits everything."""
+        """Create an empty table that admits all requests."""
         self.number = number
         self.zone, self.subset = subset_key
         self.zone_local = zone_local
@@ -183,8 +183,8 @@
     """Spillover from the proxies of one zone to the endpoints of another.
 
     Attributes:
-        spillover_fraction: Part of the remote endpoints' weight that the zone's tables carry, 0 to 1.
-        suspended_until_ns: No spillover before this time, as the network between the zones is unhealthy.
+        spillover_fraction: Fraction of the remote endpoints' weight used in the zone's tables, 0 to 1.
+        suspended_until_ns: No spillover until this time, because the network between the zones is unhealthy.
     """
 
     __slots__ = ("spillover_fraction", "suspended_until_ns")
--- a/swiftchute/policy/publishing.py
+++ b/swiftchute/policy/publishing.py
@@ -11,11 +11,11 @@
 from swiftchute.policy.state import PolicyState
 from swiftchute.policy.units import NS_PER_MS, NS_PER_S
 
-DEBOUNCE_NS = 200 * NS_PER_MS  # a change is pushed after so long without a further one
-MAX_DEBOUNCE_NS = 1 * NS_PER_S  # and after so long in any case
-MIN_PUSH_INTERVAL_NS = 1 * NS_PER_S  # between pushes of a table; urgent entries do not wait for it
-URGENT_DROP_FRACTION = 0.5  # a weight that falls below this part of the published one is urgent
-UNLIMITED_REQUEST_RATE = 1e6  # per second; admits everything where admission is by rate
+DEBOUNCE_NS = 200 * NS_PER_MS  # a change is due after this time without another one
+MAX_DEBOUNCE_NS = 1 * NS_PER_S  # and after this time in any case
+MIN_PUSH_INTERVAL_NS = 1 * NS_PER_S  # between ordinary pushes of a table; urgent entries ignore it
+URGENT_DROP_FRACTION = 0.5  # a weight below this fraction of the published one is urgent
+UNLIMITED_REQUEST_RATE = 1e6  # per second; admits all requests if admission is by rate
 
 Entries = dict[str, float]
 
@@ -23,7 +23,7 @@
 def publish_tables(state: PolicyState, budget: EgressBudget) -> None:
     """Push the changes of all tables that are due.
 
-    The tables of a subset go to the same proxies: one message carries the changes of both.
+    The tables of a subset go to the same proxies, so one message carries the changes of both.
     """
     for (zone, subset), tables in state.tables.items():
         changed = [table for table in tables if table.first_change_ns is not None]
@@ -38,12 +38,12 @@
 
 
 def is_urgent_drop(name: str, weight: float, published: Entries) -> bool:
-    """Return whether a weight falls so far below the published one that it must go out at once."""
+    """Return whether a weight is so far below the published one that it must be pushed at once."""
     return name != ADMISSION_KEY and weight < URGENT_DROP_FRACTION * published.get(name, 0)
 
 
 def _is_due(state: PolicyState, table: EndpointTable) -> bool:
-    """Return whether a changed table has waited for its push interval and its debounce."""
+    """Return whether the push interval and the debounce of a changed table have passed."""
     now_ns = state.now_ns
     if table.pushed_at_ns is not None and now_ns - table.pushed_at_ns < MIN_PUSH_INTERVAL_NS:
         return False
@@ -54,31 +54,31 @@
 def _push_urgent(
     state: PolicyState, budget: EgressBudget, tables: list[EndpointTable], proxies: list[ProxyId]
 ) -> None:
-    """Push the urgent entries of some tables, ahead of the debounce."""
+    """Push the urgent entries of the tables without waiting for the debounce."""
     changes = [_urgent_changes(table) for table in tables]
     count = sum(map(len, changes))
     if count and not budget.reserve(state, proxies, count, URGENT_THRESHOLD):
         return
     for table, entries in zip(tables, changes, strict=True):
-        _write(state, table, entries)
+        _write_changes(state, table, entries)
 
 
 def _push_all(
     state: PolicyState, budget: EgressBudget, tables: list[EndpointTable], proxies: list[ProxyId]
 ) -> None:
-    """Push all changed entries of some tables, which ends their debounce."""
+    """Push all changed entries of the tables and end their debounce."""
     changes = [_changes(table) for table in tables]
     count = sum(map(len, changes))
     if count and not budget.reserve(state, proxies, count, PUSH_THRESHOLD, PUSH_QUOTA_FRACTION):
         return
     for table, entries in zip(tables, changes, strict=True):
-        _write(state, table, entries)
+        _write_changes(state, table, entries)
         table.first_change_ns = None
         table.pushed_at_ns = state.now_ns
 
 
 def _changes(table: EndpointTable) -> Entries:
-    """Return the entries in which the desired table differs from the published one; 0 removes an entry."""
+    """Return the entries that differ between desired and published table; a weight of 0 is a removal."""
     desired, published = table.desired, table.published
     return {
         name: desired.get(name, 0)
@@ -88,15 +88,15 @@
 
 
 def _urgent_changes(table: EndpointTable) -> Entries:
-    """Return the changes that are urgent, or all if these would leave the table without an endpoint."""
+    """Return the urgent changes, or all changes if no published endpoint remains in the desired table."""
     changes = _changes(table)
     if not any(table.desired.get(name) for name in table.published.keys() - {ADMISSION_KEY}):
         return changes
     return {name: weight for name, weight in changes.items() if is_urgent_drop(name, weight, table.published)}
 
 
-def _write(state: PolicyState, table: EndpointTable, entries: Entries) -> None:
-    """Write changed entries, removals last: the table is never empty in between."""
+def _write_changes(state: PolicyState, table: EndpointTable, entries: Entries) -> None:
+    """Write changed entries, removals last so that the table is never empty in between."""
     for name, weight in sorted(entries.items(), key=lambda entry: entry[1] == 0):
         if name == ADMISSION_KEY:
             _write_admission(state, table, weight)
@@ -108,6 +108,6 @@
 
 
 def _write_admission(state: PolicyState, table: EndpointTable, entry: float) -> None:
-    """Write the admission rate of a table; a negative entry forbids retries."""
+    """Write the admission rate and retry policy of a table; a negative entry disables retries."""
     rate = abs(entry) if state.settings.admission_mode == "share" else UNLIMITED_REQUEST_RATE
     state.commands.set_admission(table.number, 0, rate, state.retry_policy if entry > 0 else 0)
--- a/tests/policy/test_draining.py
+++ b/tests/policy/test_draining.py
@@ -56,8 +56,8 @@
     assert harness.reconciler.endpoint_list.listed_count == 8 + 2_000
     assert {"e0", "w3"} <= harness.state.endpoints.keys()
     assert sorted(n for n in harness.state.endpoints if n[0] == "n")[-1] == "n1999"
-    orders = [endpoint.order for endpoint in harness.state.endpoints.values()]
-    assert len(set(orders)) == len(orders)
+    listing_indexes = [endpoint.listing_index for endpoint in harness.state.endpoints.values()]
+    assert len(set(listing_indexes)) == len(listing_indexes)
 
 
 def test_no_endpoint_is_forgotten_while_a_proxy_may_hold_it(make_harness):
