--- a/swiftchute/policy/__init__.py
+++ b/swiftchute/policy/__init__.py
@@ -1,7 +1,7 @@
-"""The decisions: which endpoints, with which weights, for which proxies, at which admission rate.
+"""The policy: decides endpoints, weights and admission rates for each proxy.
 
 `Reconciler` is one instance of the policy for one incarnation of a controller. It does no I/O: the caller
-hands it the events of a round and takes its commands.
+passes in the events of a round and carries out the commands.
 """
 
 from swiftchute.policy.reconciler import Reconciler
--- a/swiftchute/policy/assignment.py
+++ b/swiftchute/policy/assignment.py
@@ -9,11 +9,11 @@
 
 
 def assign_proxies(state: PolicyState, budget: EgressBudget) -> None:
-    """Assign the proxies that wait, each to the subset of its zone with the most capacity.
+    """Assign each waiting proxy to the least loaded subset of its zone.
 
-    First come those that may hold tables which this instance does not know, then those that migrate; in each
-    group the busiest come first. Where endpoints drain, the first group may fill more of the egress queue:
-    its assignments tell of the drains.
+    Proxies without an assignment come first, as they may hold tables which this instance does not know, then
+    migrating ones; in both groups the busiest come first. While endpoints drain, the first group may fill
+    more of the egress queue, because its assignments announce the drains.
     """
     waiting = [name for name, p in state.proxies.items() if p.unassigned and state.subset_counts.get(p.zone)]
     if not waiting:
@@ -29,7 +29,7 @@
 def _assign(
     state: PolicyState, budget: EgressBudget, name: ProxyId, loads: list[SubsetLoad], threshold: float
 ) -> None:
-    """Assign a proxy to the least loaded subset if that has tables and the budget allows it."""
+    """Assign a proxy to the least loaded subset if its tables have endpoints and the budget allows it."""
     proxy = state.proxies[name]
     subset = min(range(len(loads)), key=lambda index: loads[index].rate_per_weight)
     tables = [t for t in state.tables[proxy.zone, subset] if t.published.keys() - {ADMISSION_KEY}]
--- a/swiftchute/policy/conditions.py
+++ b/swiftchute/policy/conditions.py
@@ -1,4 +1,4 @@
-"""Conditions: states of the system that operators read about when they start and when they end."""
+"""Conditions: system states whose start and end are logged for the operators."""
 
 from swiftchute.policy.state import PolicyState
 
@@ -10,7 +10,7 @@
         state: State of the policy; its `conditions` hold the names of active conditions.
         name: Name of the condition, with the endpoint, zones or table that it concerns.
         active: Whether the condition holds now.
-        cause: Figures from which that follows.
+        cause: Figures that explain it.
     """
     if active == (name in state.conditions):
         return
@@ -22,5 +22,5 @@
 
 
 def health_condition(endpoint: str) -> str:
-    """Return the name of the condition that an endpoint's weight is cut."""
+    """Return the name of the condition for an endpoint whose health weight is low."""
     return f"cut {endpoint}"
--- a/swiftchute/policy/reconciler.py
+++ b/swiftchute/policy/reconciler.py
@@ -1,4 +1,4 @@
-"""The reconciliation round of the policy: events in, commands out."""
+"""The reconciliation round of the policy: turns events into commands."""
 
 from collections.abc import Callable, Sequence
 from typing import Any
@@ -40,8 +40,10 @@
 from swiftchute.policy.units import NS_PER_MS, NS_PER_S
 from swiftchute.policy.zone_spillover import evaluate_spillover
 
-EVALUATION_INTERVAL_NS = 1 * NS_PER_S  # reports are late: evaluating more often acts twice on the same ones
-TIMER_INTERVAL_NS = 100 * NS_PER_MS  # a round at least so often while there are proxies or a backoff
+EVALUATION_INTERVAL_NS = (
+    1 * NS_PER_S
+)  # reports lag: more frequent evaluations would act on the same ones twice
+TIMER_INTERVAL_NS = 100 * NS_PER_MS  # longest time between rounds while there are proxies or a pending retry
 TIMER_ID = 1
 
 
@@ -51,16 +53,16 @@
     It implements `swiftchute.api.commands.Policy`.
 
     Attributes:
-        state: What the rules share.
+        state: State shared by the rules.
         endpoint_list: Subscription to the endpoint list.
         key_ranges: Key ranges that this instance owns.
-        outlier_detector: Health of the endpoints.
-        budget: What may be written to the proxies.
-        ejections: Endpoints that are ejected.
+        outlier_detector: Updates the health weights of the endpoints.
+        budget: Limits what is written to the proxies.
+        ejections: Endpoints that are currently ejected.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Create an instance; `seed` starts its random draws."""
+        """Create an instance whose random draws start from `seed`."""
         self.state = PolicyState(settings, seed)
         self.endpoint_list = EndpointListSubscription(settings.list_needs_subscription)
         self.key_ranges = KeyRanges()
@@ -75,7 +77,7 @@
         """Handle the events of a round and issue the commands that follow from them.
 
         Args:
-            now_ns: Time of the round in nanoseconds; never before that of the last round.
+            now_ns: Time of the round in nanoseconds; never earlier than that of the last round.
             events: All events since the last round, in the order in which they came in.
             commands: Receives the commands of the round, in order.
         """
@@ -92,7 +94,7 @@
         self._start_timer()
 
     def _update_tables(self, events: Sequence[Event]) -> None:
-        """Evaluate what is due; without that, only a new endpoint list changes the desired tables."""
+        """Run an evaluation if one is due, and recompute the desired tables after it or a list update."""
         evaluation_due = self.state.now_ns - self._evaluated_at_ns >= EVALUATION_INTERVAL_NS
         if not evaluation_due and not any(isinstance(event, EndpointListUpdate) for event in events):
             return
@@ -103,10 +105,10 @@
         compute_desired_tables(self.state)
 
     def _evaluate(self) -> None:
-        """Evaluate health, zones, admission and subsets by the load reports of late."""
+        """Update health, spillover, admission and subsets from the recent reports."""
         state = self.state
         self.budget.update_channel_speed(state)
-        state.load_ratios = dict.fromkeys(state.load_ratios)  # without new reports none is known
+        state.load_ratios = dict.fromkeys(state.load_ratios)  # unknown without recent reports
         ready = state.ready_endpoints()
         if self.outlier_detector.evaluate(state, ready):
             record_throughput(state, ready)
@@ -115,7 +117,7 @@
         rebalance(state)
 
     def _publish(self) -> None:
-        """Write what is due to the proxies, as far as the egress budget goes."""
+        """Write due changes to the proxies, within the egress budget."""
         publish_tables(self.state, self.budget)
         assign_proxies(self.state, self.budget)
         self.ejections.update(self.state, self.budget)
@@ -123,7 +125,7 @@
         self.budget.end_round(self.state)
 
     def _start_timer(self) -> None:
-        """Keep one chain of timers running while something may become due."""
+        """Start the timer unless it runs already or nothing can become due."""
         waiting = self.state.proxies or self.endpoint_list.retry_at_ns is not None
         if waiting and not self._timer_running:
             self._timer_running = True
@@ -143,7 +145,7 @@
             KeyRangeAssigned: self.key_ranges.on_assigned,
             KeyRangeRevoked: self.key_ranges.on_revoked,
             KeyRangeEntryRestored: self.key_ranges.on_entry_restored,
-            # nothing is decided by these
+            # these events change nothing
             KeyRangeDemandReport: _ignore,
             ProbeCompleted: _ignore,
             PeerMessageReceived: _ignore,
@@ -154,7 +156,7 @@
         self.state.proxies[event.proxy] = Proxy(event.zone, event.request_rate)
 
     def _disconnect(self, proxy: ProxyId) -> None:
-        """Forget a proxy; what waited for it is lost."""
+        """Remove a proxy and release its unacknowledged entries."""
         known = self.state.proxies.pop(proxy, None)
         if known is not None:
             self.budget.release(known)
--- a/swiftchute/policy/state.py
+++ b/swiftchute/policy/state.py
@@ -1,4 +1,4 @@
-"""What the rules of the policy share: settings, what is known, and the clock and commands of the round."""
+"""State shared by the rules of the policy: settings, known objects, and the round's time and commands."""
 
 import random
 from collections import deque
@@ -10,32 +10,32 @@
 from swiftchute.api.settings import Settings
 from swiftchute.policy.model import Endpoint, EndpointTable, Proxy, SubsetKey, ZonePair, ZonePairKey
 
-MAX_THROUGHPUT_SAMPLES = 60  # evaluations whose throughput is kept of a zone
+MAX_THROUGHPUT_SAMPLES = 60  # throughput samples kept per zone, one per evaluation
 
 
 class PolicyState:
-    """The state that several rules read, passed to each of them.
+    """State that several rules read, passed to each of them.
 
     Attributes:
         settings: Configuration of the instance.
         random: Source of all random draws.
         now_ns: Time of the round.
         commands: Receiver of the round's commands.
-        endpoints: Endpoints by name, removed ones too.
+        endpoints: Endpoints by name, including removed ones.
         proxies: Connected proxies.
-        tables: Tables of each subset: at most one that may cross zones, and one that may not.
+        tables: Tables of each subset: at most one for operations that may cross zones, and one zone-local.
         subset_counts: Number of subsets by zone, 0 before the zone's first endpoint list.
-        zone_pairs: Spillover by pair of different zones.
-        load_ratios: Load of each zone as latency / objective at the last evaluation, None if unknown.
-        observed_throughput: Good answers per second and unit of listed weight, by zone, for each evaluation.
-        conditions: Names of the conditions that were logged as started and not yet as ended.
+        zone_pairs: Spillover for each ordered pair of different zones.
+        load_ratios: Latency / objective of each zone at the last evaluation, None if unknown.
+        observed_throughput: Successes per second and unit of listed weight at each evaluation, by zone.
+        conditions: Names of the active conditions: logged as started and not yet as ended.
         latency_objective_ns: The smallest latency objective of all operations.
-        retry_policy: The default retry policy, as far as all operations allow it.
-        operation_masks: (operations, whether they stay in their zone), for the tables of a subset.
+        retry_policy: The default retry policy, limited to what is safe for all operations.
+        operation_masks: Pairs of operation mask and whether it is zone-local, one for each table of a subset.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Create the state of an instance that knows no endpoint and no proxy."""
+        """Create a state without endpoints and proxies."""
         zones = settings.zones
         self.settings = settings
         self.random = random.Random(seed)
@@ -67,9 +67,9 @@
 
 
 def _retry_policy(settings: Settings) -> int:
-    """Limit the default to provably safe retries unless all operations are idempotent.
+    """Return the default policy, limited to provably safe retries unless all operations are idempotent.
 
-    A further retry could make a request that is not idempotent take effect twice.
+    Any other retry could apply a request that is not idempotent twice.
     """
     if all(operation.idempotency == "idempotent" for operation in settings.operations):
         return settings.default_retry_policy
--- a/swiftchute/policy/subsetting.py
+++ b/swiftchute/policy/subsetting.py
@@ -1,20 +1,20 @@
-"""Subsets: the endpoints of a zone in groups, and the balance of the proxies between them."""
+"""Subsets: divides the endpoints of a zone into groups, and balances the proxies between them."""
 
 from swiftchute.policy.load_stats import request_rate
 from swiftchute.policy.model import Endpoint, EndpointTable, Proxy, SubsetKey
 from swiftchute.policy.slow_start import MIN_TOTAL_WEIGHT, endpoint_weight
 from swiftchute.policy.state import PolicyState
 
-REBALANCE_RATIO = 1.2  # share of the load / share of the weight above which a subset gives up proxies
+REBALANCE_RATIO = 1.2  # load share / weight share above which some of a subset's proxies are moved
 
 
 class SubsetLoad:
-    """The load of a subset: requests per second of its proxies, and weight of its endpoints."""
+    """Load of a subset: requests per second of its proxies, and total weight of its endpoints."""
 
     __slots__ = ("request_rate", "weight")
 
     def __init__(self) -> None:
-        """Create the load of a subset without proxies and endpoints."""
+        """Create the load of a subset that has no proxies and no endpoints."""
         self.request_rate = 0.0
         self.weight = 0.0
 
@@ -25,10 +25,10 @@
 
 
 def form_subsets(state: PolicyState) -> None:
-    """Divide a zone into subsets when its first endpoints are listed, and put each endpoint into one.
+    """Divide each zone into subsets once it has endpoints, and add each ready endpoint to a subset.
 
-    The number of subsets stays. Each has a table for the operations that may cross zones and one for those
-    that may not.
+    The number of subsets never changes. Each has a table for the operations that may cross zones and one for
+    those that may not.
     """
     ready = list(state.ready_endpoints().values())
     if not ready:
@@ -56,7 +56,7 @@
 
 
 def rebalance(state: PolicyState) -> None:
-    """Let each subset with too large a share of its zone's load give up proxies."""
+    """Unassign proxies from each subset with too large a share of its zone's load."""
     for zone in state.settings.zones:
         loads = subset_loads(state, zone)
         if len(loads) == 1:
@@ -66,7 +66,7 @@
         for subset, load in enumerate(loads):
             excess = load.request_rate - total_rate * load.weight / total_weight
             if load.request_rate > REBALANCE_RATIO * (load.request_rate - excess):
-                _give_up_proxies(state, (zone, subset), excess)
+                _unassign_proxies(state, (zone, subset), excess)
 
 
 def _create_tables(state: PolicyState, zone: str) -> None:
@@ -79,15 +79,15 @@
 
 
 def _join_smallest_subset(endpoint: Endpoint, ready: list[Endpoint], subset_count: int) -> None:
-    """Put an endpoint into the subset of its zone that has the fewest ready ones."""
-    subsets = [peer.subset for peer in ready if peer.zone == endpoint.zone]
+    """Add an endpoint to the subset of its zone that has the fewest ready endpoints."""
+    subsets = [other.subset for other in ready if other.zone == endpoint.zone]
     endpoint.subset = min(range(subset_count), key=subsets.count)
 
 
-def _give_up_proxies(state: PolicyState, subset_key: SubsetKey, excess: float) -> None:
-    """Take the largest proxies that fit the excess, in requests per second, out of a subset.
+def _unassign_proxies(state: PolicyState, subset_key: SubsetKey, excess: float) -> None:
+    """Unassign the busiest proxies of a subset that fit into the excess, in requests per second.
 
-    They keep its tables until they are assigned to the subset with the most capacity.
+    They keep the subset's tables until they are assigned to the least loaded subset.
     """
     assigned: list[Proxy] = [
         proxy
