--- a/swiftchute/api/endpoints.py
+++ b/swiftchute/api/endpoints.py
@@ -1,4 +1,4 @@
-"""What discovery says of an endpoint."""
+"""Endpoint records as discovery delivers them."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -8,21 +8,21 @@
     """Whether an endpoint may receive requests."""
 
     READY = "ready"
-    DRAINING = "draining"  # finishes what is in flight, must receive nothing new
+    DRAINING = "draining"  # finishes its requests in flight, must not receive new ones
     REMOVED = "gone"  # no longer in the endpoint list
 
 
 class ListScope(StrEnum):
     """How an endpoint list update relates to the list before it."""
 
-    DELTA = "changes"  # names only endpoints that changed
-    SNAPSHOT = "whole"  # endpoints that are not named are removed
-    CACHED = "held"  # a snapshot of the last good list, given at a start
+    DELTA = "changes"  # contains only the endpoints that changed
+    SNAPSHOT = "whole"  # endpoints that it does not contain are removed
+    CACHED = "held"  # a snapshot of the last good list, used at a start
     UNAVAILABLE = "lost"  # the subscription broke; carries no endpoints
 
 
 class EndpointRecord(NamedTuple):
-    """One endpoint as the endpoint list describes it."""
+    """An endpoint as described by the endpoint list."""
 
     endpoint: str  # identifier, for example address:port
     zone: str
--- a/swiftchute/api/errors.py
+++ b/swiftchute/api/errors.py
@@ -2,4 +2,4 @@
 
 
 class SwiftchuteError(Exception):
-    """Base class: each package derives one base from it; the text names field, value and cause."""
+    """Base class of each package's base error; error texts name field, value and cause."""
--- a/swiftchute/api/events.py
+++ b/swiftchute/api/events.py
@@ -1,6 +1,6 @@
-"""What reaches the policy in one reconciliation round, as one class per event.
+"""Events that the policy handles in a reconciliation round, one class each.
 
-Events are handled in the order in which they came in. Load reports are sums over a window that has ended;
+Events are handled in order of arrival. Load and demand reports are sums over a window that has ended;
 `window_ns` is its length.
 """
 
@@ -19,37 +19,37 @@
 
 
 class EndpointListUpdate(Event, frozen=True):
-    """Discovery delivered a list, changes to it, or the loss of the subscription."""
+    """Discovery delivered a full list or changes to it, or the subscription was lost."""
 
     scope: ListScope | str
     endpoints: list[EndpointRecord]
 
 
 class ProxyConnected(Event, frozen=True):
-    """A proxy takes this instance's messages from now on."""
+    """A proxy connected and accepts messages of this instance from now on."""
 
     proxy: ProxyId
     zone: str
-    request_rate: float  # requests per second that the proxy expects
-    fresh: bool  # the proxy holds no tables of an earlier session
+    request_rate: float  # requests per second that the proxy expects to receive
+    fresh: bool  # the proxy holds no tables from an earlier session
 
 
 class ProxyDisconnected(Event, frozen=True):
-    """The session of a proxy ended; messages that were queued for it are lost."""
+    """The session of a proxy ended; messages queued for it are lost."""
 
     proxy: ProxyId
 
 
 class EndpointLoadReport(Event, frozen=True):
-    """Attempts that the connected proxies of one zone made at one endpoint."""
+    """Attempts at one endpoint by the connected proxies of one zone."""
 
     zone: str  # of the proxies
     endpoint: str
     attempts: int
     failures: int
-    mean_latency_ns: int  # of the successful attempts; 0 without any
+    mean_latency_ns: int  # of the successful attempts; 0 if there are none
     window_ns: int
-    load: LoadFigures | None  # figures that the endpoint reported of itself
+    load: LoadFigures | None  # load figures that the endpoint reported about itself
 
 
 class DemandReport(Event, frozen=True):
@@ -71,28 +71,28 @@
 
 
 class EgressQueueObserved(Event, frozen=True):
-    """What may wait in the channel to the proxies at the start of a round, whoever wrote it and to whom."""
+    """Upper bound of the entries queued in the channel at the start of a round, for any proxy and writer."""
 
-    entries: int  # with the overhead of each message
+    entries: int  # including the overhead of each message
 
 
 class TimerFired(Event, frozen=True):
-    """A timer that the policy started is due."""
+    """A timer that the policy started has expired."""
 
     timer_id: int
 
 
 class ProbeCompleted(Event, frozen=True):
-    """A health check that the policy requested ended."""
+    """A health check that the policy requested has completed."""
 
     endpoint: str
-    outcome: str  # "answered", or the reason why it was not
+    outcome: str  # "answered", or the reason for the failure
     latency_ns: int
     load: LoadFigures | None
 
 
 class PeerMessageReceived(Event, frozen=True):
-    """Bytes from another instance of the controller."""
+    """Another instance of the controller sent bytes."""
 
     peer: int
     payload: bytes
@@ -111,7 +111,7 @@
 
 
 class KeyRangeEntryRestored(Event, frozen=True):
-    """An entry that the table of a key range already holds."""
+    """The table of a key range already holds an entry."""
 
     key_range: int
     endpoint: str
