--- a/tests/policy/conftest.py
+++ b/tests/policy/conftest.py
@@ -7,13 +7,13 @@
 
 @pytest.fixture
 def make_harness():
-    """Creates a policy that plays rounds; keyword arguments vary its settings."""
+    """Returns the class of the harness that runs a policy; keyword arguments override settings."""
     return PolicyHarness
 
 
 @pytest.fixture
 def started():
-    """A policy with four endpoints and a proxy in each of two zones, after its first push."""
+    """A harness with four endpoints and one proxy in each of two zones, after its first push."""
     harness = PolicyHarness()
     harness.start()
     return harness
--- a/tests/policy/test_assignment.py
+++ b/tests/policy/test_assignment.py
@@ -1,4 +1,4 @@
-"""Assignment of proxies to tables, and its place in the egress budget."""
+"""Assignment of proxies to tables within the egress budget."""
 
 from swiftchute.api.endpoints import ListScope
 from swiftchute.api.events import EndpointListUpdate, ProxyConnected
@@ -22,13 +22,13 @@
     assert all(proxy.subset is not None for proxy in harness.state.proxies.values())
 
 
-def test_assignment_tells_a_new_proxy_of_a_drain_without_an_ejection(make_harness):
+def test_assignment_announces_a_drain_to_a_new_proxy_without_an_ejection(make_harness):
     harness = make_harness(egress_queue_limit_entries=250.0)
     harness.start(proxies=("east",) * 9)
     harness.run(0.5)
-    gone = list_changes([harness.endpoint("e0", state="draining")])
+    drain_update = list_changes([harness.endpoint("e0", state="draining")])
     connects = [ProxyConnected(number, "east", 1.0, True) for number in range(20, 26)]
-    commands = harness.run_round(gone, *connects)
+    commands = harness.run_round(drain_update, *connects)
     assert weights_in(commands, harness.table())["e0"] == 0
     assert {proxy for proxy, *_ in commands.of("assign_table")} == set(range(20, 26))
     assert 0.5 * 250 < harness.budget.unacknowledged_entries <= 0.7 * 250  # more than half of the queue
@@ -36,7 +36,7 @@
 
 
 def test_drains_do_not_delay_the_assignments_of_proxies_that_reconnect(make_harness):
-    """One assignment tells of all drains; ejections, one for each drain, must not keep the queue full."""
+    """One assignment announces all drains; ejections, one per drain, must not keep the queue full."""
     harness = make_harness(
         egress_queue_limit_entries=8200.0, message_overhead_entries=25.0, message_quota=30, subset_size=6
     )
@@ -62,4 +62,4 @@
         waiting.append([name for name, proxy in harness.state.proxies.items() if proxy.subset is None])
     assert max(len(proxies) for proxies in waiting) > 20
     assert not waiting[-1]
-    assert max(assigned.values()) * 0.05 < 12  # in seconds, the time of the channel itself for 190 tables
+    assert max(assigned.values()) * 0.05 < 12  # in seconds: the channel itself needs this for 190 tables
--- a/tests/policy/test_command_digests.py
+++ b/tests/policy/test_command_digests.py
@@ -92,13 +92,13 @@
                 del self.nonces[proxy]
                 yield PushAcknowledged(proxy, nonce, int(self.random.uniform(0.05, 2.0) * S))
 
-    def load_reports(self, hot):
+    def load_reports(self, overloaded):
         for number, record in self.records.items():
             for zone in ZONES[:3]:
                 if self.random.random() < (0.5 if record.zone == zone else 0.15):
                     attempts = self.random.randrange(0, 25)
                     failures = self.random.randrange(attempts + 1) if number % 11 == 3 else attempts // 12
-                    latency = self.random.uniform(0.05, 0.3) * (5 if hot and zone == "east" else 1)
+                    latency = self.random.uniform(0.05, 0.3) * (5 if overloaded and zone == "east" else 1)
                     latency *= 6 if number % 13 == 5 else 1
                     window = self.random.choice((S // 2, S, 3 * S))
                     yield EndpointLoadReport(
@@ -132,7 +132,7 @@
             del self.proxies[proxy]
             events.append(ProxyDisconnected(proxy))
         if self.random.random() < 0.5:
-            events += self.load_reports(hot=phase in (1, 3))
+            events += self.load_reports(overloaded=phase in (1, 3))
             requests = 300 if phase in (1, 3) else 12
             events += [
                 DemandReport(p, self.random.choice(("read", "write")), self.random.randrange(requests), 1, S)
@@ -153,7 +153,7 @@
             events += self.key_range_events()
         return events
 
-    def read(self, commands):
+    def process_commands(self, commands):
         """Note what a round asks the caller for: timers, and acknowledgements."""
         for verb, arguments in commands:
             if verb == "start_timer":
@@ -162,7 +162,7 @@
                 self.nonces |= dict.fromkeys(self.proxies, arguments[0])
 
 
-def play(endpoints=36, **facts):
+def run_rounds(endpoints=36, **facts):
     """Play the rounds; returns the commands, without the text of log lines."""
     settings = Settings(
         **(FACTS | {"operations": (operation("read"), operation("write")), "zones": ZONES[:3]} | facts)
@@ -173,7 +173,7 @@
         events = generator.first_events() if step == 0 else generator.events(step)
         sink = RecordedCommands()
         reconciler.reconcile(generator.now_ns, events, sink)
-        generator.read(sink.all)
+        generator.process_commands(sink.all)
         written += [(verb, arguments if verb != "log" else ()) for verb, arguments in sink.all]
         written.append(("end of round", (step,)))
     return written
@@ -219,6 +219,6 @@
 @pytest.mark.parametrize("name", CASES)
 def test_commands_are_those_recorded(name):
     facts, count, expected = CASES[name]
-    written = play(**facts)
+    written = run_rounds(**facts)
     digest = hashlib.sha256("\n".join(map(repr, written)).encode()).hexdigest()[:16]
     assert (len(written), digest) == (count, expected)
--- a/tests/policy/test_desired_tables.py
+++ b/tests/policy/test_desired_tables.py
@@ -1,4 +1,4 @@
-"""The entries of tables across zones."""
+"""Table entries for endpoints of other zones."""
 
 from swiftchute.policy.model import ADMISSION_KEY
 from tests.support.policy import CALM, list_changes, weights_in
@@ -22,10 +22,10 @@
     ]
     assert [len(entries) for entries in remote] == [2, 2, 2, 2]
     assert len(set.union(*remote)) == 8
-    left = {next(iter(remote[0]))}
-    gone = [harness.endpoint(f"w{k}", "west", "gone") for k in range(8) if f"w{k}" not in left]
+    remaining = {next(iter(remote[0]))}
+    gone = [harness.endpoint(f"w{k}", "west", "gone") for k in range(8) if f"w{k}" not in remaining]
     harness.run_round(list_changes(gone))
-    assert all(table.desired.keys() - {ADMISSION_KEY} == left for table in harness.state.all_tables())
+    assert all(table.desired.keys() - {ADMISSION_KEY} == remaining for table in harness.state.all_tables())
 
 
 def test_zone_local_operation_gets_no_remote_entry(make_harness):
--- a/tests/policy/test_draining.py
+++ b/tests/policy/test_draining.py
@@ -1,4 +1,4 @@
-"""Ejections, and what is remembered of removed endpoints."""
+"""Ejections, and how long removed endpoints are kept."""
 
 from swiftchute.api.events import ProxyConnected, PushAcknowledged
 from swiftchute.policy.units import NS_PER_S
@@ -9,8 +9,8 @@
     harness = make_harness(egress_queue_limit_entries=24.0)
     harness.start(proxies=("east",))
     harness.run(1)
-    gone = list_changes([harness.endpoint("e0", state="draining")])
-    commands = harness.run_round(gone, ProxyConnected(20, "east", 1.0, True))
+    drain_update = list_changes([harness.endpoint("e0", state="draining")])
+    commands = harness.run_round(drain_update, ProxyConnected(20, "east", 1.0, True))
     assert commands.of("set_ejected") == [("e0", True)]
     assert commands.of("assign_table") == []
     assert [proxy for proxy, *_ in harness.run(2).of("assign_table")] == [20]
@@ -20,7 +20,7 @@
 
 
 def test_ejection_reserves_entries_only_for_the_proxies_that_receive_it(make_harness):
-    """Entries reserved for other proxies would never be acknowledged, and hold assignments back."""
+    """Entries reserved for other proxies would never be acknowledged and would delay assignments."""
     harness = make_harness()
     harness.start(proxies=("east", "west"))
     harness.run(2)
@@ -29,7 +29,7 @@
     commands = harness.run_round(list_changes([harness.endpoint("w0", "west", "gone")]))
     assert commands.of("set_ejected") == [("w0", True)]
     assert commands.of("set_weight") == [(3, "w0", 0)]
-    # the overhead, the request for an acknowledgement, and an entry
+    # message overhead, acknowledgement request and one entry
     cost = harness.state.settings.message_overhead_entries + 1 + 1
     reserved = [sum(proxy.unacknowledged_entries.values()) for proxy in harness.state.proxies.values()]
     assert reserved == [cost, cost]
--- a/tests/policy/test_egress_budget.py
+++ b/tests/policy/test_egress_budget.py
@@ -21,8 +21,8 @@
     assert all(len(proxy.message_times_ns) <= 6 for proxy in started.state.proxies.values())
 
 
-def test_unacknowledged_entries_hold_pushes_back(started):
-    """In a channel slower than configured they wait longer than its nominal rate says."""
+def test_unacknowledged_entries_delay_pushes(started):
+    """In a channel slower than configured, entries are queued longer than its nominal rate implies."""
     started.run(1)
     started.state.proxies[0].unacknowledged_entries = {4: 400, 5: 590}
     started.budget.unacknowledged_entries = 1000
@@ -33,15 +33,15 @@
 
 
 def test_entries_for_the_old_subset_of_a_migrating_proxy_are_reserved(started):
-    """It still uses the old tables: entries written to them reach it and fill the channel."""
+    """It still uses its old tables, so entries written to them are sent to it and fill the channel."""
     started.state.proxies[0].unassigned = True
     started.run_round(list_changes([started.endpoint("e0", state="draining")]))
     assert 0 in started.budget.reserved_entries
 
 
 def test_thresholds_follow_the_speed_that_acknowledgements_show(make_harness):
-    """A drain waits behind what is queued: a slow channel may queue less."""
-    deepest, speeds = {}, {}
+    """A drain waits behind the queued entries, so a slow channel may queue fewer."""
+    max_depths, speeds = {}, {}
     for speed in (4100.0, 800.0):
         harness = make_harness(
             egress_queue_limit_entries=8200.0,
@@ -65,8 +65,8 @@
             ]
             channel.run_round(*reports if step % 10 == 0 else (), wait_s=0.05)
             depths.append(harness.budget.unacknowledged_entries)
-        deepest[speed], speeds[speed] = max(depths[200:]), harness.budget.channel_speed_ratio
+        max_depths[speed], speeds[speed] = max(depths[200:]), harness.budget.channel_speed_ratio
     assert speeds[4100.0] == pytest.approx(1, abs=0.01)
     assert 0.15 < speeds[800.0] < 0.5
-    assert deepest[800.0] < 0.2 * 8200
+    assert max_depths[800.0] < 0.2 * 8200
     assert "slow channel" in harness.state.conditions
--- a/tests/policy/test_endpoint_list.py
+++ b/tests/policy/test_endpoint_list.py
@@ -7,8 +7,8 @@
 from tests.support.policy import CALM, list_changes
 
 
-def test_removal_that_does_not_bind_takes_effect_once_attempts_fail_too(make_harness):
-    """An endpoint missing from the list leaves when its attempts fail too, a draining one at once."""
+def test_non_binding_removal_takes_effect_once_attempts_fail(make_harness):
+    """An endpoint missing from the list is removed once its attempts fail too, a draining one at once."""
     harness = make_harness(removal_is_binding=False)
     harness.start()
     harness.run(2, CALM)
@@ -20,7 +20,7 @@
     assert harness.table().desired.keys() - {ADMISSION_KEY} == {"e2", "e3"}
 
 
-def test_restart_voids_health_weight_and_load_samples(started):
+def test_restart_resets_health_weight_and_load_samples(started):
     started.state.endpoints["e0"].health_weight = 0.05
     started.run_round(list_changes([started.endpoint("e0", age_s=0)]))
     assert started.state.endpoints["e0"].health_weight == 1.0
--- a/tests/policy/test_extreme_events.py
+++ b/tests/policy/test_extreme_events.py
@@ -1,4 +1,4 @@
-"""No report or list that passes the checks of the frontends makes the policy raise."""
+"""Reports and lists that pass the checks of the frontends never make the policy raise."""
 
 import random
 
@@ -27,7 +27,7 @@
 
 
 def draw_event(draw, now):
-    """An event with values at the ends of their ranges as often as not."""
+    """Draw a random event, often with values at the limits of their ranges."""
     zone, name, proxy = draw.choice(ZONES), draw.choice(NAMES), draw.randrange(6)
     count = draw.choice((0, 1, 6, 7, 1000, 10**9))
     window_ns = draw.choice((1, S // 2, S, 600 * S))
--- a/tests/policy/test_key_ranges.py
+++ b/tests/policy/test_key_ranges.py
@@ -18,7 +18,7 @@
 
 
 def rounds(harness):
-    """The fixed list of events, one list a round."""
+    """The fixed events, one list per round."""
 
     def listed(scope, **states):
         return EndpointListUpdate(
@@ -38,14 +38,14 @@
         [listed(ListScope.SNAPSHOT, d="ready", c="draining")],  # b is removed without draining
         [KeyRangeAssigned(3), KeyRangeEntryRestored(3, "c", 1.0), KeyRangeRevoked(9)],
         [listed("lost")],
-        [listed(ListScope.DELTA, d="gone")],  # none is left
+        [listed(ListScope.DELTA, d="gone")],  # no endpoint is left
         [listed(ListScope.SNAPSHOT, e="ready", f="ready")],
         [KeyRangeAssigned(1)],
     ]
 
 
-# What each round writes, as (key range, endpoint, weight); a weight of 0 gives the old owner's entry up.
-WRITTEN = [
+# Entries that each round writes: (key range, endpoint, weight); a weight of 0 removes the old owner's entry.
+EXPECTED_ENTRIES = [
     [],
     [(1, "a", 1), (2, "b", 1), (3, "c", 1)],
     [],
@@ -70,8 +70,8 @@
     harness = make_harness(key_range_count=5, single_owner=single_owner)
     for number, events in enumerate(rounds(harness)):
         written = harness.run_round(*events, wait_s=0.1).all
-        # with a single owner a new owner takes the old one's place, and no entry is written to remove it
-        weights = [entry for entry in WRITTEN[number] if entry[2] or not single_owner]
+        # with a single owner a new entry replaces the old one, so no removal is written
+        weights = [entry for entry in EXPECTED_ENTRIES[number] if entry[2] or not single_owner]
         timers = [("start_timer", (100_000_000, 1))] if number in TIMER_ROUNDS else []
         assert [command for command in written if command[0] != "log"] == [
             *(("set_weight", entry) for entry in weights),
@@ -89,7 +89,7 @@
 def test_key_range_keeps_its_entry_until_the_endpoint_drains(make_harness):
     harness = make_harness(key_range_count=2, single_owner=True)
     records = [harness.endpoint("e0"), harness.endpoint("e1")]
-    given = [KeyRangeAssigned(1), KeyRangeEntryRestored(1, "e0", 1.0)]
-    assert harness.run_round(EndpointListUpdate(ListScope.CACHED, records), *given).of("set_weight") == []
+    events = [KeyRangeAssigned(1), KeyRangeEntryRestored(1, "e0", 1.0)]
+    assert harness.run_round(EndpointListUpdate(ListScope.CACHED, records), *events).of("set_weight") == []
     commands = harness.run_round(list_changes([harness.endpoint("e0", state="draining")]))
     assert commands.of("set_weight") == [(1, "e1", 1)]
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Health weights by the cost of good answers."""
+"""Health weights from the cost per success of the endpoints."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 from tests.support.policy import CALM, list_changes
 
 
-def test_health_weight_follows_the_cost_of_a_good_answer(started):
+def test_health_weight_follows_the_cost_per_success(started):
     started.run(8, CALM | {"e0": (5, 0, 0.9), "e1": (5, 4, 0.01)})
     slow, failing = (started.state.endpoints[name].health_weight for name in ("e0", "e1"))
     assert MIN_HEALTH_WEIGHT <= failing < MIN_HEALTH_WEIGHT * 1.5
@@ -16,7 +16,7 @@
     assert started.state.endpoints["e2"].health_weight == pytest.approx(1.0, abs=0.1)
 
 
-def test_endpoints_that_are_all_worse_keep_their_weights(started):
+def test_weights_stay_if_all_endpoints_degrade_alike(started):
     started.run(8, dict.fromkeys(CALM, (20, 12, 0.5)))
     assert all(0.9 < endpoint.health_weight < 1.1 for endpoint in started.state.endpoints.values())
 
@@ -27,7 +27,7 @@
     assert 0.05 < started.state.endpoints["e0"].health_weight < 0.2
 
 
-def test_warming_endpoint_does_not_look_fast(started):
+def test_warming_endpoint_gains_no_weight_from_low_latency(started):
     started.run_round(list_changes([started.endpoint("e0", age_s=0)]))
     started.run(8, CALM | {"e0": (10, 0, 0.01)})
     assert started.state.endpoints["e0"].health_weight <= 1.0
@@ -69,7 +69,7 @@
 
 
 def test_endpoint_that_fails_nearly_all_attempts_falls_to_its_target_at_once(make_harness):
-    """Its timeouts were late already; the weight of one that fails half goes step by step."""
+    """Timeouts are late already; the weight of an endpoint that fails half of its attempts moves in steps."""
     harness = make_harness()
     harness.start()
     calm = {f"{zone}{k}": (20, 0, 0.2) for zone in "ew" for k in range(4)}
--- a/tests/policy/test_overload_control.py
+++ b/tests/policy/test_overload_control.py
@@ -6,7 +6,7 @@
 from tests.support.policy import CALM
 
 
-def test_retries_go_before_admission_falls_and_both_recover(started):
+def test_retries_are_disabled_before_admission_falls_and_both_recover(started):
     table, seen = started.table(), []
     for _ in range(16):
         started.run(0.5, dict.fromkeys(CALM, (20, 0, 0.7)), requests=400)
@@ -18,7 +18,7 @@
 
 
 def test_admission_rate_stays_above_most_of_the_rate_answered(make_harness):
-    """What overloaded endpoints still answer need not be rejected."""
+    """Requests that overloaded endpoints still answer need not be rejected."""
     harness = make_harness()
     harness.start()
     harness.run(30, dict.fromkeys(CALM, (20, 0, 1.5)), requests=100)
@@ -35,14 +35,14 @@
 
 
 def test_repeated_requests_lower_the_admission_rate_further(make_harness):
-    steady, storm = make_harness(), make_harness()
-    for harness, requests in ((steady, 20), (storm, 60)):
+    steady, repeating = make_harness(), make_harness()
+    for harness, requests in ((steady, 20), (repeating, 60)):
         harness.start()
         harness.run(6, CALM, requests=400)
         harness.run(6, dict.fromkeys(CALM, (20, 0, 0.7)), requests=20 * requests)
-    assert storm.table().admission_rate < 0.7 * steady.table().admission_rate
+    assert repeating.table().admission_rate < 0.7 * steady.table().admission_rate
 
 
-def test_single_failing_endpoint_is_no_load(started):
+def test_single_failing_endpoint_does_not_lower_the_admission_rate(started):
     started.run(6, CALM | {"e0": (5, 5, 0)})
     assert started.table().admission_rate == 1.0
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -22,7 +22,7 @@
 
 
 def test_warming_endpoints_are_limited_by_the_observed_throughput_of_their_zone(started):
-    """With three of four endpoints warming up, a quarter of the weight each would be nearly all."""
+    """With three of four endpoints warming up, a quarter of the weight each would still be too much."""
     started.run(6, CALM, requests=40)
     records = [started.endpoint(f"e{k}", age_s=0) for k in range(1, 4)]
     started.run_round(list_changes(records), wait_s=1.1)
@@ -44,7 +44,7 @@
     assert 0 < abs(harness.table().desired[ADMISSION_KEY]) < 0.5
 
 
-def test_flooded_zone_leaves_warming_endpoints_out(started):
+def test_overloaded_zone_excludes_warming_endpoints(started):
     started.run(5, CALM)
     started.run_round(list_changes([started.endpoint("e9", age_s=0)]))
     assert "e9" in started.table().desired
@@ -53,7 +53,7 @@
 
 
 def test_warming_endpoints_wait_for_four_evaluations_after_a_start(make_harness):
-    """The first reports come from the first proxies to connect; the others may bring a flood."""
+    """The first reports come from the first proxies to connect; later ones may bring an overload."""
     harness = make_harness()
     harness.start()
     harness.run_round(list_changes([harness.endpoint("e9", age_s=1)]))
@@ -63,7 +63,7 @@
     assert "e9" in harness.table().desired
 
 
-def test_no_retries_beside_warming_endpoints(started):
+def test_tables_with_warming_endpoints_allow_no_retries(started):
     started.run(5, CALM)
     assert started.table().desired[ADMISSION_KEY] == 1.0
     started.run_round(list_changes([started.endpoint("e9", age_s=0)]))
@@ -71,7 +71,7 @@
 
 
 def test_warming_endpoint_is_limited_by_the_request_rate_of_its_own_subset(make_harness):
-    """Not by the rate of its zone, of which the subset gets only a part."""
+    """The zone's rate would be wrong: a subset gets only a part of it."""
     harness = make_harness(subset_size=2)
     harness.start(proxies=("east",) * 4)
     assert harness.state.subset_counts["east"] == 2
@@ -90,8 +90,8 @@
 
 
 @pytest.mark.parametrize("warming, remain", [(8, True), (1, False)])
-def test_warming_endpoints_stay_in_a_flooded_table_that_they_could_carry(make_harness, warming, remain):
-    """Proxies avoid what fails: the entries left over get everything, which a few cannot carry."""
+def test_warming_endpoints_stay_in_an_overloaded_table_that_they_could_serve(make_harness, warming, remain):
+    """Proxies avoid failing endpoints: the others get all requests, more than a few can serve."""
     harness = make_harness()
     harness.start(proxies=("east",) * 4)
     harness.run(6, {f"e{k}": (5, 0, 0.1) for k in range(4)}, requests=5)
--- a/tests/policy/test_zone_spillover.py
+++ b/tests/policy/test_zone_spillover.py
@@ -13,8 +13,8 @@
     assert not any(name[0] == "e" for name in started.table("west").desired if name)
 
 
-def test_slow_network_to_a_zone_suspends_spillover_and_is_no_load(make_harness):
-    """The endpoints there answer their local zone well; attempts from here say nothing about them."""
+def test_slow_network_to_a_zone_suspends_spillover_and_does_not_count_as_load(make_harness):
+    """The remote endpoints serve their own zone well; attempts across this network do not reflect on them."""
     harness = make_harness(zones=("east", "west", "south"))
     records = [
         harness.endpoint(f"{zone[0]}{k}", zone) for zone in harness.state.settings.zones for k in range(4)
