--- a/swiftchute/policy/load_stats.py
+++ b/swiftchute/policy/load_stats.py
@@ -11,9 +11,7 @@
 from swiftchute.policy.units import NS_PER_MS, NS_PER_S
 
 MAX_SAMPLE_AGE_NS = 2500 * NS_PER_MS  # how long a report stays valid after the next one is due
-MAX_LOAD_RATIO_SAMPLE_AGE_NS = (
-    1 * NS_PER_S
-)  # the same for zone load ratios: admission control needs fresher reports
+MAX_LOAD_RATIO_SAMPLE_AGE_NS = 1 * NS_PER_S  # the same for zone load ratios: admission needs fresh reports
 MIN_ATTEMPTS = 6  # statistics of an endpoint or zone over fewer attempts are mostly noise
 MIN_COST_NS = 1.0  # avoids division by zero: collectors may round a mean latency down to 0
 MIN_SUCCESSES = 0.1  # avoids division by zero where no attempt succeeded
--- a/swiftchute/policy/outlier_detection.py
+++ b/swiftchute/policy/outlier_detection.py
@@ -45,14 +45,14 @@
         observed = [each.cost_ns for each in stats.values() if each.attempts >= MIN_ATTEMPTS]
         if len(observed) < MIN_OBSERVED_ENDPOINTS:
             return False
-        usual_cost_ns = median(observed)
+        median_cost_ns = median(observed)
         self.evaluation_count += 1
         for name, endpoint in ready.items():
-            self._evaluate_endpoint(state, name, endpoint, stats[name], usual_cost_ns)
+            self._evaluate_endpoint(state, name, endpoint, stats[name], median_cost_ns)
         return True
 
     def _evaluate_endpoint(
-        self, state: PolicyState, name: str, endpoint: Endpoint, stats: RecentStats, usual_cost_ns: float
+        self, state: PolicyState, name: str, endpoint: Endpoint, stats: RecentStats, median_cost_ns: float
     ) -> None:
         if endpoint.suspected_removed and stats.failures > REMOVAL_FAILURE_FRACTION * stats.attempts:
             endpoint.set_state(EndpointState.REMOVED)
@@ -61,7 +61,7 @@
             return
         warming_up = is_warming_up(state, endpoint)
         limit = MAX_WARMING_UP_HEALTH_WEIGHT if warming_up else MAX_HEALTH_WEIGHT
-        target = min(max(usual_cost_ns / stats.cost_ns, MIN_HEALTH_WEIGHT), limit)
+        target = min(max(median_cost_ns / stats.cost_ns, MIN_HEALTH_WEIGHT), limit)
         step = self._step(endpoint, stats, target, warming_up)
         endpoint.health_weight *= (target / endpoint.health_weight) ** step
         report_condition(
@@ -69,7 +69,7 @@
             health_condition(name),
             endpoint.health_weight < REPORTED_HEALTH_WEIGHT,
             f"{stats.failures} of {stats.attempts} tries errored, {stats.cost_ns / NS_PER_MS:.0f} ms a good"
-            f" answer, usual {usual_cost_ns / NS_PER_MS:.0f}",
+            f" answer, usual {median_cost_ns / NS_PER_MS:.0f}",
         )
 
     def _step(self, endpoint: Endpoint, stats: RecentStats, target: float, warming_up: bool) -> float:
--- a/swiftchute/policy/overload_control.py
+++ b/swiftchute/policy/overload_control.py
@@ -52,7 +52,7 @@
 
 
 def _update_retry_policy(table: EndpointTable, load_ratio: float, default: int) -> None:
-    """Disable retries under load: at full endpoints they would double a surge of requests from its start."""
+    """Disable retries under load: when endpoints are full, they would double a surge as it begins."""
     if load_ratio > NORMAL_LOAD_RATIO:
         table.retry_policy = 0
     elif table.admission_rate == 1:
--- a/swiftchute/policy/publishing.py
+++ b/swiftchute/policy/publishing.py
@@ -1,4 +1,4 @@
-"""Publishing: when the changed entries of a table are pushed to the proxies that use it."""
+"""Publishing: decides when the changed entries of a table are pushed to the proxies that use it."""
 
 from swiftchute.api.events import ProxyId
 from swiftchute.policy.egress_budget import (
--- a/swiftchute/policy/reconciler.py
+++ b/swiftchute/policy/reconciler.py
@@ -40,9 +40,7 @@
 from swiftchute.policy.units import NS_PER_MS, NS_PER_S
 from swiftchute.policy.zone_spillover import evaluate_spillover
 
-EVALUATION_INTERVAL_NS = (
-    1 * NS_PER_S
-)  # reports lag: more frequent evaluations would act on the same ones twice
+EVALUATION_INTERVAL_NS = 1 * NS_PER_S  # reports lag: more frequent evaluations would act on some twice
 TIMER_INTERVAL_NS = 100 * NS_PER_MS  # longest time between rounds while there are proxies or a pending retry
 TIMER_ID = 1
 
--- a/swiftchute/policy/zone_spillover.py
+++ b/swiftchute/policy/zone_spillover.py
@@ -14,9 +14,7 @@
 FALL_STEP = 0.05  # the same for a lower target: causes of load tend to persist
 MIN_SPILLOVER_FRACTION = 0.05  # smaller fractions are not worth the table entries
 SATURATED_FRACTION = 0.8  # above it other zones count as having no spare capacity
-MAX_REMOTE_LOAD_MULTIPLE = (
-    1.8  # a pair whose better endpoints exceed this multiple of the zone's load ratio is unhealthy
-)
+MAX_REMOTE_LOAD_MULTIPLE = 1.8  # remote load ratio / zone's load ratio above which a pair is unhealthy
 SUSPENSION_NS = 12 * NS_PER_S  # how long an unhealthy pair carries no spillover
 LOAD_QUANTILE = 0.5  # the median endpoint represents the zone
 PAIR_QUANTILE = 0.25  # a bad network makes even the better endpoints behind it look bad
