--- a/swiftchute/proxy/request.py
+++ b/swiftchute/proxy/request.py
@@ -1,17 +1,17 @@
-"""The request path without I/O: admission, the endpoint of each attempt, its deadline, and retries.
+"""The request path without I/O: admission, endpoint selection, attempt deadlines and retries.
 
     router = RequestRouter(client, routes, limits, seed)
     router.update_tables()                                # after the client applied a response
     request = router.admit("lot-estimate", caller, now_ns)     # ActiveRequest or Rejection
-    attempt = router.next_attempt(request, now_ns)        # Attempt, or None: nothing is left to try
-    router.is_withdrawn(attempt.endpoint)                 # asked before an attempt is sent
+    attempt = router.next_attempt(request, now_ns)        # Attempt, or None: no endpoint or no time left
+    router.is_withdrawn(attempt.endpoint)                 # checked just before an attempt is sent
     finished = router.attempt_ended(request, outcome, now_ns)
-    router.abandon(request, now_ns)                       # its caller went away, or nothing is left
+    router.abandon(request, now_ns)                       # the caller disconnected, or no attempt is left
 
-A request follows the table it began with: weights, retries and admission rates that change meanwhile are the
-next one's. Only a withdrawn endpoint gets no more attempts. The control plane decides what is in a table; how
-a table is followed is decided by the rules that the router calls: `admission`, `load_balancing`,
-`outlier_ejection`, `retry`.
+A request uses the table that was in force when it arrived, even if weights, retries or the admission rate
+change while it is in flight. The exception is a withdrawn endpoint, which gets no further attempts. The
+control plane decides what a table contains; the modules `admission`, `load_balancing`, `outlier_ejection` and
+`retry` implement how the router applies it.
 """
 
 import random
@@ -29,18 +29,18 @@
 from swiftchute.proxy.xds_client import XdsClient
 from swiftchute.xds import names
 
-DEFAULT_REQUEST_TIMEOUT_NS = 15 * NS_PER_S  # where neither the settings nor the route have one
+DEFAULT_REQUEST_TIMEOUT_NS = 15 * NS_PER_S  # used if neither the settings nor the route set a timeout
 
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """A request that is answered at once, and why."""
+    """A request that is answered locally without any attempt, and the cause."""
 
     cause: RequestResult
 
 
 class Attempt(NamedTuple):
-    """The endpoint of an attempt, and when the attempt ends at the latest."""
+    """The endpoint to send an attempt to, and the attempt's deadline."""
 
     endpoint: str
     deadline_ns: int
@@ -48,21 +48,21 @@
 
 @dataclass(slots=True)
 class ActiveRequest:
-    """A request in flight, with its table as it was when the request arrived.
+    """A request in flight, with the table that was in force when it arrived.
 
     Attributes:
-        route: what is known of its operation.
-        caller: tells its caller from others.
-        table: its table.
-        picker: the table's picker.
-        arrived_at_ns: when it arrived.
-        deadline_ns: when it ends at the latest.
-        retries: attempts after the first; those that were never sent do not count.
-        attempted: endpoints that attempts went to.
-        endpoint: the endpoint of the last attempt, None before the first.
-        attempt_started_ns: when the last attempt started.
-        attempt_sent_ns: when it was written to a connection; 0 means not yet.
-        finished: no more attempts follow.
+        route: settings of the requested operation.
+        caller: identifies the caller.
+        table: the table that the request uses until it ends.
+        picker: the picker of that table.
+        arrived_at_ns: arrival time.
+        deadline_ns: time by which the request ends.
+        retries: attempts after the first; attempts withdrawn before they were sent do not count.
+        attempted: endpoints of the attempts that have ended.
+        endpoint: the endpoint of the latest attempt, None before the first.
+        attempt_started_ns: when the latest attempt started.
+        attempt_sent_ns: when the latest attempt was written to a connection; 0 means not yet.
+        finished: whether no more attempts follow.
     """
 
     route: RouteSettings
@@ -79,16 +79,16 @@
     finished: bool = False
 
     def limit_deadline(self, deadline_ns: int) -> None:
-        """Let the request end by `deadline_ns` at the latest: its caller waits no longer."""
+        """Shorten the deadline to `deadline_ns`, after which the caller no longer waits."""
         self.deadline_ns = min(self.deadline_ns, deadline_ns)
 
     def result_of(self, outcome: AttemptOutcome | None, answered: bool, now_ns: int) -> RequestResult:
-        """How the request ended.
+        """Return the final result of the request.
 
         Args:
-            outcome: of the last attempt; None if there was none.
-            answered: whether an endpoint's response is passed on.
-            now_ns: the time now.
+            outcome: outcome of the last attempt; None if there was none.
+            answered: whether an endpoint's response is returned to the caller.
+            now_ns: current time.
         """
         if not answered and now_ns >= self.deadline_ns:
             return RequestResult.TIMED_OUT
@@ -97,23 +97,23 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingTable:
-    """A table in force and its picker."""
+    """A table in force and the picker built from its weights."""
 
     table: EndpointTable
     picker: EndpointPicker
 
 
 class RequestRouter:
-    """The request state of one proxy.
+    """Routes the requests of one proxy and holds their shared state.
 
     Attributes:
-        client: holds the tables that were received.
-        routes: what is known of each operation, by name.
+        client: xDS client that holds the received tables.
+        routes: settings by operation.
         tables: tables in force by operation.
-        known_endpoints: endpoints of any table in force.
-        in_flight: requests in flight.
+        known_endpoints: endpoints of all tables in force.
+        in_flight: number of requests in flight.
         in_flight_by_endpoint: attempts in flight by endpoint.
-        attempt_counts: attempts that ended, by result.
+        attempt_counts: completed attempts by result.
         rejection_counts: rejected requests by cause.
     """
 
@@ -125,14 +125,14 @@
         seed: int,
         default_idempotency: Idempotency = Idempotency.SIDE_EFFECTING,
     ) -> None:
-        """No table is in force before `update_tables`.
+        """Create a router without tables; `update_tables` loads them.
 
         Args:
-            client: holds the tables.
-            routes: known operations by name.
+            client: xDS client that holds the received tables.
+            routes: settings by operation.
             limits: limits and rules of the request path.
-            seed: of all random decisions.
-            default_idempotency: of operations that are not in `routes`.
+            seed: seed of all random decisions.
+            default_idempotency: idempotency of operations that are not in `routes`.
         """
         self.client = client
         self.routes = dict(routes)
@@ -153,7 +153,7 @@
         self._withdrawn: set[str] = set()
 
     def update_tables(self) -> None:
-        """Put the client's tables in force; a table with the same weights keeps its picker."""
+        """Put the client's current tables in force; a table with unchanged weights keeps its picker."""
         self._withdrawn = self.client.withdrawn_endpoints()
         self.known_endpoints = set()
         for operation in self.client.resources[names.LDS]:
@@ -171,11 +171,11 @@
         self.ejector.retain(self.known_endpoints)
 
     def is_withdrawn(self, endpoint: str) -> bool:
-        """Whether the endpoint gets no more attempts, whatever table a request began with."""
+        """Whether the endpoint gets no more attempts, even from requests whose table still contains it."""
         return endpoint in self._withdrawn or endpoint not in self.known_endpoints
 
     def admit(self, operation: str, caller: str, now_ns: int) -> ActiveRequest | Rejection:
-        """A request arrived; `caller` tells its caller from others."""
+        """Admit or reject an arriving request; `caller` identifies who sent it."""
         route = self.routes.get(operation)
         if route is None:
             return self._reject(RequestResult.UNKNOWN_OPERATION)
@@ -196,7 +196,7 @@
         return ActiveRequest(route, caller, table, routing.picker, now_ns, now_ns + timeout_ns)
 
     def next_attempt(self, request: ActiveRequest, now_ns: int) -> Attempt | None:
-        """The next attempt; None if no endpoint or no time is left."""
+        """Start the next attempt of a request; None if no endpoint or no time is left."""
         remaining_ns = request.deadline_ns - now_ns
         if remaining_ns <= 0:
             return None
@@ -213,9 +213,9 @@
         return Attempt(endpoint, now_ns + _attempt_timeout_ns(request, remaining_ns))
 
     def attempt_ended(self, request: ActiveRequest, outcome: AttemptOutcome, now_ns: int) -> bool:
-        """An attempt ended; returns whether the request is finished with it.
+        """Record the end of an attempt; returns whether the request is finished.
 
-        Load reports count what was sent, so not an attempt whose endpoint was withdrawn before.
+        An attempt whose endpoint was withdrawn before it was sent is left out of load reports.
         """
         endpoint = request.endpoint
         assert endpoint is not None
@@ -243,9 +243,10 @@
         return False
 
     def abandon(self, request: ActiveRequest, now_ns: int) -> None:
-        """The caller went away, or nothing is left to try; does nothing if the request is finished.
+        """End a request whose caller disconnected or that has no attempt left; no-op if it is finished.
 
-        The outcome of an attempt in flight is not known, unless it had all of its time.
+        An attempt in flight counts as failed only if the request's deadline has passed; otherwise its outcome
+        is unknown.
         """
         if request.finished:
             return
@@ -277,7 +278,7 @@
         return Rejection(cause)
 
     def _avoided_endpoints(self, now_ns: int) -> set[str]:
-        """Endpoints that are ejected or have as many requests in flight as they may."""
+        """Endpoints that are ejected or at their limit of requests in flight."""
         avoided = self.ejector.ejected(now_ns)
         limit = self.limits.max_in_flight_per_endpoint
         if limit:
@@ -285,10 +286,10 @@
         return avoided
 
     def _excluded_endpoints(self, request: ActiveRequest) -> set[str]:
-        """Endpoints that this request was sent to, and withdrawn ones."""
+        """Endpoints that this request has already tried, and withdrawn ones."""
         routing = self.tables.get(request.route.name)
         if routing is not None and routing.picker is request.picker:
-            return request.attempted  # the table in force has no withdrawn endpoint
+            return request.attempted  # same picker: the table in force has no withdrawn endpoints
         withdrawn = {endpoint for endpoint in request.picker.endpoints if self.is_withdrawn(endpoint)}
         return request.attempted | withdrawn
 
@@ -303,7 +304,7 @@
 
 
 def _attempt_timeout_ns(request: ActiveRequest, remaining_ns: int) -> int:
-    """The time of an attempt: its table's, but all that is left for the last attempt."""
+    """The table's attempt timeout; the last attempt gets all the time that remains."""
     timeout_s = request.table.attempt_timeout_s
     if not timeout_s or request.retries >= request.table.max_retries:
         return remaining_ns
--- a/swiftchute/proxy/retry.py
+++ b/swiftchute/proxy/retry.py
@@ -1,16 +1,17 @@
-"""Whether an attempt is retried: only when that cannot execute the request twice, and within a budget.
+"""Retry policy: retries only if the request cannot be executed twice, and within a retry budget.
 
-What proves that an attempt never ran, by protocol:
+Proof that an attempt was never executed, by protocol:
 
-- any: no connection was made, or nothing of the attempt was ever written to one. A connection that was lost
-  after any of it was written proves nothing, nor does a timeout.
-- HTTP/2: RST_STREAM with REFUSED_STREAM (RFC 9113, 8.7); GOAWAY whose last stream is an earlier one (6.8).
-  RST_STREAM with any other code proves nothing, nor does a GOAWAY that names the stream or a later one.
-- HTTP/1.1: nothing of its own. A server may close after it ran the request (RFC 9112, 9.3.1), on a reused
-  connection as well; 503, 429 and 408 are sent after work as well as before it.
-- gRPC: as HTTP/2. No status in trailers proves it, not UNAVAILABLE either: servers send it after they ran.
+- any: no connection was established, or no byte of the attempt was written to one. A connection lost after
+  any byte was written proves nothing, nor does a timeout.
+- HTTP/2: RST_STREAM with REFUSED_STREAM (RFC 9113, 8.7); GOAWAY whose last stream ID is lower than the
+  attempt's (6.8). RST_STREAM with any other code or a GOAWAY with an equal or higher ID proves nothing.
+- HTTP/1.1: no proof beyond the first rule. A server may close a new or reused connection after executing the
+  request (RFC 9112, 9.3.1), and may send 503, 429 or 408 before or after doing the work.
+- gRPC: as for HTTP/2. No status in the trailers is proof, not even UNAVAILABLE: servers also send it after
+  executing the call.
 
-A table may allow retries without proof; that holds for idempotent operations only.
+A table may allow retries without proof; this applies to idempotent operations only.
 """
 
 from enum import Enum, StrEnum
@@ -19,12 +20,12 @@
 from swiftchute.proxy.http_framing import REFUSED_STREAM
 from swiftchute.proxy.settings import NS_PER_S, Idempotency
 
-BUDGET_WINDOW_S = 10  # the bucket of a retry budget holds the minimum rate of so long
-ROUNDING_TOLERANCE = 1e-9  # fractions add up to a little less than a whole retry
+BUDGET_WINDOW_S = 10  # the token bucket holds this many seconds of the minimum retry rate
+ROUNDING_TOLERANCE = 1e-9  # floating-point fractions may add up to slightly less than one token
 
 
 class RequestResult(StrEnum):
-    """How a request ended; the values are the names of counters in log records."""
+    """Final result of a request; the values are counter names in log records."""
 
     ANSWERED = "answered"
     UNKNOWN_OPERATION = "unknown"
@@ -41,22 +42,22 @@
 
 
 class AttemptOutcome(Enum):
-    """How an attempt ended.
+    """Outcome of a single attempt.
 
     Attributes:
         result: the request's result if this was its last attempt.
         may_have_run: whether the endpoint may have executed the request.
-        succeeded: whether the endpoint answered well.
+        succeeded: whether the endpoint answered without an error.
     """
 
     SUCCEEDED = (RequestResult.ANSWERED, True)
     FAILED = (RequestResult.FAILED, True)  # the endpoint answered with an error
-    REFUSED = (RequestResult.REFUSED, False)  # by the endpoint, before it ran
+    REFUSED = (RequestResult.REFUSED, False)  # the endpoint refused the stream before executing it
     UNREACHABLE = (RequestResult.UNREACHABLE, False)
-    WITHDRAWN = (RequestResult.WITHDRAWN, False)  # the endpoint was, before the attempt was sent
+    WITHDRAWN = (RequestResult.WITHDRAWN, False)  # the endpoint was withdrawn before the attempt was sent
     CONNECTION_LOST = (RequestResult.CONNECTION_LOST, True)
     TIMED_OUT = (RequestResult.TIMED_OUT, True)
-    NOT_SENT = (RequestResult.CONNECTION_LOST, False)  # the connection accepted nothing
+    NOT_SENT = (RequestResult.CONNECTION_LOST, False)  # the connection rejected the request unsent
 
     def __init__(self, result: RequestResult, may_have_run: bool) -> None:
         """Set the attributes of a member."""
@@ -66,19 +67,19 @@
 
 
 def outcome_of_reset(error_code: int) -> AttemptOutcome:
-    """The outcome of an attempt whose stream was reset with this HTTP/2 error code."""
+    """Map the HTTP/2 error code of a RST_STREAM to the attempt's outcome."""
     return AttemptOutcome.REFUSED if error_code == REFUSED_STREAM else AttemptOutcome.CONNECTION_LOST
 
 
 class RetryBudget:
-    """A token bucket of retries: a fraction of the requests, and a minimum rate beside it."""
+    """A token bucket for retries, filled by a fraction of the requests and at a minimum rate."""
 
     def __init__(self, fraction: float, min_retries_per_s: float) -> None:
         """Start with a full bucket.
 
         Args:
-            fraction: retries earned by each request.
-            min_retries_per_s: retries earned a second whatever arrives.
+            fraction: tokens added per request.
+            min_retries_per_s: tokens added per second, independent of the request rate.
         """
         self.fraction = fraction
         self.min_retries_per_s = min_retries_per_s
@@ -89,12 +90,12 @@
         self._refilled_at_ns = 0
 
     def record_request(self, now_ns: int) -> None:
-        """A request arrived."""
+        """Add the tokens for one request."""
         self._refill(now_ns)
         self.tokens = min(self.tokens + self.fraction, self.max_tokens)
 
     def acquire(self, now_ns: int) -> bool:
-        """Take a token for one retry; returns whether there was one."""
+        """Take a token for one retry; returns whether one was available."""
         self._refill(now_ns)
         if self.tokens < 1 - ROUNDING_TOLERANCE:
             self.denied += 1
@@ -119,18 +120,18 @@
     deadline_ns: int,
     budget: RetryBudget,
 ) -> bool:
-    """Whether to make another attempt after one that ended so; a retry takes a token of the budget.
+    """Whether to make another attempt after `outcome`; a retry takes a token from the budget.
 
-    A table cannot make an operation execute twice that must not: `idempotency` comes from the settings. An
-    attempt that was never sent because its endpoint was withdrawn is no failure and does not count.
+    `idempotency` comes from the proxy's settings, so a table cannot cause a non-idempotent operation to
+    execute twice. An attempt withdrawn before it was sent is no failure and does not count as a retry.
 
     Args:
-        outcome: how the attempt ended.
-        table: the request's table, which limits retries and may demand proof that the attempt never ran.
-        idempotency: of the request's operation.
+        outcome: outcome of the attempt that ended.
+        table: the request's table, which limits retries and may require proof that the attempt never ran.
+        idempotency: idempotency of the requested operation.
         retries: retries made so far.
-        now_ns: the time now.
-        deadline_ns: when the request ends.
+        now_ns: current time.
+        deadline_ns: deadline of the request.
         budget: the proxy's retry budget.
     """
     if outcome.succeeded or now_ns >= deadline_ns:
--- a/swiftchute/proxy/server.py
+++ b/swiftchute/proxy/server.py
@@ -1,8 +1,8 @@
-"""The proxy's sockets and timers: callers' connections in, endpoints' connections out.
+"""The proxy's sockets and timers: downstream connections from callers, upstream connections to endpoints.
 
-An endpoint is spoken to in the HTTP version of the caller. Every wait has an end: connecting, an attempt, a
-request, a caller that sends half a request; what waits is bounded by the requests in flight and by each
-pool's waiters. What happens to a request is decided by the `RequestRouter`.
+A request is forwarded in the HTTP version that its caller uses. Every wait is limited in time (connecting, an
+attempt, a request, a caller that sends half a request), and the number of waiting requests is bounded by the
+requests in flight and by each pool's waiters. `RequestRouter` makes all routing decisions.
 """
 
 import asyncio
@@ -32,18 +32,18 @@
     """The listening socket and all connections of a proxy.
 
     Attributes:
-        router: decides what happens to requests.
+        router: makes the routing decisions.
         settings: settings of the sockets.
-        clock: the time in ns.
-        upstreams: by endpoint and whether they speak HTTP/2.
-        downstreams: callers' connections.
-        rejected_connections: callers' connections past the limit.
+        clock: returns the current time in ns.
+        upstreams: upstreams keyed by endpoint and whether they use HTTP/2.
+        downstreams: open connections of callers.
+        rejected_connections: number of caller connections closed because the limit was reached.
     """
 
     def __init__(
         self, router: RequestRouter, settings: ServerSettings, clock: Callable[[], int] = time.monotonic_ns
     ) -> None:
-        """Nothing is open before `start`."""
+        """Create a server; `start` opens the listening socket."""
         self.router = router
         self.settings = settings
         self.clock = clock
@@ -54,7 +54,7 @@
         self._check_task: asyncio.Task | None = None
 
     async def start(self) -> tuple[str, int]:
-        """Listen; returns host and port."""
+        """Start listening; returns the bound host and port."""
         host, port = self.settings.listen_address
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
@@ -64,7 +64,7 @@
         return self._server.sockets[0].getsockname()[:2]
 
     async def stop(self) -> None:
-        """Shut down: accept nothing new, let requests in flight end for a while, and close."""
+        """Stop accepting connections, wait up to the drain timeout for requests in flight, and close."""
         if self._server is not None:
             self._server.close()
         for downstream in list(self.downstreams):
@@ -80,7 +80,7 @@
             upstream.close()
 
     def downstream_opened(self, connection: DownstreamConnection) -> None:
-        """A caller connected; past the limit its connection is closed unread."""
+        """Register a caller's connection; over the limit it is closed without being read."""
         if len(self.downstreams) >= self.settings.max_downstream_connections:
             self.rejected_connections += 1
             connection.transport.abort()
@@ -88,11 +88,11 @@
         self.downstreams.add(connection)
 
     def downstream_closed(self, connection: DownstreamConnection) -> None:
-        """A caller's connection was closed."""
+        """Forget a caller's connection that was closed."""
         self.downstreams.discard(connection)
 
     async def handle_request(self, request: HttpMessage, caller: str, http2: bool) -> HttpMessage:
-        """The response to a caller's request, from an endpoint or made here."""
+        """Return the response to a caller's request: an endpoint's, or a local one."""
         info = response_headers.parse_request(request)
         result, response = await self.route_request(request, info, caller, http2)
         if response is not None:
@@ -102,16 +102,16 @@
     async def route_request(
         self, message: HttpMessage, info: RequestInfo, caller: str, http2: bool
     ) -> tuple[RequestResult, HttpMessage | None]:
-        """Send a request to endpoints until it is finished.
+        """Send a request to endpoints, with retries, until it is finished.
 
         Args:
             message: the request.
-            info: what it says of itself.
-            caller: tells its caller from others.
-            http2: HTTP/2, or else HTTP/1.1.
+            info: operation, protocol and timeout parsed from the request.
+            caller: identifies the caller.
+            http2: whether to use HTTP/2; otherwise HTTP/1.1.
 
         Returns:
-            How it ended, and an endpoint's response if there was one.
+            The result, and the endpoint's response if there is one.
         """
         request = self.router.admit(info.operation, caller, self.clock())
         if isinstance(request, Rejection):
@@ -130,7 +130,7 @@
         return request.result_of(outcome, response is not None, self.clock()), response
 
     def on_attempt_ended(self, request: ActiveRequest, outcome: AttemptOutcome) -> None:
-        """An attempt at `request.endpoint` ended; for a subclass that records attempts."""
+        """Hook for subclasses that record attempts: an attempt at `request.endpoint` ended."""
 
     async def _run_attempt(
         self, request: ActiveRequest, attempt: Attempt, message: HttpMessage, grpc: bool, http2: bool
@@ -139,7 +139,7 @@
         acquired = await upstream.acquire(attempt.deadline_ns)
         if self.router.is_withdrawn(attempt.endpoint):
             if isinstance(acquired, PooledConnection):
-                upstream.connection_unused()
+                upstream.release_unused()
             return AttemptEnd(AttemptOutcome.WITHDRAWN, None)
         if not isinstance(acquired, PooledConnection):
             return AttemptEnd(AttemptOutcome.UNREACHABLE, None)
@@ -166,7 +166,7 @@
         message: HttpMessage,
         deadline_ns: int,
     ) -> AttemptEnd:
-        """Write a request to a connection and wait for its end until the deadline."""
+        """Send a request on a connection and wait for the attempt's end, at most until the deadline."""
         try:
             stream_id, future = connection.send(message)
         except HttpFramingError:
@@ -189,7 +189,7 @@
         return upstream
 
     async def _check_connections(self) -> None:
-        """Close idle and silent connections, and forget upstreams that no table names."""
+        """Periodically close idle and unresponsive connections, and drop upstreams no table refers to."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
             for key, upstream in list(self.upstreams.items()):
--- a/swiftchute/proxy/upstream.py
+++ b/swiftchute/proxy/upstream.py
@@ -1,4 +1,4 @@
-"""All connections to one endpoint in one HTTP version: dials, waiters and the pool that decides on them."""
+"""All connections to one endpoint in one HTTP version: dialing, waiting requests and the connection pool."""
 
 import asyncio
 from collections import deque
@@ -12,9 +12,9 @@
 
 
 class NoConnection(Enum):
-    """Why no connection was given."""
+    """Why no connection could be acquired."""
 
-    FULL = auto()  # as many requests wait as may
+    FULL = auto()  # the limit of waiting requests is reached
     TIMED_OUT = auto()
     UNREACHABLE = auto()
 
@@ -23,18 +23,18 @@
     """The connections to one endpoint.
 
     Attributes:
-        pool: decides which connection is used.
-        connections: the protocol of each pooled connection.
+        pool: selects the connection for each request.
+        connections: the asyncio protocol of each pooled connection.
     """
 
     def __init__(self, endpoint: str, http2: bool, settings: ServerSettings, clock: Clock) -> None:
-        """Nothing is connected yet.
+        """Create an upstream; connections are made on demand.
 
         Args:
             endpoint: "host:port".
-            http2: HTTP/2, or else HTTP/1.1.
+            http2: whether to use HTTP/2; otherwise HTTP/1.1.
             settings: limits and timeouts.
-            clock: the time in ns.
+            clock: returns the current time in ns.
         """
         self.endpoint = endpoint
         self.pool = ConnectionPool(settings.pool)
@@ -42,16 +42,16 @@
         self._http2 = http2
         self._settings = settings
         self._clock = clock
-        self._waiters: deque[asyncio.Future[bool]] = deque()  # True: ask the pool again; False: unreachable
+        self._waiters: deque[asyncio.Future[bool]] = deque()  # True: retry the pool; False: unreachable
         self._dial_task: asyncio.Task | None = None
 
     @property
     def unused(self) -> bool:
-        """Whether it has no connections and nobody waits for one."""
+        """Whether there are no connections and no request waits for one."""
         return not self.pool.connections and not self._waiters
 
     async def acquire(self, deadline_ns: int) -> PooledConnection | NoConnection:
-        """A connection that can carry one more request; waits for one until the deadline."""
+        """Return a connection with room for one more request; waits for one until the deadline."""
         while True:
             decision = self.pool.select()
             if isinstance(decision, PooledConnection):
@@ -65,17 +65,17 @@
             if failure is not None:
                 return failure
 
-    def connection_unused(self) -> None:
-        """A connection that was given is not used after all: the next waiter may have it."""
+    def release_unused(self) -> None:
+        """Give an acquired connection back without using it; wakes the next waiting request."""
         self._wake(True, 1)
 
     def request_ended(self, connection: PooledConnection, succeeded: bool) -> None:
-        """A request on a connection ended; waiters may have its place."""
+        """Record the end of a request on a connection, and wake waiting requests for the free streams."""
         self.pool.request_ended(connection, succeeded, self._clock())
         self._wake(True, max(connection.available_streams, 0))
 
     def check_connections(self) -> None:
-        """Close idle connections, and check the others for signs of life."""
+        """Close idle connections, and ping or close unresponsive ones."""
         now_ns = self._clock()
         for pooled in self.pool.idle_connections(now_ns):
             self.connections[pooled].close()
@@ -83,14 +83,14 @@
             connection.check_alive(now_ns, self._settings.silence_timeout_ns)
 
     def close(self) -> None:
-        """Close everything at once."""
+        """Cancel dialing and close all connections immediately."""
         if self._dial_task is not None:
             self._dial_task.cancel()
         for connection in list(self.connections.values()):
             connection.close()
 
     async def _wait(self, deadline_ns: int) -> NoConnection | None:
-        """Wait until the pool may have a connection; None then, or why there is none."""
+        """Wait until the pool may have a connection; returns None then, else why there is none."""
         future: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         self._waiters.append(future)
         self.pool.waiting += 1
@@ -100,7 +100,7 @@
             return None if reachable else NoConnection.UNREACHABLE
         except TimeoutError:
             if future.done() and not future.cancelled():
-                self._wake(True, 1)  # it was woken just then: the next waiter takes its place
+                self._wake(True, 1)  # woken just as it timed out: pass the wake-up to the next waiter
             return NoConnection.TIMED_OUT
         finally:
             self.pool.waiting -= 1
@@ -124,7 +124,7 @@
                 )
         except (OSError, TimeoutError):
             self.pool.dialing -= 1
-            if not self.pool.connections:  # those of an open connection may still answer: keep waiting
+            if not self.pool.connections:  # otherwise a stream of an open connection may still become free
                 self._wake(False, len(self._waiters))
             return
         self.pool.dialing -= 1
@@ -145,4 +145,4 @@
         self.pool.remove(connection.pooled)
         self.connections.pop(connection.pooled, None)
         if not self.pool.connections:
-            self._wake(True, len(self._waiters))  # they ask the pool again, and one of them dials
+            self._wake(True, len(self._waiters))  # all retry the pool, and one of them dials
