--- a/swiftchute/proxy/connection_pool.py
+++ b/swiftchute/proxy/connection_pool.py
@@ -1,7 +1,8 @@
-"""The connections to one endpoint: which one is used, when another is made, who waits. No I/O, no clock.
+"""Connection pool of one endpoint: selects a connection, or decides to dial or wait. No I/O, no clock.
 
-A new connection carries a few requests at once and twice as many after each round of successes, so that an
-endpoint that has just started does not receive all that waited. One connection is made at a time.
+A new connection starts with a low stream limit, which doubles after each round of successes, so that an
+endpoint that has just started does not receive all waiting requests at once. One connection is dialed at a
+time.
 """
 
 from dataclasses import dataclass, field
@@ -12,7 +13,7 @@
 
 
 class StreamCapacity(Protocol):
-    """The framing of a connection, as far as the pool needs it."""
+    """The part of a connection's framing that the pool needs."""
 
     @property
     def available_streams(self) -> int:
@@ -20,11 +21,11 @@
 
 
 class PoolDecision(StrEnum):
-    """What to do with a request that no connection can carry now."""
+    """What to do with a request while no connection has a free stream."""
 
-    DIAL = "dial"  # make a connection and wait
+    DIAL = "dial"  # open a connection and wait for it
     WAIT = "wait"
-    FULL = "full"  # as many wait as may
+    FULL = "full"  # the limit of waiting requests is reached
 
 
 @dataclass(eq=False)
@@ -32,12 +33,12 @@
     """One connection of a pool.
 
     Attributes:
-        framing: says how many more streams the peer accepts.
-        stream_limit: requests at once that the connection may carry now.
-        in_flight: requests that it carries.
+        framing: reports how many more streams the peer accepts.
+        stream_limit: current limit of concurrent requests.
+        in_flight: requests in flight.
         successes: successful requests since the limit was last raised.
-        last_used_ns: when a request on it last started or ended.
-        closing: it accepts no more requests.
+        last_used_ns: when a request last started or ended.
+        closing: whether it accepts no more requests.
     """
 
     framing: StreamCapacity
@@ -49,7 +50,7 @@
 
     @property
     def available_streams(self) -> int:
-        """How many more requests it may carry."""
+        """How many more requests the connection may carry."""
         if self.closing:
             return 0
         return min(self.stream_limit - self.in_flight, self.framing.available_streams)
@@ -61,9 +62,9 @@
 
     Attributes:
         limits: limits of the pool.
-        connections: the open ones.
-        dialing: connections that are being made.
-        waiting: requests that wait for a connection.
+        connections: open connections.
+        dialing: number of connections being established.
+        waiting: number of requests that wait for a connection.
     """
 
     limits: PoolLimits
@@ -72,7 +73,7 @@
     waiting: int = 0
 
     def select(self) -> PooledConnection | PoolDecision:
-        """The connection for the next request, the one with most available streams, or what to do instead."""
+        """Return the connection with the most available streams, or what to do if none has any."""
         best = max(self.connections, key=lambda connection: connection.available_streams, default=None)
         if best is not None and best.available_streams > 0:
             return best
@@ -83,23 +84,23 @@
         return PoolDecision.WAIT
 
     def add(self, framing: StreamCapacity, now_ns: int) -> PooledConnection:
-        """A connection was made."""
+        """Add a connection that was established."""
         connection = PooledConnection(framing, self.limits.initial_streams, last_used_ns=now_ns)
         self.connections.append(connection)
         return connection
 
     def remove(self, connection: PooledConnection) -> None:
-        """A connection was closed."""
+        """Remove a connection that was closed."""
         if connection in self.connections:
             self.connections.remove(connection)
 
     def request_started(self, connection: PooledConnection, now_ns: int) -> None:
-        """A request was assigned to the connection."""
+        """Record that a request was assigned to the connection."""
         connection.in_flight += 1
         connection.last_used_ns = now_ns
 
     def request_ended(self, connection: PooledConnection, succeeded: bool, now_ns: int) -> None:
-        """A request on the connection ended; after as many successes as its limit, the limit is doubled."""
+        """Record the end of a request; the stream limit doubles after as many successes as the limit."""
         connection.in_flight -= 1
         connection.last_used_ns = now_ns
         connection.successes += succeeded
@@ -109,7 +110,7 @@
             connection.successes = 0
 
     def idle_connections(self, now_ns: int) -> list[PooledConnection]:
-        """Connections to close: unused for the idle timeout, or closing with nothing in flight."""
+        """Connections to close: those without requests that reached the idle timeout or are closing."""
         return [connection for connection in self.connections if self._is_idle(connection, now_ns)]
 
     def _is_idle(self, connection: PooledConnection, now_ns: int) -> bool:
--- a/swiftchute/proxy/load_balancing.py
+++ b/swiftchute/proxy/load_balancing.py
@@ -1,6 +1,6 @@
-"""Picking an endpoint by a table's weights. No I/O, no clock.
+"""Weighted load balancing: selects an endpoint by the weights of a table. No I/O, no clock.
 
-Weights are whole numbers of 1 or more by endpoint, as tables have them.
+Weights are integers of 1 or more, keyed by endpoint.
 """
 
 import heapq
@@ -11,89 +11,92 @@
 from swiftchute.proxy.errors import EmptyTableError
 from swiftchute.proxy.settings import LoadBalancing
 
-MAX_DRAWS = 8  # draws for an endpoint that is allowed, before any allowed one is taken
+MAX_DRAWS = 8  # weighted draws for an allowed endpoint before one is chosen uniformly
 
 
 class EndpointPicker(Protocol):
-    """Picks one endpoint at a time."""
+    """Selects one endpoint per call."""
 
     endpoints: tuple[str, ...]
 
-    def pick(self, chance: random.Random) -> str:
-        """The next endpoint; `chance` is the source of random numbers."""
+    def pick(self, rng: random.Random) -> str:
+        """Return the next endpoint; `rng` is the source of random numbers."""
 
 
 class WeightedRandomPicker:
-    """Vose's alias table: two random numbers a pick, whatever the table's size."""
+    """Vose's alias method: two random numbers per pick, independent of the table's size."""
 
     def __init__(self, weights: Mapping[str, int]) -> None:
         """Build the alias table; raises EmptyTableError without endpoints."""
         if not weights:
-            raise EmptyTableError("no endpoints to pick from")
+            raise EmptyTableError("cannot create a picker: the table has no weights")
         self.endpoints = tuple(weights)
         mean = sum(weights.values()) / len(weights)
-        portions = [weight / mean for weight in weights.values()]
-        self.probabilities = [1.0] * len(portions)  # of keeping the drawn place
-        self.aliases = list(range(len(portions)))  # the place taken otherwise
-        small = [place for place, portion in enumerate(portions) if portion < 1]
-        large = [place for place, portion in enumerate(portions) if portion >= 1]
+        scaled_weights = [weight / mean for weight in weights.values()]
+        self.probabilities = [1.0] * len(scaled_weights)  # of keeping the drawn index
+        self.aliases = list(range(len(scaled_weights)))  # the index used otherwise
+        small = [index for index, scaled_weight in enumerate(scaled_weights) if scaled_weight < 1]
+        large = [index for index, scaled_weight in enumerate(scaled_weights) if scaled_weight >= 1]
         while small and large:
-            place, donor = small.pop(), large[-1]
-            self.probabilities[place] = portions[place]
-            self.aliases[place] = donor
-            portions[donor] -= 1 - portions[place]
-            if portions[donor] < 1:
+            index, donor = small.pop(), large[-1]
+            self.probabilities[index] = scaled_weights[index]
+            self.aliases[index] = donor
+            scaled_weights[donor] -= 1 - scaled_weights[index]
+            if scaled_weights[donor] < 1:
                 small.append(large.pop())
 
-    def pick(self, chance: random.Random) -> str:
-        """An endpoint by its weight."""
-        place = chance.randrange(len(self.endpoints))
-        keeps = chance.random() < self.probabilities[place]
-        return self.endpoints[place if keeps else self.aliases[place]]
+    def pick(self, rng: random.Random) -> str:
+        """Return a random endpoint with a probability proportional to its weight."""
+        index = rng.randrange(len(self.endpoints))
+        keeps_index = rng.random() < self.probabilities[index]
+        return self.endpoints[index if keeps_index else self.aliases[index]]
 
 
 class RoundRobinPicker:
     """Weighted round robin: an endpoint is due again after an interval inverse to its weight.
 
-    The start of each interval is random, so that many proxies do not pick in step.
+    Each endpoint's first turn is random, so that proxies do not pick the same endpoints in step.
     """
 
     def __init__(self, weights: Mapping[str, int]) -> None:
         """Compute the intervals; raises EmptyTableError without endpoints."""
         if not weights:
-            raise EmptyTableError("no endpoints to pick from")
+            raise EmptyTableError("cannot create a picker: the table has no weights")
         self.endpoints = tuple(weights)
         total = sum(weights.values())
         self._intervals = {endpoint: total / weight for endpoint, weight in weights.items()}
-        self._due: list[tuple[float, int, str]] = []  # heap of (due turn, place, endpoint)
+        self._due: list[tuple[float, int, str]] = []  # heap of (due turn, index, endpoint)
 
-    def pick(self, chance: random.Random) -> str:
-        """The endpoint that is due first."""
+    def pick(self, rng: random.Random) -> str:
+        """Return the endpoint whose turn is due first."""
         if not self._due:
             self._due = [
-                (chance.random() * self._intervals[endpoint], place, endpoint)
-                for place, endpoint in enumerate(self.endpoints)
+                (rng.random() * self._intervals[endpoint], index, endpoint)
+                for index, endpoint in enumerate(self.endpoints)
             ]
             heapq.heapify(self._due)
-        turn, place, endpoint = self._due[0]
-        heapq.heapreplace(self._due, (turn + self._intervals[endpoint], place, endpoint))
+        turn, index, endpoint = self._due[0]
+        heapq.heapreplace(self._due, (turn + self._intervals[endpoint], index, endpoint))
         return endpoint
 
 
 class TwoChoicesPicker:
-    """Draws two endpoints by weight and picks the one with fewer requests in flight for its weight."""
+    """Power of two choices: draws two endpoints by weight and picks the less loaded one.
+
+    The load is the number of requests in flight, including the new one, divided by the weight.
+    """
 
     def __init__(self, weights: Mapping[str, int], in_flight: Callable[[str], int]) -> None:
-        """`in_flight` counts the requests in flight to an endpoint; raises EmptyTableError without any."""
+        """`in_flight` returns an endpoint's requests in flight; raises EmptyTableError without endpoints."""
         self._random_picker = WeightedRandomPicker(weights)
         self._weights = weights
         self._in_flight = in_flight
         self.endpoints = self._random_picker.endpoints
 
-    def pick(self, chance: random.Random) -> str:
-        """The less loaded of two."""
-        first = self._random_picker.pick(chance)
-        second = self._random_picker.pick(chance)
+    def pick(self, rng: random.Random) -> str:
+        """Return the less loaded of two random endpoints."""
+        first = self._random_picker.pick(rng)
+        second = self._random_picker.pick(rng)
         return min((first, second), key=self._load)
 
     def _load(self, endpoint: str) -> float:
@@ -103,7 +106,7 @@
 def make_picker(
     load_balancing: LoadBalancing, weights: Mapping[str, int], in_flight: Callable[[str], int]
 ) -> EndpointPicker:
-    """The picker of a table with these weights; raises EmptyTableError if there are none."""
+    """Create the picker for a table's weights; raises EmptyTableError if there are none."""
     if load_balancing == LoadBalancing.ROUND_ROBIN:
         return RoundRobinPicker(weights)
     if load_balancing == LoadBalancing.TWO_CHOICES:
@@ -113,22 +116,22 @@
 
 def choose_endpoint(
     picker: EndpointPicker,
-    chance: random.Random,
+    rng: random.Random,
     excluded: Collection[str],
     avoided: Collection[str],
     max_draws: int = MAX_DRAWS,
 ) -> str | None:
-    """Pick an endpoint that is not excluded, and not avoided as long as any other is left.
+    """Pick an endpoint that is not excluded, and an avoided one only if no other is left.
 
-    It is drawn again a few times, so that the allowed ones keep their proportions, and then taken at random
-    from the allowed ones.
+    Draws that are not allowed are repeated up to `max_draws` times, so that the allowed endpoints keep their
+    relative weights; after that an allowed endpoint is chosen uniformly.
 
     Args:
         picker: the table's picker.
-        chance: source of random numbers.
-        excluded: endpoints that must not be picked; None is returned if that is all of them.
+        rng: source of random numbers.
+        excluded: endpoints that must not be picked; None is returned if all are excluded.
         avoided: endpoints that are picked only if no other is left.
-        max_draws: draws before an allowed one is taken at random.
+        max_draws: weighted draws before the uniform choice.
     """
     candidates: Sequence[str] = picker.endpoints
     if excluded or avoided:
@@ -140,10 +143,10 @@
         preferred = [endpoint for endpoint in candidates if endpoint not in avoided]
     allowed = preferred or candidates
     if len(allowed) == len(picker.endpoints):
-        return picker.pick(chance)
+        return picker.pick(rng)
     allowed_set = set(allowed)
     for _ in range(max_draws):
-        endpoint = picker.pick(chance)
+        endpoint = picker.pick(rng)
         if endpoint in allowed_set:
             return endpoint
-    return chance.choice(allowed)
+    return rng.choice(allowed)
--- a/swiftchute/proxy/outlier_ejection.py
+++ b/swiftchute/proxy/outlier_ejection.py
@@ -1,39 +1,39 @@
-"""Outlier ejection: a proxy avoids an endpoint after a run of its own failures. No I/O, no clock.
+"""Outlier ejection: a proxy avoids an endpoint after consecutive failures it observed. No I/O, no clock.
 
-An ejection's length is randomised and doubles with each ejection that follows at once on the last, up to a
-bound. When it has ended, one request at a time is let through until one succeeds (probation): an endpoint
-that still hangs would otherwise receive its whole share of requests for another run of failures. The caller
-decides who is left to pick from: if all endpoints are ejected it uses them all.
+The duration of an ejection is randomised and doubles with each ejection without a success in between, up to a
+bound. After it the endpoint is on probation: one trial request at a time until one succeeds, because an
+endpoint that still hangs would otherwise receive its full share of requests until it is ejected again. The
+router chooses among the remaining endpoints and uses all of them if all are ejected.
 """
 
 import random
 from collections.abc import Set
 from dataclasses import dataclass
 
-MAX_DOUBLINGS = 3  # of the ejection's length
-MIN_JITTER, MAX_JITTER = 0.75, 1.25  # factors of an ejection's length
-MAX_TRACKED_ENDPOINTS = 100_000  # tables name no more; the others are endpoints of the past
+MAX_DOUBLINGS = 3  # of the ejection duration
+MIN_JITTER, MAX_JITTER = 0.75, 1.25  # factors of the ejection duration
+MAX_TRACKED_ENDPOINTS = 100_000  # tables contain no more; any others are no longer in use
 
 
 @dataclass(slots=True)
 class _EndpointFailures:
     consecutive_failures: int = 0
-    ejections: int = 0  # without a success between them
+    consecutive_ejections: int = 0  # without a success in between
     ejected_until_ns: int = 0
-    on_probation: bool = False  # was ejected and has not succeeded since
+    on_probation: bool = False  # ejected, and no success since
     trial_in_flight: bool = False
 
 
 class OutlierEjector:
-    """The failures and ejections of each endpoint; `ejection_count` counts all ejections."""
+    """Tracks failures and ejections by endpoint; `ejection_count` is the total number of ejections."""
 
     def __init__(self, ejection_failures: int, ejection_ns: int, seed: int) -> None:
         """Start without failures.
 
         Args:
             ejection_failures: consecutive failures that eject an endpoint; 0 means never.
-            ejection_ns: base length of an ejection.
-            seed: of the random lengths.
+            ejection_ns: base duration of an ejection.
+            seed: seed of the random durations.
         """
         self.ejection_failures = ejection_failures
         self.ejection_ns = ejection_ns
@@ -42,7 +42,7 @@
         self._random = random.Random(seed)
 
     def ejected(self, now_ns: int) -> set[str]:
-        """Endpoints to avoid: ejected, or on probation with their trial request in flight."""
+        """Endpoints to avoid: ejected ones, and those on probation with a trial request in flight."""
         if not self.failures_by_endpoint:
             return set()
         return {
@@ -52,26 +52,26 @@
         }
 
     def attempt_started(self, endpoint: str, now_ns: int) -> None:
-        """An attempt goes to the endpoint; on probation it is the trial, and other requests wait for it."""
+        """Record an attempt at the endpoint; on probation it is the trial, and others avoid the endpoint."""
         state = self.failures_by_endpoint.get(endpoint)
         if state is not None and state.on_probation and state.ejected_until_ns <= now_ns:
             state.trial_in_flight = True
 
     def attempt_ended(self, endpoint: str, succeeded: bool, now_ns: int) -> None:
-        """An attempt at the endpoint ended."""
+        """Record the result of an attempt; a success clears the endpoint's failures."""
         if succeeded:
             self.failures_by_endpoint.pop(endpoint, None)
         elif self.ejection_failures:
             self._record_failure(endpoint, now_ns)
 
     def attempt_abandoned(self, endpoint: str) -> None:
-        """An attempt ended without showing anything of the endpoint: its caller went away."""
+        """Record an attempt that says nothing about the endpoint, such as one whose caller disconnected."""
         state = self.failures_by_endpoint.get(endpoint)
         if state is not None:
             state.trial_in_flight = False
 
     def retain(self, endpoints: Set[str]) -> None:
-        """Forget all endpoints but these, which the tables name now."""
+        """Forget all endpoints except `endpoints`, those of the current tables."""
         for endpoint in [known for known in self.failures_by_endpoint if known not in endpoints]:
             del self.failures_by_endpoint[endpoint]
 
@@ -82,16 +82,16 @@
                 return
             state = self.failures_by_endpoint[endpoint] = _EndpointFailures()
         if state.ejected_until_ns > now_ns:
-            return  # it was in flight when the endpoint was ejected: nothing new
+            return  # the attempt was in flight when the endpoint was ejected
         state.consecutive_failures += 1
         if state.consecutive_failures >= self.ejection_failures or state.on_probation:
             self._eject(state, now_ns)
 
     def _eject(self, state: _EndpointFailures, now_ns: int) -> None:
-        length_ns = self.ejection_ns << min(state.ejections, MAX_DOUBLINGS)
-        state.ejected_until_ns = now_ns + int(length_ns * self._random.uniform(MIN_JITTER, MAX_JITTER))
+        duration_ns = self.ejection_ns << min(state.consecutive_ejections, MAX_DOUBLINGS)
+        state.ejected_until_ns = now_ns + int(duration_ns * self._random.uniform(MIN_JITTER, MAX_JITTER))
         state.consecutive_failures = 0
-        state.ejections += 1
+        state.consecutive_ejections += 1
         state.on_probation = True
         state.trial_in_flight = False
         self.ejection_count += 1
