--- a/swiftchute/proxy/control_client.py
+++ b/swiftchute/proxy/control_client.py
@@ -1,7 +1,7 @@
-"""The connection of a proxy to the control plane: one ADS and one LRS stream, reconnected with jitter.
+"""The connection of a proxy to the control plane: one ADS and one LRS stream, with jittered reconnects.
 
-`ControlPlaneClient` decides nothing but when to connect; the tables are those of its `XdsClient`. A subclass
-learns of streams and responses by overriding the `on_` and `before_` methods.
+`ControlPlaneClient` owns the connection; its `XdsClient` holds the protocol state and the tables. Subclasses
+override the `on_` and `before_` hooks to observe or delay streams and responses.
 """
 
 import asyncio
@@ -22,19 +22,19 @@
 
 STREAM_ERRORS = (GRPCError, StreamTerminatedError, ConnectionError, OSError, asyncio.TimeoutError)
 CONNECT_TIMEOUT_S = 2.0
-RECONNECT_DELAY_S = (0.1, 0.6)  # drawn from this range
+RECONNECT_DELAY_S = (0.1, 0.6)  # range of the random delay
 KEEPALIVE_S = 1.0
 MIN_REPORT_INTERVAL_S = 0.05
 
 
 class ControlPlaneClient:
-    """Connects to the servers of the control plane in turn until `stop`.
+    """Connects to the control plane's servers in round-robin order until `stop`.
 
     Attributes:
-        client: the state of the xDS client.
+        client: the xDS client state.
         servers: host and port of each server.
         connected_to: "host:port" of the server whose stream is open, or None.
-        stream_count: streams that were started so far; the last one's number.
+        stream_count: number of connection attempts so far; also the number of the latest stream.
     """
 
     def __init__(
@@ -45,14 +45,14 @@
         reconnect_delay_s: tuple[float, float] = RECONNECT_DELAY_S,
         keepalive_s: float = KEEPALIVE_S,
     ) -> None:
-        """Nothing is connected before `start`.
+        """Create a client; `start` connects it.
 
         Args:
-            client: the state of the xDS client.
+            client: the xDS client state.
             servers: host and port of each server.
-            seed: of the first server and of the delays.
-            reconnect_delay_s: bounds of the delay before the next connection.
-            keepalive_s: interval of pings, and time for their answer.
+            seed: seed for the choice of the first server and the delays.
+            reconnect_delay_s: bounds of the delay before reconnecting.
+            keepalive_s: interval between pings, and timeout of their acknowledgement.
         """
         self.client = client
         self.servers = list(servers)
@@ -66,36 +66,36 @@
         self._next_server = self.random.randrange(len(self.servers))
 
     def on_stream_opened(self, server: str, stream: int) -> None:
-        """A stream to a server is open; `stream` is its number."""
+        """Hook: a stream to a server was opened; `stream` is its number."""
 
     def on_stream_closed(self, server: str, stream: int) -> None:
-        """It ended."""
+        """Hook: the stream ended."""
 
     def on_response(self, server: str, stream: int, data: bytes) -> None:
-        """A response was received, and is applied next."""
+        """Hook: a response was received and will be applied next."""
 
     def on_applied(self) -> None:
-        """It was applied; its acknowledgement is sent next."""
+        """Hook: the response was processed; its ACK or NACK is sent next."""
 
     async def before_receiving(self) -> None:
-        """May delay the next response."""
+        """Hook that may delay receiving the next response."""
 
     async def before_acknowledging(self) -> None:
-        """May delay an acknowledgement."""
+        """Hook that may delay an acknowledgement."""
 
     def start(self) -> None:
-        """Connect, and reconnect until `stop`."""
+        """Start connecting in the background, and reconnect until `stop`."""
         self.tasks = [asyncio.ensure_future(self._run())]
 
     async def stop(self) -> None:
-        """End all tasks and close the connection."""
+        """Cancel all tasks and close the connection."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
         self.disconnect()
 
     def disconnect(self) -> None:
-        """Close the connection from this side."""
+        """Close the current connection, if any."""
         if self._channel is not None:
             self._channel.close()
 
@@ -108,7 +108,7 @@
             await asyncio.sleep(self.random.uniform(*self.reconnect_delay_s))
 
     async def _run_connection(self, host: str, port: int, stream: int) -> None:
-        """One connection, until it fails or ends."""
+        """Run one connection until it fails or ends."""
         channel = self._channel = Channel(host, port, codec=RawCodec(), config=self._configuration())
         reports = None
         try:
--- a/swiftchute/proxy/endpoint_table.py
+++ b/swiftchute/proxy/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The table that the requests of one operation follow, and how it is read from xDS resources."""
+"""The endpoint table of an operation, and how it is built from xDS resources."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -11,22 +11,22 @@
 
 from swiftchute.proxy.settings import NS_PER_S
 
-RETRY_ON_PROOF = "refused-stream,connect-failure"  # `retry_on` of a route whose retries need proof
-DROP_DENOMINATOR = 1_000_000  # of the drop percentages
+RETRY_ON_PROOF = "refused-stream,connect-failure"  # `retry_on` of a route that requires proof for retries
+DROP_DENOMINATOR = 1_000_000  # denominator of the drop percentages
 
 
 @dataclass
 class EndpointTable:
-    """What the requests of one operation follow.
+    """How the requests of one operation are routed.
 
     Attributes:
-        cluster: name of the cluster, which load reports name.
-        weights: weight by endpoint, whole numbers of 1 or more.
+        cluster: name of the cluster, used in load reports.
+        weights: weight by endpoint, integers of 1 or more.
         admission_rate: fraction of requests that is admitted, 0 to 1.
-        max_retries: retries of one request.
-        requires_proof: whether a retry needs proof that the attempt before it never ran.
-        attempt_timeout_s: time of one attempt; None means the request's.
-        request_timeout_s: time of a whole request; None means that of the settings.
+        max_retries: limit of retries per request.
+        requires_proof: whether a retry requires proof that the previous attempt was never executed.
+        attempt_timeout_s: timeout of one attempt; None means that of the request.
+        request_timeout_s: timeout of a whole request; None means that of the settings.
     """
 
     cluster: str
@@ -41,7 +41,7 @@
 def table_from_resources(
     action: RouteAction, assignment: ClusterLoadAssignment, weights: dict[str, int]
 ) -> EndpointTable:
-    """The table of a route's action, its cluster's assignment and the weights of the assignment."""
+    """Build a table from a route's action, its cluster's load assignment and the assignment's weights."""
     retry_policy = action.retry_policy
     attempt_timeout_s = request_timeout_s = None
     if retry_policy.HasField("per_try_timeout"):
@@ -61,7 +61,7 @@
 
 
 def collection_names(assignment: ClusterLoadAssignment) -> list[str]:
-    """The LEDS collections that an assignment refers to; "" stands for a locality without one."""
+    """LEDS collections that an assignment refers to, one per locality; "" for a locality without one."""
     return [locality.leds_cluster_locality_config.leds_collection_name for locality in assignment.endpoints]
 
 
@@ -70,12 +70,12 @@
     collection_entries: Mapping[str, tuple[str, Any]],
     subscribed_collections: set[str],
 ) -> dict[str, int] | None:
-    """The weights of an assignment's endpoints, without draining ones.
+    """Return the weights of an assignment's endpoints, without draining ones.
 
     Args:
-        assignment: with its endpoints inside or in LEDS collections.
+        assignment: load assignment with inline endpoints or references to LEDS collections.
         collection_entries: version and endpoint by resource name, of all collections.
-        subscribed_collections: collections that were asked for.
+        subscribed_collections: collections that the client has subscribed to.
 
     Returns:
         Weights by endpoint, or None while a collection is not subscribed or still empty.
@@ -86,7 +86,7 @@
         if collection:
             if collection not in subscribed_collections:
                 return None
-            prefix = collection[:-1]  # the name without its glob "*"
+            prefix = collection[:-1]  # the name without its trailing glob "*"
             endpoints = [
                 endpoint for name, (_, endpoint) in collection_entries.items() if name.startswith(prefix)
             ]
@@ -99,13 +99,13 @@
 
 
 def endpoint_addresses(assignment: ClusterLoadAssignment) -> set[str]:
-    """The addresses of all endpoints inside an assignment."""
+    """The addresses of all inline endpoints of an assignment."""
     return {
         endpoint_address(endpoint) for locality in assignment.endpoints for endpoint in locality.lb_endpoints
     }
 
 
 def endpoint_address(endpoint: LbEndpoint) -> str:
-    """An endpoint's address as "host:port"."""
+    """Return an endpoint's address as "host:port"."""
     address = endpoint.endpoint.address.socket_address
     return f"{address.address}:{address.port_value}"
--- a/swiftchute/proxy/xds_client.py
+++ b/swiftchute/proxy/xds_client.py
@@ -1,12 +1,13 @@
-"""The client side of ADS as a state machine without I/O, and the tables that follow from its resources.
+"""The client side of ADS as a state machine without I/O, and the endpoint tables built from its resources.
 
     client = XdsClient(node, zone, request_rate_per_s)
     requests = client.open_stream(fresh)      # the first requests of a new stream
-    requests = client.receive(data)           # a response: its ACK or NACK, and changed subscriptions
-    client.table("lot-estimate")              # EndpointTable, or None while nothing was received
+    requests = client.receive(data)           # ACK or NACK of a response, and changed subscriptions
+    client.table("lot-estimate")              # EndpointTable, or None if none was received
     report = client.build_load_report(window_s)
 
-A response is applied once: one whose nonce is not newer than the stream's last of its type is ignored.
+Each response is applied at most once: it is ignored unless its nonce is newer than the last one of the same
+type on the stream.
 """
 
 from collections.abc import Callable
@@ -42,9 +43,9 @@
 from swiftchute.xds import names
 
 INVALID_ARGUMENT = 3  # google.rpc code of a NACK
-STATIC_TABLE_RETRIES = 1  # of a table made from the static endpoints
+STATIC_TABLE_RETRIES = 1  # max_retries of tables built from the static endpoints
 
-# Called with type URL, resource name and message; returns the cause to reject a resource, or None.
+# Called with type URL, resource name and message; returns the cause of a rejection, or None.
 ResourceValidator = Callable[[str, str, Any], str | None]
 Resources = dict[str, tuple[str, Any]]  # version and message by resource name
 
@@ -58,15 +59,15 @@
 
 
 class XdsClient:
-    """State that outlives streams.
+    """xDS client state, which outlives the streams to the control plane.
 
     Attributes:
         resources: accepted resources by type URL.
         tables: the last complete table by operation.
-        static_endpoints: weights of the table for operations that have none yet.
-        load_by_cluster: what was counted since the last load report.
-        applied: responses that were accepted.
-        ignored: responses that were delivered again, or came after a newer one.
+        static_endpoints: weights by endpoint, used for operations that have no table yet.
+        load_by_cluster: load since the last load report.
+        applied: number of accepted responses.
+        ignored: number of duplicate or out-of-date responses.
     """
 
     def __init__(
@@ -79,16 +80,16 @@
         validate: ResourceValidator | None = None,
         agent: str = "swiftchute-standin",
     ) -> None:
-        """No stream is open yet.
+        """Create a client without an open stream.
 
         Args:
             node: name of this proxy.
-            zone: its zone.
-            request_rate_per_s: requests that it expects.
-            delta: use the incremental protocol variant, not state of the world.
-            endpoint_collections: ask for endpoints one by one (LEDS); needs `delta`.
+            zone: zone of this proxy.
+            request_rate_per_s: request rate that this proxy expects.
+            delta: use the incremental (delta) protocol variant instead of state-of-the-world.
+            endpoint_collections: subscribe to individual endpoints (LEDS); requires `delta`.
             validate: may reject a resource.
-            agent: the node's user agent.
+            agent: user agent of the node.
         """
         self.node = node
         self.zone = zone
@@ -105,22 +106,22 @@
         self.ignored = 0
         self._request_type = DeltaDiscoveryRequest if delta else DiscoveryRequest
         self._response_type = DeltaDiscoveryResponse if delta else DiscoveryResponse
-        self._forget_stream()
+        self._reset_stream_state()
 
-    def _forget_stream(self) -> None:
+    def _reset_stream_state(self) -> None:
         self._subscribed: dict[str, set[str]] = {}
-        self._last_order: dict[str, int] = {}  # number in the last nonce
+        self._last_sequence_number: dict[str, int] = {}  # sequence number of the last nonce, by type URL
         self._nonces: dict[str, str] = {}
         self._versions: dict[str, str] = {}
-        self._nonce_prefix = ""  # of this stream: a response of an earlier one is ignored
+        self._nonce_prefix = ""  # identifies this stream; responses of earlier streams are ignored
 
     def open_stream(self, fresh: bool) -> list[bytes]:
-        """The first requests of a new stream; a delta stream names the resources it has.
+        """Return the first requests of a new stream; with delta they list the known resource versions.
 
         Args:
-            fresh: this proxy has no tables.
+            fresh: whether this proxy has no tables yet.
         """
-        self._forget_stream()
+        self._reset_stream_state()
         requests = [self._subscribe(type_url, set()) for type_url in (names.CDS, names.LDS)]
         requests += self._changed_subscriptions()
         message = self._request_type.FromString(requests[0])
@@ -128,17 +129,17 @@
         return [message.SerializeToString(), *requests[1:]]
 
     def receive(self, data: bytes) -> list[bytes]:
-        """Apply a response once.
+        """Apply a response unless it is a duplicate or out of date.
 
         Args:
             data: a serialized response of the stream's protocol variant.
 
         Returns:
-            The ACK or NACK, and requests for what is newly referred to; nothing for an ignored response.
+            The ACK or NACK, followed by subscription changes; empty for an ignored response.
         """
         response = self._response_type.FromString(data)
         type_url = response.type_url
-        if not self._is_new(type_url, response.nonce):
+        if not self._accept_nonce(type_url, response.nonce):
             self.ignored += 1
             return []
         resources, error = self._decode(type_url, response)
@@ -147,12 +148,12 @@
         self._apply(type_url, resources, response)
         acknowledgement = self._acknowledgement(type_url, response.nonce, None)
         requests = self._changed_subscriptions()
-        if not self.delta and requests:  # an ACK names what is subscribed then, so it needs the newest names
+        if not self.delta and requests:  # an ACK lists the subscription, so it must have the new names
             acknowledgement.resource_names[:] = sorted(self._subscribed.get(type_url, ()))
         return [acknowledgement.SerializeToString(), *requests]
 
     def table(self, operation: str) -> EndpointTable | None:
-        """The table in force, without withdrawn endpoints: the last complete one, or the static one."""
+        """Return the last complete table, or else the static one, without withdrawn endpoints."""
         withdrawn = self.withdrawn_endpoints()
         table = self.tables.get(operation)
         if table is None:
@@ -165,20 +166,20 @@
         return table if table.weights or operation in self.tables else None
 
     def withdrawn_endpoints(self) -> set[str]:
-        """Endpoints that no proxy may use, whatever its tables say."""
+        """Endpoints that must not be used, even if a table contains them."""
         resource = self.resources[names.EDS].get(names.WITHDRAWN)
         return endpoint_addresses(resource[1]) if resource else set()
 
     def record_attempt(self, cluster: str, endpoint: str, succeeded: bool, latency_s: float) -> None:
-        """Count an attempt that ended."""
+        """Count a completed attempt for the load report."""
         self._cluster_load(cluster).endpoint(endpoint).record(succeeded, latency_s)
 
     def record_drop(self, cluster: str) -> None:
-        """Count a request that the admission rate rejected."""
+        """Count a request rejected by the admission rate."""
         self._cluster_load(cluster).dropped += 1
 
     def build_load_report(self, window_s: float, first: bool = False) -> bytes:
-        """A LoadStatsRequest of what was counted since the last; the first of a stream names the node."""
+        """Build a LoadStatsRequest of the load since the last one; the first of a stream names the node."""
         report = LoadStatsRequest()
         if first:
             report.node.CopyFrom(self._node(fresh=False))
@@ -200,19 +201,19 @@
             node.client_features.append(names.LINES_FEATURE)
         return node
 
-    def _is_new(self, type_url: str, nonce: str) -> bool:
-        """Whether a response's nonce is of this stream and newer than the last of its type; remembers it."""
-        prefix, _, order_text = nonce.rpartition("-")
-        order = int(order_text)
+    def _accept_nonce(self, type_url: str, nonce: str) -> bool:
+        """Whether a nonce is of this stream and newer than the last of its type; if so, record it."""
+        prefix, _, number_text = nonce.rpartition("-")
+        sequence_number = int(number_text)
         self._nonce_prefix = self._nonce_prefix or prefix
-        if prefix != self._nonce_prefix or order <= self._last_order.get(type_url, 0):
+        if prefix != self._nonce_prefix or sequence_number <= self._last_sequence_number.get(type_url, 0):
             return False
-        self._last_order[type_url] = order
+        self._last_sequence_number[type_url] = sequence_number
         self._nonces[type_url] = nonce
         return True
 
     def _decode(self, type_url: str, response: Any) -> tuple[Resources, str | None]:
-        """The resources of a response, and the cause to reject it or None."""
+        """Decode the resources of a response; also returns the cause of a rejection, or None."""
         resources: Resources = {}
         error = None
         for item in response.resources:
@@ -257,7 +258,7 @@
         return requests
 
     def _referenced_names(self) -> dict[str, set[str]]:
-        """What the accepted resources refer to, by type URL."""
+        """Names that the accepted resources refer to, by type URL."""
         assignments = {
             cluster.eds_cluster_config.service_name or name
             for name, (_, cluster) in self.resources[names.CDS].items()
@@ -294,14 +295,14 @@
         ).SerializeToString()
 
     def _update_tables(self) -> None:
-        """Follow listeners to endpoints; an operation whose chain is incomplete keeps the table it has."""
+        """Build tables from listeners down to endpoints; with a resource missing, the old table is kept."""
         for operation in self.resources[names.LDS]:
             table = self._complete_table(operation)
             if table is not None:
                 self.tables[operation] = table
 
     def _complete_table(self, operation: str) -> EndpointTable | None:
-        """The table that the resources describe, or None if one is missing."""
+        """Build an operation's table from its resources; None if a resource is missing."""
         route = self.resources[names.RDS].get(operation)
         if route is None:
             return None
@@ -321,5 +322,5 @@
 
 
 def _resource_name(type_url: str, message: Any) -> str:
-    """The name of a resource in a state-of-the-world response, which does not name it apart."""
+    """The resource's name, taken from the message: state-of-the-world responses have no separate name."""
     return message.cluster_name if type_url == names.EDS else message.name
