--- a/swiftchute/proxy/downstream_connection.py
+++ b/swiftchute/proxy/downstream_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a caller: an asyncio protocol around the framing. No rule is decided here."""
+"""A caller's connection: an asyncio protocol around the HTTP framing. It makes no routing decisions."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,36 +10,36 @@
 from swiftchute.proxy.http_framing import HttpEvent, HttpMessage, MessageTooLarge, StreamReset
 from swiftchute.proxy.settings import MAX_UNREAD_BYTES, ServerSettings
 
-HTTP2_PREFACE_START = b"PRI * HTTP/2.0"  # what a caller that speaks HTTP/2 sends first
+HTTP2_PREFACE_START = b"PRI * HTTP/2.0"  # the first bytes of every HTTP/2 client
 CONTENT_TOO_LARGE = b"HTTP/1.1 413 Content Too Large\r\ncontent-length: 0\r\n\r\n"
 
 
 class RequestHandler(Protocol):
-    """What a caller's connection needs of the proxy."""
+    """The part of the proxy server that a caller's connection needs."""
 
     settings: ServerSettings
     clock: Callable[[], int]
 
     async def handle_request(self, request: HttpMessage, caller: str, http2: bool) -> HttpMessage:
-        """The response to a request."""
+        """Return the response to a request."""
 
     def downstream_opened(self, connection: "DownstreamConnection") -> None:
-        """A connection was made."""
+        """Called when a connection is established."""
 
     def downstream_closed(self, connection: "DownstreamConnection") -> None:
-        """A connection was lost."""
+        """Called when a connection is lost."""
 
 
 class DownstreamConnection(asyncio.Protocol):
-    """A caller's connection; HTTP/2 and HTTP/1.1 are told apart by its first bytes.
+    """A caller's connection; its first bytes decide between HTTP/2 and HTTP/1.1.
 
     Attributes:
-        tasks: requests in flight by stream id.
-        caller: the peer's host, which tells callers apart.
+        tasks: tasks of the requests in flight, by stream id.
+        caller: the peer's host, which identifies the caller.
     """
 
     def __init__(self, handler: RequestHandler) -> None:
-        """`handler` answers its requests."""
+        """`handler` answers the requests of this connection."""
         self.caller = ""
         self.tasks: dict[int, asyncio.Task] = {}
         self._handler = handler
@@ -48,12 +48,12 @@
         self._last_request_ns = handler.clock()
 
     def is_idle(self, now_ns: int) -> bool:
-        """Whether nothing is in flight and no request has arrived for the idle timeout."""
+        """Whether no request is in flight and none has arrived for longer than the idle timeout."""
         idle_since_ns = now_ns - self._handler.settings.pool.idle_timeout_ns
         return not self.tasks and self._last_request_ns < idle_since_ns
 
     def drain(self) -> None:
-        """Accept no new requests; those in flight are answered."""
+        """Stop accepting requests; those in flight are still answered."""
         if isinstance(self._framing, Http2Connection) and not self._framing.closing:
             self._framing.send_goaway()
             self._flush(self._framing)
@@ -69,7 +69,7 @@
         self._handler.downstream_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        """The caller sent bytes."""
+        """Process bytes from the caller."""
         framing = self._framing
         if framing is None:
             self._first_bytes += data
@@ -82,21 +82,21 @@
         self._run_framing(framing, lambda: self._handle_all(framing, framing.receive_data(data)))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is closed; its requests are cancelled."""
+        """Cancel the requests of the closed connection."""
         for task in self.tasks.values():
             task.cancel()
         self._handler.downstream_closed(self)
 
     def pause_writing(self) -> None:
-        """The caller does not read: it may not send more requests."""
+        """Stop reading requests while the caller does not read its responses."""
         self.transport.pause_reading()
 
     def resume_writing(self) -> None:
-        """The caller reads again."""
+        """Read requests again once the caller reads its responses."""
         self.transport.resume_reading()
 
     def _detect_framing(self) -> Http2Connection | Http1Connection | None:
-        """The framing of the HTTP version that the first bytes show, None while they may be either."""
+        """Create the framing for the HTTP version of the first bytes; None while they are ambiguous."""
         start = bytes(self._first_bytes[: len(HTTP2_PREFACE_START)])
         settings = self._handler.settings
         if start == HTTP2_PREFACE_START:
@@ -106,7 +106,7 @@
         return Http1Connection(False, settings.max_message_bytes)
 
     def _run_framing(self, framing: Http2Connection | Http1Connection, action: Callable[[], None]) -> None:
-        """Run an action on the framing and write what it produced; close if the caller violates HTTP."""
+        """Run an action on the framing and write its output; close on a protocol violation."""
         try:
             action()
         except HttpFramingError:
@@ -141,7 +141,7 @@
     def _respond(self, framing: Http2Connection | Http1Connection, response: HttpMessage) -> None:
         framing.send(response)
         if isinstance(framing, Http1Connection):
-            self._handle_all(framing, framing.next_events())  # a request that arrived meanwhile
+            self._handle_all(framing, framing.next_events())  # a request that arrived in the meantime
 
     def _flush(self, framing: Http2Connection | Http1Connection) -> None:
         data = framing.data_to_send()
--- a/swiftchute/proxy/http1_connection.py
+++ b/swiftchute/proxy/http1_connection.py
@@ -1,4 +1,4 @@
-"""The framing of one HTTP/1.1 connection, by h11: one message each way at a time. No I/O, no clock."""
+"""HTTP/1.1 framing of one connection, built on h11: one exchange at a time. No I/O, no clock."""
 
 from typing import Any
 
@@ -14,20 +14,20 @@
     PartialMessage,
 )
 
-# headers of one connection, or that the framing sets itself
+# hop-by-hop headers, and headers that the framing sets itself
 _DROPPED_HEADERS = (b"content-length", b"transfer-encoding", b"connection", b"keep-alive", b"upgrade", b"te")
 
 
 class Http1Connection:
-    """One side of a connection.
+    """The client or server side of a connection.
 
     Attributes:
-        busy: a request is in flight.
-        closing: the connection takes no new request.
+        busy: whether a request is in flight.
+        closing: whether the connection accepts no new request.
     """
 
     def __init__(self, client: bool, max_message_bytes: int) -> None:
-        """`client`: whether this side sends the requests; `max_message_bytes` is the body of one message."""
+        """`client`: whether this side sends the requests; `max_message_bytes` limits a message's body."""
         self.client = client
         self.max_message_bytes = max_message_bytes
         self.busy = False
@@ -38,21 +38,21 @@
         self._unsent = bytearray()
 
     def start(self) -> None:
-        """Send nothing: HTTP/1.1 has no preface."""
+        """No-op: HTTP/1.1 has no preface."""
 
     @property
     def available_streams(self) -> int:
-        """How many more requests the peer accepts now: one at a time."""
+        """1 if the connection is free for a request, else 0."""
         return int(not self.closing and not self.busy)
 
     def data_to_send(self) -> bytes:
-        """The bytes to write now."""
+        """Return and clear the bytes to write to the transport."""
         data = bytes(self._unsent)
         self._unsent = bytearray()
         return data
 
     def receive_data(self, data: bytes) -> list[HttpEvent]:
-        """The events of these bytes; empty bytes say that the peer closed.
+        """Process received bytes; empty bytes mean that the peer closed the connection.
 
         Raises:
             HttpFramingError: the bytes violate the protocol.
@@ -65,10 +65,10 @@
         return self.next_events()
 
     def next_events(self) -> list[HttpEvent]:
-        """The events of what has arrived; a request that arrived during another waits for its response.
+        """Return events for the bytes received so far; a pipelined request waits for the response before it.
 
         Raises:
-            HttpFramingError: what has arrived violates the protocol.
+            HttpFramingError: the bytes violate the protocol.
         """
         events: list[HttpEvent] = []
         try:
@@ -83,13 +83,13 @@
         return events
 
     def send(self, message: HttpMessage) -> int:
-        """Send a request, or the response to the one that arrived.
+        """Send a request, or the response to the received request.
 
         Returns:
-            0, in place of a stream's id.
+            0, as HTTP/1.1 has no stream ids.
 
         Raises:
-            HttpFramingError: the connection accepts nothing.
+            HttpFramingError: the connection accepts no message, or a pseudo-header is missing or invalid.
         """
         try:
             if self.client:
@@ -106,7 +106,7 @@
         return 0
 
     def reset_stream(self, stream_id: int, error_code: int) -> None:
-        """Give a request up: HTTP/1.1 can only close the connection for that."""
+        """Mark the connection closing: HTTP/1.1 cannot cancel a single request."""
         self.closing = True
 
     def _handle(self, h11_event: Any, events: list[HttpEvent]) -> None:
@@ -140,7 +140,7 @@
             partial.body += data
 
     def _head_of(self, message: HttpMessage) -> h11.Request | h11.Response:
-        """The first line and headers; raises KeyError or ValueError without the pseudo-headers needed."""
+        """Build start line and headers; raises KeyError or ValueError on missing or bad pseudo-headers."""
         pseudo_headers = {name: value for name, value in message.headers if name[:1] == b":"}
         headers = [
             (name, value)
@@ -155,7 +155,7 @@
         return h11.Response(status_code=int(pseudo_headers[b":status"]), headers=headers)
 
     def _end_exchange(self) -> None:
-        """Both messages are complete: the connection is free, if it may be reused."""
+        """Free the connection after a complete exchange, or mark it closing if it cannot be reused."""
         if self._h11.our_state is h11.DONE and self._h11.their_state is h11.DONE:
             self._h11.start_next_cycle()
             self.busy = False
--- a/swiftchute/proxy/http2_connection.py
+++ b/swiftchute/proxy/http2_connection.py
@@ -1,4 +1,4 @@
-"""The framing of one HTTP/2 connection, by h2. No I/O, no clock.
+"""HTTP/2 framing of one connection, built on h2. No I/O, no clock.
 
 connection = Http2Connection(client=True, max_message_bytes=2**20)
 connection.start()
@@ -30,32 +30,32 @@
     StreamReset,
 )
 
-PREFACE_BYTES = 24  # of a client's connection preface (RFC 9113, 3.4)
+PREFACE_BYTES = 24  # length of a client's connection preface (RFC 9113, 3.4)
 FRAME_HEADER_BYTES = 9
 GOAWAY_TYPE = 7
-GOAWAY_MIN_BYTES = 8  # last stream and error code
-MAX_FRAME_BYTES = 2**14  # payload; the initial SETTINGS_MAX_FRAME_SIZE, which is never raised
+GOAWAY_MIN_BYTES = 8  # last stream ID and error code
+MAX_FRAME_BYTES = 2**14  # payload limit: the initial SETTINGS_MAX_FRAME_SIZE, which is never raised
 STREAM_WINDOW_BYTES = 2**18
 CONNECTION_WINDOW_INCREMENT_BYTES = 2**22
-DEFAULT_MAX_STREAMS = 100  # assumed of a peer that has not announced its limit
+DEFAULT_MAX_STREAMS = 100  # assumed until the peer announces its limit
 PING_PAYLOAD = b"alive?\0\0"
 
 
 class Http2Connection:
-    """One side of a connection.
+    """The client or server side of a connection.
 
     Attributes:
-        closing: the connection takes no new streams.
-        h2: the protocol state of the h2 library.
+        closing: whether the connection accepts no new streams.
+        h2: protocol state of the h2 library.
     """
 
     def __init__(self, client: bool, max_message_bytes: int, max_streams: int = DEFAULT_MAX_STREAMS) -> None:
-        """Nothing is sent before `start`.
+        """Create the framing; `start` sends the first bytes.
 
         Args:
-            client: whether this side opens the streams.
-            max_message_bytes: body of one message.
-            max_streams: streams that the peer may have open at once.
+            client: whether this is the client side, which opens the streams.
+            max_message_bytes: limit of a message's body.
+            max_streams: limit of streams that the peer may have open at once.
         """
         self.client = client
         self.max_message_bytes = max_message_bytes
@@ -73,18 +73,18 @@
             },
         )
         self._partial_messages: dict[int, PartialMessage] = {}
-        self._unsent_bodies: dict[int, tuple[memoryview, Headers]] = {}  # waiting for a window; and trailers
+        self._unsent_bodies: dict[int, tuple[memoryview, Headers]] = {}  # body awaiting window, trailers
         self._partial_frame = bytearray()
         self._preface_bytes_left = 0 if client else PREFACE_BYTES
 
     def start(self) -> None:
-        """Send the preface and settings."""
+        """Queue the preface and settings for sending."""
         self.h2.initiate_connection()
         self.h2.increment_flow_control_window(CONNECTION_WINDOW_INCREMENT_BYTES)
 
     @property
     def available_streams(self) -> int:
-        """How many more streams the peer accepts now."""
+        """How many more streams the peer currently accepts."""
         if self.closing:
             return 0
         try:
@@ -94,11 +94,11 @@
             return DEFAULT_MAX_STREAMS
 
     def data_to_send(self) -> bytes:
-        """The bytes to write now."""
+        """Return and clear the bytes to write to the transport."""
         return self.h2.data_to_send()
 
     def receive_data(self, data: bytes) -> list[HttpEvent]:
-        """The events of these bytes; raises HttpFramingError if they violate the protocol."""
+        """Process received bytes; raises HttpFramingError if they violate the protocol."""
         events: list[HttpEvent] = []
         try:
             h2_events = self.h2.receive_data(self._remove_goaways(data, events))
@@ -111,13 +111,13 @@
         return events
 
     def send(self, message: HttpMessage) -> int:
-        """Send a request, or the response on the stream of `message`.
+        """Send a request on a new stream, or a response on the stream of `message`.
 
         Returns:
-            The stream's id; that of a request is assigned here.
+            The stream's id, which is assigned here for a request.
 
         Raises:
-            HttpFramingError: the connection or the stream accepts nothing; nothing was sent.
+            HttpFramingError: the connection or stream accepts no message; nothing was sent.
         """
         stream_id = message.stream_id
         try:
@@ -134,7 +134,7 @@
         return stream_id
 
     def reset_stream(self, stream_id: int, error_code: int) -> None:
-        """Reset a stream; does nothing if it has ended."""
+        """Reset a stream; no-op if it has ended."""
         self._partial_messages.pop(stream_id, None)
         self._unsent_bodies.pop(stream_id, None)
         try:
@@ -143,19 +143,19 @@
             return
 
     def ping(self) -> None:
-        """Ask the peer for a sign of life."""
+        """Send a PING to check that the peer is alive."""
         self.h2.ping(PING_PAYLOAD)
 
     def send_goaway(self) -> None:
-        """Announce that no new streams are accepted."""
+        """Send GOAWAY: no new streams are accepted."""
         self.closing = True
         self.h2.close_connection()
 
     def _remove_goaways(self, data: bytes, events: list[HttpEvent]) -> bytes:
-        """The whole frames that have arrived, without GOAWAY frames, which become events at once.
+        """Return the complete frames received so far, and turn GOAWAY frames into events instead.
 
-        For h2 a connection ends with a GOAWAY, and the responses still to come on it would be lost: streams
-        up to the last one continue (RFC 9113, 6.8).
+        h2 considers a connection closed after a GOAWAY and would lose the outstanding responses, but streams
+        up to the last stream ID continue (RFC 9113, 6.8).
         """
         frames = bytearray(data[: self._preface_bytes_left])
         self._preface_bytes_left -= len(frames)
@@ -164,7 +164,7 @@
         while len(self._partial_frame) - start >= FRAME_HEADER_BYTES:
             payload_bytes = int.from_bytes(self._partial_frame[start : start + 3], "big")
             if payload_bytes > MAX_FRAME_BYTES:
-                raise ValueError(f"a frame of {payload_bytes} bytes")
+                raise ValueError(f"frame payload is {payload_bytes} bytes, the maximum {MAX_FRAME_BYTES}")
             end = start + FRAME_HEADER_BYTES + payload_bytes
             if len(self._partial_frame) < end:
                 break
@@ -223,10 +223,10 @@
             try:
                 self._send_body(stream_id)
             except h2.exceptions.H2Error:
-                self._unsent_bodies.pop(stream_id, None)  # its stream is closed
+                self._unsent_bodies.pop(stream_id, None)  # the stream is closed
 
     def _send_body(self, stream_id: int) -> None:
-        """Send as much of a body as the windows allow, and the trailers after it."""
+        """Send as much of a body as flow control allows; the trailers follow the complete body."""
         body, trailers = self._unsent_bodies[stream_id]
         while body:
             window_bytes = min(self.h2.local_flow_control_window(stream_id), self.h2.max_outbound_frame_size)
--- a/swiftchute/proxy/http_framing.py
+++ b/swiftchute/proxy/http_framing.py
@@ -1,10 +1,10 @@
-"""What both HTTP versions have in common: whole messages and the other events of a connection.
+"""Types shared by the HTTP/1.1 and HTTP/2 framing: complete messages and other connection events.
 
-A connection's framing (`Http2Connection`, `Http1Connection`) has no I/O and no clock: bytes in, events out.
-Both sides and both versions take and give `HttpMessage`: a request and its response are each buffered
-whole, up to a bound, so that a request can be sent elsewhere and a response is never cut. A longer one is
-reset and reported as `MessageTooLarge`. What waits for a peer's flow-control window is bounded by the
-messages in flight.
+The framing of a connection (`Http2Connection`, `Http1Connection`) has no I/O and no clock: it turns bytes
+into events. Requests and responses are `HttpMessage`s, buffered completely up to a size limit, so that a
+request can be retried on another endpoint and a response is never truncated. A larger message is reset and
+reported as `MessageTooLarge`. Data waiting for a peer's flow-control window is bounded by the messages in
+flight.
 """
 
 from dataclasses import dataclass, field
@@ -21,12 +21,12 @@
 
 @dataclass(frozen=True)
 class HttpMessage:
-    """A whole request or response.
+    """A complete request or response.
 
     Attributes:
-        stream_id: of its stream; 0 in HTTP/1.1 and for a request that is not sent yet.
+        stream_id: HTTP/2 stream id; 0 for HTTP/1.1 and for a request that is not sent yet.
         headers: names and values, pseudo-headers first.
-        body: the whole body.
+        body: the complete body.
         trailers: names and values after the body.
     """
 
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True)
 class GoAway:
-    """The peer accepts no new streams; those above `last_stream_id` never ran."""
+    """The peer accepts no new streams; it never executed those above `last_stream_id`."""
 
     last_stream_id: int
     error_code: int
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True)
 class MessageTooLarge:
-    """A message exceeds the bound; its stream is reset."""
+    """A message exceeded the size limit, and its stream was reset."""
 
     stream_id: int
 
@@ -69,7 +69,7 @@
 
 @dataclass
 class PartialMessage:
-    """A message of which parts have arrived."""
+    """A message that is still being received."""
 
     headers: Headers = field(default_factory=list)
     body: bytearray = field(default_factory=bytearray)
--- a/swiftchute/proxy/keepalive.py
+++ b/swiftchute/proxy/keepalive.py
@@ -1,4 +1,4 @@
-"""Whether a connection with requests in flight is alive: silence, then a ping without an answer.
+"""Keepalive of a connection with requests in flight: a ping after silence, then a close without an answer.
 
 No I/O, no clock.
 """
@@ -7,7 +7,7 @@
 
 
 class KeepaliveAction(Enum):
-    """What to do with a connection now."""
+    """The action that a keepalive check asks for."""
 
     NONE = auto()
     PING = auto()
@@ -15,24 +15,24 @@
 
 
 class Keepalive:
-    """The signs of life of one connection."""
+    """Keepalive state of one connection."""
 
     def __init__(self, now_ns: int) -> None:
-        """The connection was made now."""
+        """Start at the time when the connection was established."""
         self._last_received_ns = now_ns
         self._pinged_at_ns: int | None = None
 
     def data_received(self, now_ns: int) -> None:
-        """Bytes arrived; they answer an outstanding ping as well."""
+        """Record received bytes; any bytes also count as the answer to an outstanding ping."""
         self._last_received_ns = now_ns
         self._pinged_at_ns = None
 
     def check(self, now_ns: int, silence_timeout_ns: int) -> KeepaliveAction:
-        """What to do with a connection that has requests in flight.
+        """Return the action for a connection that has requests in flight.
 
         Args:
-            now_ns: the time now; a ping that is asked for counts as sent then.
-            silence_timeout_ns: silence after which it is pinged, and then the time for an answer.
+            now_ns: current time; a requested ping counts as sent at this time.
+            silence_timeout_ns: silence after which a ping is sent, and the timeout of its answer.
         """
         if self._pinged_at_ns is not None:
             unanswered = now_ns - self._pinged_at_ns > silence_timeout_ns
--- a/swiftchute/proxy/response_headers.py
+++ b/swiftchute/proxy/response_headers.py
@@ -1,6 +1,6 @@
-"""Requests parsed and forwarded, responses classified and made locally, for gRPC and plain HTTP. No I/O.
+"""Parses and forwards requests, classifies responses and builds local ones, for gRPC and plain HTTP. No I/O.
 
-An operation is the last part of a request's path: a gRPC method, or the end of a plain path.
+The operation of a request is the last segment of its path: the gRPC method, or the end of a plain HTTP path.
 """
 
 from dataclasses import dataclass
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True)
 class LocalStatus:
-    """The status of a response that the proxy makes itself, in gRPC and in plain HTTP."""
+    """Status of a response that the proxy generates itself, for gRPC and plain HTTP."""
 
     grpc_status: int
     http_status: int
@@ -57,12 +57,12 @@
 
 @dataclass(frozen=True)
 class RequestInfo:
-    """What the router needs of a request.
+    """The parts of a request that routing needs.
 
     Attributes:
-        operation: its operation's name.
+        operation: name of the requested operation.
         grpc: whether it is a gRPC request.
-        timeout_ns: the caller's own timeout, None if it sent none.
+        timeout_ns: timeout sent by the caller, None if it sent none.
     """
 
     operation: str
@@ -71,7 +71,7 @@
 
 
 def parse_request(message: HttpMessage) -> RequestInfo:
-    """The operation, protocol and timeout of a request."""
+    """Parse the operation, protocol and timeout of a request."""
     path = (_header(message.headers, b":path") or b"/").partition(b"?")[0]
     grpc = (_header(message.headers, b"content-type") or b"").startswith(b"application/grpc")
     operation = unquote(path.rpartition(b"/")[2].decode("latin-1"))
@@ -79,7 +79,7 @@
 
 
 def forwarded_request(message: HttpMessage, grpc: bool, remaining_ns: int) -> HttpMessage:
-    """The request as it goes to an endpoint: without hop-by-hop headers, with the time that remains."""
+    """Build the request to an endpoint: without hop-by-hop headers, in gRPC with the remaining timeout."""
     headers = [(name, value) for name, value in message.headers if name.lower() not in _REPLACED_HEADERS]
     if grpc:
         timeout_ms = max(remaining_ns // NS_PER_MS, 1)
@@ -88,10 +88,10 @@
 
 
 def classify_response(response: HttpMessage, grpc: bool) -> AttemptOutcome:
-    """Whether an endpoint's response is a success.
+    """Classify an endpoint's response as success or failure.
 
-    In gRPC only status 0 is. In plain HTTP a client error (4xx) is as well, as it says nothing of the
-    endpoint, but for 429.
+    In gRPC only status 0 is a success. In plain HTTP, client errors (4xx) except 429 count as successes too,
+    because they say nothing about the endpoint.
     """
     if grpc:
         status = _header(response.trailers, b"grpc-status") or _header(response.headers, b"grpc-status")
@@ -103,7 +103,7 @@
 
 
 def local_response(result: RequestResult, grpc: bool) -> HttpMessage:
-    """The response that the proxy makes itself to a request with this result."""
+    """Build the proxy's own response for a request with this result."""
     status = LOCAL_STATUSES[result]
     if grpc:
         headers = [
@@ -122,7 +122,7 @@
 
 
 def _parse_grpc_timeout(value: bytes | None) -> int | None:
-    """A `grpc-timeout` in ns; None without one, or if it is malformed."""
+    """Parse a `grpc-timeout` header into ns; None if it is missing or malformed."""
     if not value or len(value) > MAX_TIMEOUT_DIGITS + 1:
         return None
     number, unit = value[:-1], value[-1:]
--- a/swiftchute/proxy/upstream_connection.py
+++ b/swiftchute/proxy/upstream_connection.py
@@ -1,4 +1,4 @@
-"""One connection to an endpoint: an asyncio protocol around the framing. No rule is decided here."""
+"""A connection to an endpoint: an asyncio protocol around the HTTP framing. It makes no routing decisions."""
 
 import asyncio
 from collections.abc import Callable
@@ -24,7 +24,7 @@
 
 
 class AttemptEnd(NamedTuple):
-    """How an attempt ended on its connection; a response is yet to be classified."""
+    """How an attempt ended on its connection; a response still has to be classified."""
 
     outcome: AttemptOutcome
     response: HttpMessage | None
@@ -34,8 +34,8 @@
     """A connection to an endpoint, with a future for each attempt in flight.
 
     Attributes:
-        framing: the protocol state.
-        pooled: its entry in the pool, None until it is added.
+        framing: HTTP protocol state.
+        pooled: the connection's entry in the pool, None until it is added.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         on_closed: Callable[["UpstreamConnection"], None],
         clock: Clock,
     ) -> None:
-        """`on_closed` is called when the connection is lost; `clock` gives the time in ns."""
+        """`on_closed` is called when the connection is lost; `clock` returns the current time in ns."""
         self.framing = framing
         self.pooled: PooledConnection | None = None
         self._on_closed = on_closed
@@ -56,10 +56,10 @@
         """Write a request.
 
         Returns:
-            Its stream's id, and the future of its end.
+            The stream's id, and a future for the end of the attempt.
 
         Raises:
-            HttpFramingError: nothing of it was written.
+            HttpFramingError: the request was rejected, and nothing of it was written.
         """
         stream_id = self.framing.send(request)
         future = self._attempts[stream_id] = asyncio.get_running_loop().create_future()
@@ -67,7 +67,7 @@
         return stream_id, future
 
     def cancel(self, stream_id: int) -> None:
-        """Nobody waits for this attempt any more; does nothing if it has ended."""
+        """Cancel an attempt that nobody waits for any more; no-op if it has ended."""
         if self._attempts.pop(stream_id, None) is None:
             return
         self.framing.reset_stream(stream_id, CANCEL)
@@ -76,7 +76,7 @@
             self.close()
 
     def check_alive(self, now_ns: int, silence_timeout_ns: int) -> None:
-        """Ping a silent connection with attempts in flight, and close it if the ping is not answered."""
+        """Ping a silent HTTP/2 connection with attempts in flight, and close it if no answer arrives."""
         if not self._attempts or not isinstance(self.framing, Http2Connection):
             return
         action = self._keepalive.check(now_ns, silence_timeout_ns)
@@ -87,18 +87,18 @@
             self._flush()
 
     def close(self) -> None:
-        """Close without waiting for anything."""
+        """Close immediately, without flushing buffered data."""
         self.transport.abort()
 
     def connection_made(self, transport: Any) -> None:
-        """The connection is established."""
+        """Start the framing on the established connection."""
         self.transport = transport
         transport.set_write_buffer_limits(high=MAX_UNREAD_BYTES)
         self.framing.start()
         self._flush()
 
     def data_received(self, data: bytes) -> None:
-        """The endpoint sent bytes."""
+        """Process bytes from the endpoint."""
         self._keepalive.data_received(self._clock())
         try:
             events = self.framing.receive_data(data)
@@ -114,13 +114,13 @@
                 self.close()
 
     def eof_received(self) -> bool:
-        """The endpoint sends no more; an HTTP/1.1 response may end with that."""
+        """Process the end of the endpoint's data, which may complete an HTTP/1.1 response."""
         if isinstance(self.framing, Http1Connection):
             self.data_received(b"")
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is closed; what was in flight was sent, so it may have run."""
+        """End the attempts in flight as lost: they were sent, so the endpoint may have executed them."""
         for stream_id in list(self._attempts):
             self._end(stream_id, AttemptOutcome.CONNECTION_LOST)
         self._on_closed(self)
