--- a/swiftchute/proxy/errors.py
+++ b/swiftchute/proxy/errors.py
@@ -8,7 +8,7 @@
 
 
 class HttpFramingError(ProxyError):
-    """The peer violated HTTP, or the connection accepts nothing more; the text names the cause."""
+    """The peer violated the HTTP protocol, or the connection accepts no message; the text has the cause."""
 
 
 class EmptyTableError(ProxyError, ValueError):
@@ -16,4 +16,4 @@
 
 
 class TableCacheError(ProxyError):
-    """The file of cached tables cannot be used; the text names the file and the cause."""
+    """The table cache file cannot be used; the text names the file and the cause."""
--- a/swiftchute/proxy/load_stats.py
+++ b/swiftchute/proxy/load_stats.py
@@ -1,4 +1,4 @@
-"""Counts of attempts and drops between two load reports, and their form in LRS."""
+"""Load between two load reports (attempts and drops), and its conversion to LRS messages."""
 
 from dataclasses import dataclass, field
 
@@ -13,14 +13,14 @@
 
 @dataclass(slots=True)
 class EndpointLoad:
-    """Attempts at one endpoint; `latency_ms` is the sum over the successes."""
+    """Attempts at one endpoint; `latency_ms` is the total over all successes."""
 
     successes: int = 0
     failures: int = 0
     latency_ms: float = 0.0
 
     def record(self, succeeded: bool, latency_s: float) -> None:
-        """Count an attempt that ended."""
+        """Count a completed attempt."""
         if succeeded:
             self.successes += 1
             self.latency_ms += latency_s * MS_PER_S
@@ -36,14 +36,14 @@
     dropped: int = 0
 
     def endpoint(self, address: str) -> EndpointLoad:
-        """The load of one endpoint, made at its first attempt."""
+        """Return the load of one endpoint, created on first use."""
         load = self.endpoints.get(address)
         if load is None:
             load = self.endpoints[address] = EndpointLoad()
         return load
 
     def to_cluster_stats(self, cluster: str, window_s: float) -> ClusterStats:
-        """The LRS message of this load; `window_s` is the time since the last report."""
+        """Convert to the LRS message; `window_s` is the time since the last report."""
         stats = ClusterStats(
             cluster_name=cluster,
             cluster_service_name=cluster.partition("/")[0],
--- a/swiftchute/proxy/settings.py
+++ b/swiftchute/proxy/settings.py
@@ -1,27 +1,27 @@
-"""Settings of a proxy as typed values; `swiftchute.config.proxy` makes them from an HCL file."""
+"""Typed settings of a proxy; `swiftchute.config.proxy` loads them from an HCL file."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 NS_PER_S = 1_000_000_000
 
-# Constants of the sockets, which no settings file sets.
-MAX_UNREAD_BYTES = 4 * 2**20  # may wait for a peer to read, before writing to it pauses
-CHECK_INTERVAL_S = 0.5  # between checks for idle and silent connections
+# Socket constants, which are not configurable.
+MAX_UNREAD_BYTES = 4 * 2**20  # write-buffer limit per connection, above which writing pauses
+CHECK_INTERVAL_S = 0.5  # between checks for idle and unresponsive connections
 DRAIN_POLL_INTERVAL_S = 0.02  # between checks for requests in flight while the proxy stops
 LISTEN_BACKLOG = 1024
 
 
 class Idempotency(StrEnum):
-    """What may happen to a request that reaches an endpoint twice; the values are those of settings files."""
+    """Whether a request may be executed twice; the values are those of settings files."""
 
-    IDEMPOTENT = "idempotent"  # it may be executed twice
-    WITH_KEY = "fingerprinted"  # an idempotency key lets some endpoints drop a duplicate
-    SIDE_EFFECTING = "side-effecting"  # it must not be executed twice
+    IDEMPOTENT = "idempotent"  # may be executed twice
+    WITH_KEY = "fingerprinted"  # has an idempotency key, by which some endpoints drop duplicates
+    SIDE_EFFECTING = "side-effecting"  # must not be executed twice
 
 
 class LoadBalancing(StrEnum):
-    """How an endpoint is picked by weight; the values are those of settings files."""
+    """Load-balancing algorithm; the values are those of settings files."""
 
     WEIGHTED_RANDOM = "weight"
     ROUND_ROBIN = "rotate"
@@ -29,20 +29,20 @@
 
 
 class AdmissionDraw(StrEnum):
-    """How a request is drawn against the admission rate; the values are those of settings files."""
+    """Random draw against the admission rate; the values are those of settings files."""
 
-    PER_REQUEST = "anew"  # each request is drawn independently
-    PER_CALLER = "refused"  # a caller that was rejected is rejected again for a while
+    PER_REQUEST = "anew"  # an independent draw for each request
+    PER_CALLER = "refused"  # a caller that was rejected stays rejected for a while
 
 
 @dataclass(frozen=True)
 class RouteSettings:
-    """One operation, as far as it is known without its table.
+    """Settings of one operation that do not come from its table.
 
     Attributes:
         name: name of the operation.
-        request_timeout_ns: time for a whole request where the route sets none.
-        idempotency: whether an attempt that may have run can be retried.
+        request_timeout_ns: timeout of a whole request if its table sets none.
+        idempotency: whether a request that may have been executed can be retried.
     """
 
     name: str
@@ -55,13 +55,13 @@
     """Limits and rules of the request path.
 
     Attributes:
-        max_in_flight: requests in flight in the whole proxy; more are rejected.
-        max_in_flight_per_endpoint: requests in flight to one endpoint; 0 means no limit.
-        load_balancing: how an endpoint is picked.
+        max_in_flight: limit of requests in flight in the whole proxy; more are rejected.
+        max_in_flight_per_endpoint: limit of requests in flight to one endpoint; 0 means no limit.
+        load_balancing: load-balancing algorithm.
         ejection_failures: consecutive failures that eject an endpoint; 0 means never.
         ejection_ns: base duration of an ejection.
         retry_budget_fraction: retries allowed as a fraction of requests.
-        min_retries_per_s: retries allowed beside that fraction.
+        min_retries_per_s: rate of retries allowed in addition to that fraction.
         admission_draw: how requests are drawn against a table's admission rate.
     """
 
@@ -80,10 +80,10 @@
     """Limits of the connections to one endpoint.
 
     Attributes:
-        max_connections: connections to the endpoint.
-        max_streams: requests at once on one connection.
-        initial_streams: requests at once on a new connection.
-        max_waiting: requests that may wait for a connection.
+        max_connections: limit of connections to the endpoint.
+        max_streams: limit of concurrent requests on one connection.
+        initial_streams: limit of concurrent requests on a new connection.
+        max_waiting: limit of requests that wait for a connection.
         idle_timeout_ns: time after which an unused connection is closed.
     """
 
@@ -100,14 +100,14 @@
 
     Attributes:
         listen_address: host and port for callers; port 0 takes a free one.
-        pool: limits of the connections to one endpoint; its `max_streams` holds for a caller's connection
-            too, its `idle_timeout_ns` as well.
-        silence_timeout_ns: time without a byte after which an endpoint with requests in flight is pinged, and
-            then the time for its answer.
-        connect_timeout_ns: time to establish a connection.
-        max_message_bytes: body of one request or response.
-        max_downstream_connections: callers' connections; more are closed unread.
-        drain_timeout_ns: time that requests in flight get when the proxy stops.
+        pool: limits of the connections to one endpoint; its `max_streams` and `idle_timeout_ns` also apply to
+            callers' connections.
+        silence_timeout_ns: time without received bytes after which a connection with requests in flight is
+            pinged, and then the timeout of the answer.
+        connect_timeout_ns: time limit for establishing a connection.
+        max_message_bytes: size limit of the body of a request or response.
+        max_downstream_connections: limit of callers' connections; more are closed unread.
+        drain_timeout_ns: time that requests in flight get to complete when the proxy stops.
     """
 
     listen_address: tuple[str, int] = ("127.0.0.1", 0)
--- a/swiftchute/proxy/table_cache.py
+++ b/swiftchute/proxy/table_cache.py
@@ -1,7 +1,7 @@
-"""The last tables a proxy was given, cached on disk for a start at which no control plane answers.
+"""On-disk cache of a proxy's last tables, used if the control plane is unavailable when the proxy starts.
 
-A file is written beside its place and renamed over it, so that a crash leaves the last complete one; a
-checksum detects a damaged one. A file older than the maximum age is not used: its addresses may belong to
+A temporary file is renamed over the cache file, so that a crash leaves the last complete file; a checksum
+detects a corrupt one. A file older than the maximum age is not used, because its addresses may belong to
 other machines by then.
 """
 
@@ -19,12 +19,12 @@
 MAX_FILE_BYTES = 64 * 2**20
 CHECKSUM_BYTES = 8
 
-# cluster, weights, admission rate, retries, proof required, attempt timeout (s), request timeout (s)
+# cluster, weights, admission rate, maximum retries, proof required, attempt timeout (s), request timeout (s)
 _StoredTable = tuple[str, dict[str, int], float, int, bool, float | None, float | None]
 
 
 class _StoredTables(msgspec.Struct, array_like=True):
-    """The stored format: an array without field names."""
+    """Stored format, encoded as an array without field names."""
 
     format: int
     saved_at_ns: int  # wall clock
@@ -32,14 +32,14 @@
 
 
 class TableCache:
-    """One file of tables; `last_error` says why the last call failed, or is empty."""
+    """A cache file; `last_error` is the error of the last call, empty if it succeeded."""
 
     def __init__(self, path: str, max_age_ns: int) -> None:
-        """Nothing is read or written yet.
+        """Create the cache without any file access.
 
         Args:
-            path: the file; `path` with ".new" is written first.
-            max_age_ns: age past which a file is not used.
+            path: the cache file; `path` with ".new" appended is the temporary file.
+            max_age_ns: maximum age of a file that is used.
         """
         self.path = path
         self.max_age_ns = max_age_ns
@@ -47,14 +47,14 @@
         self._last_saved = b""
 
     def save(self, tables: Mapping[str, EndpointTable], wall_ns: int) -> bool:
-        """Write the tables that have endpoints, unless they equal what was written last.
+        """Write the tables that have endpoints, unless they are unchanged since the last write.
 
         Args:
-            tables: by operation.
+            tables: tables by operation.
             wall_ns: wall-clock time.
 
         Returns:
-            Whether the tables are on disk; if not, `last_error` has the cause.
+            False if writing failed; `last_error` then has the cause.
         """
         stored = {operation: _to_stored(table) for operation, table in tables.items() if table.weights}
         body = msgspec.msgpack.encode(stored)
@@ -64,14 +64,14 @@
         try:
             self._write(xxhash.xxh3_64_digest(data) + data)
         except OSError as error:
-            self.last_error = f"{self.path}: {error.strerror or error}"
+            self.last_error = f"{self.path}: cannot write table cache: {error.strerror or error}"
             return False
         self._last_saved = body
         self.last_error = ""
         return True
 
     def load(self, wall_ns: int) -> dict[str, EndpointTable]:
-        """The cached tables by operation; empty, with `last_error`, if the file cannot be used."""
+        """Return the cached tables by operation; empty, with `last_error` set, if the file is unusable."""
         try:
             stored = self._decode(self._read(), wall_ns)
         except TableCacheError as error:
@@ -93,20 +93,25 @@
             with open(self.path, "rb") as file:
                 return file.read(MAX_FILE_BYTES)
         except OSError as error:
-            raise TableCacheError(f"{self.path}: {error.strerror or error}") from None
+            raise TableCacheError(
+                f"{self.path}: cannot read table cache: {error.strerror or error}"
+            ) from None
 
     def _decode(self, content: bytes, wall_ns: int) -> _StoredTables:
         checksum, data = content[:CHECKSUM_BYTES], content[CHECKSUM_BYTES:]
         if xxhash.xxh3_64_digest(data) != checksum:
-            raise TableCacheError(f"{self.path}: damaged")
+            raise TableCacheError(f"{self.path}: checksum mismatch: table cache is truncated or corrupt")
         try:
             stored = msgspec.msgpack.decode(data, type=_StoredTables)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            raise TableCacheError(f"{self.path}: {error}") from None
+            raise TableCacheError(f"{self.path}: cannot decode table cache: {error}") from None
         if stored.format != FORMAT_VERSION:
-            raise TableCacheError(f"{self.path}: format {stored.format}; this program knows {FORMAT_VERSION}")
+            raise TableCacheError(f"{self.path}: format is {stored.format}, expected {FORMAT_VERSION}")
         if not 0 <= wall_ns - stored.saved_at_ns <= self.max_age_ns:
-            raise TableCacheError(f"{self.path}: {(wall_ns - stored.saved_at_ns) / NS_PER_S:.0f} s old")
+            raise TableCacheError(
+                f"{self.path}: table cache is {(wall_ns - stored.saved_at_ns) / NS_PER_S:.0f} s old,"
+                f" accepted ages are 0 to {self.max_age_ns / NS_PER_S:.0f} s"
+            )
         return stored
 
 
