--- a/tests/proxy/test_recorded_behaviour.py
+++ b/tests/proxy/test_recorded_behaviour.py
@@ -80,24 +80,24 @@
         return f"{self.count} {self.sum.hexdigest()[:16]}"
 
 
-def random_table(chance, operation):
+def random_table(rng, operation):
     return EndpointTable(
-        f"0.{chance.randrange(9)}/{operation}",
-        {e: chance.randint(1, 9) for e in chance.sample(ENDPOINTS, chance.randint(0, 8))},
-        chance.choice([1.0, 1.0, 0.7, 0.2, 0.0]),
-        chance.randint(0, 3),
-        chance.random() < 0.5,
-        chance.choice([None, 0.3]),
-        chance.choice([None, 1.5]),
+        f"0.{rng.randrange(9)}/{operation}",
+        {e: rng.randint(1, 9) for e in rng.sample(ENDPOINTS, rng.randint(0, 8))},
+        rng.choice([1.0, 1.0, 0.7, 0.2, 0.0]),
+        rng.randint(0, 3),
+        rng.random() < 0.5,
+        rng.choice([None, 0.3]),
+        rng.choice([None, 1.5]),
     )
 
 
-class RequestPlay:
+class RequestSequence:
     """Requests of four operations through a router: arrivals, attempts, outcomes, tables that change."""
 
     def __init__(self, digest, limits, seed):
         self.digest = digest
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.client = XdsClient("gw", "z", 1.0)
         self.client.resources[names.LDS]["new"] = ("1", None)
         routes = {
@@ -112,24 +112,22 @@
 
     def run(self, steps=1500):
         for step in range(steps):
-            self.now += self.chance.randrange(S // 20)
+            self.now += self.rng.randrange(S // 20)
             if step % 60 == 0:
                 self.change_tables()
-            request = self.arrive() if self.chance.random() < 0.6 or not self.active else self.end_attempt()
+            request = self.arrive() if self.rng.random() < 0.6 or not self.active else self.end_attempt()
             if request is not None:
                 self.start_attempt(request)
         self.observe_counts()
 
     def change_tables(self):
-        chance, client = self.chance, self.client
+        rng, client = self.rng, self.client
         client.tables = {
-            operation: random_table(chance, operation)
-            for operation in self.operations[:4]
-            if chance.random() < 0.9
+            operation: random_table(rng, operation) for operation in self.operations[:4] if rng.random() < 0.9
         }
-        client.static_endpoints = dict.fromkeys(chance.sample(ENDPOINTS, chance.randint(0, 2)), 1)
+        client.static_endpoints = dict.fromkeys(rng.sample(ENDPOINTS, rng.randint(0, 2)), 1)
         withdrawn = ClusterLoadAssignment()
-        address_of(withdrawn.endpoints.add().lb_endpoints.add(), chance.choice(ENDPOINTS))
+        set_address(withdrawn.endpoints.add().lb_endpoints.add(), rng.choice(ENDPOINTS))
         client.resources[names.EDS][names.WITHDRAWN] = ("1", withdrawn)
         self.router.update_tables()
         self.digest.add(
@@ -140,7 +138,7 @@
         )
 
     def arrive(self):
-        operation, caller = self.chance.choice(self.operations), f"caller-{self.chance.randrange(20)}"
+        operation, caller = self.rng.choice(self.operations), f"caller-{self.rng.randrange(20)}"
         request = self.router.admit(operation, caller, self.now)
         if isinstance(request, Rejection):
             self.digest.add("rejected", str(request.cause))
@@ -150,8 +148,8 @@
 
     def end_attempt(self):
         """End the attempt of a request; returns the request if it has another one."""
-        request = self.active[self.chance.randrange(len(self.active))]
-        outcome = self.chance.choice(OUTCOMES)
+        request = self.active[self.rng.randrange(len(self.active))]
+        outcome = self.rng.choice(OUTCOMES)
         if outcome is None:
             self.abandon(request, "abandoned")
             return None
@@ -200,8 +198,8 @@
     seeds = itertools.count(1)
     for pick, draw, limit in itertools.product(LoadBalancing, AdmissionDraw, (0, 2)):
         limits = ProxyLimits(30, limit, pick, 3, S, 0.1, 0.5, draw)
-        RequestPlay(digest, limits, next(seeds)).run()
-    RequestPlay(digest, ProxyLimits(), next(seeds)).run()
+        RequestSequence(digest, limits, next(seeds)).run()
+    RequestSequence(digest, ProxyLimits(), next(seeds)).run()
     assert repr(digest) == ROUTER
 
 
@@ -213,62 +211,69 @@
 
 
 def test_pool_decisions_equal_the_recording():
-    digest, chance = Digest(), random.Random(5)
+    digest, rng = Digest(), random.Random(5)
     pool = ConnectionPool(PoolLimits(3, 10, 2, 4, 3 * S))
-    now, busy, numbers = NOW, [], {}
+    now, in_use, connection_ids = NOW, [], {}
     for _ in range(5000):
-        now += chance.randrange(S // 5)
-        act = chance.random()
-        if act < 0.5:
-            found = pool.select()
-            digest.add("ask", numbers[found] if isinstance(found, PooledConnection) else str(found))
-            if isinstance(found, PooledConnection):
-                pool.request_started(found, now)
-                busy.append(found)
-            elif found == "dial":
+        now += rng.randrange(S // 5)
+        action = rng.random()
+        if action < 0.5:
+            selected = pool.select()
+            digest.add(
+                "ask", connection_ids[selected] if isinstance(selected, PooledConnection) else str(selected)
+            )
+            if isinstance(selected, PooledConnection):
+                pool.request_started(selected, now)
+                in_use.append(selected)
+            elif selected == "dial":
                 pool.dialing += 1
-            pool.waiting = chance.randrange(6)
-        elif act < 0.6 and pool.dialing:
+            pool.waiting = rng.randrange(6)
+        elif action < 0.6 and pool.dialing:
             pool.dialing -= 1
-            line = pool.add(PeerWindow(chance.randint(1, 12)), now)
-            numbers[line] = len(numbers)
-        elif act < 0.9 and busy:
-            line = busy.pop(chance.randrange(len(busy)))
-            pool.request_ended(line, chance.random() < 0.8, now)
-            digest.add(numbers[line], line.stream_limit, line.available_streams, line.in_flight)
-        elif act < 0.92 and pool.connections:
-            chance.choice(pool.connections).closing = True
+            connection = pool.add(PeerWindow(rng.randint(1, 12)), now)
+            connection_ids[connection] = len(connection_ids)
+        elif action < 0.9 and in_use:
+            connection = in_use.pop(rng.randrange(len(in_use)))
+            pool.request_ended(connection, rng.random() < 0.8, now)
+            digest.add(
+                connection_ids[connection],
+                connection.stream_limit,
+                connection.available_streams,
+                connection.in_flight,
+            )
+        elif action < 0.92 and pool.connections:
+            rng.choice(pool.connections).closing = True
         elif pool.connections:
-            for line in pool.idle_connections(now):
-                digest.add("idle", numbers[line])
-                pool.remove(line)
+            for connection in pool.idle_connections(now):
+                digest.add("idle", connection_ids[connection])
+                pool.remove(connection)
     assert repr(digest) == POOL
 
 
-def address_of(endpoint, name):
+def set_address(endpoint, name):
     host, _, port = name.partition(":")
     address = endpoint.endpoint.address.socket_address
     address.address, address.port_value = host, int(port)
 
 
-def random_resources(chance, type_url, uses_collections):
+def random_resources(rng, type_url, uses_collections):
     """Resources by name, as a control plane may send them, complete or not."""
     if type_url == names.EDS:
-        return random_assignments(chance, uses_collections)
+        return random_assignments(rng, uses_collections)
     if type_url == names.LEDS:
-        return random_collection_entries(chance)
+        return random_collection_entries(rng)
     make = {names.CDS: random_cluster, names.LDS: random_listener, names.RDS: random_route}[type_url]
-    made = [make(chance, op) for op in chance.sample(["read", "pay"], chance.randint(1, 2))]
+    made = [make(rng, op) for op in rng.sample(["read", "pay"], rng.randint(1, 2))]
     return {resource.name: resource for resource in made}
 
 
-def random_cluster(chance, operation):
+def random_cluster(rng, operation):
     cluster = Cluster(name=f"0.1/{operation}")
-    cluster.eds_cluster_config.service_name = chance.choice(["0.1", "0.2"])
+    cluster.eds_cluster_config.service_name = rng.choice(["0.1", "0.2"])
     return cluster
 
 
-def random_listener(chance, operation):
+def random_listener(rng, operation):
     manager = HttpConnectionManager()
     manager.rds.route_config_name = operation
     listener = Listener(name=operation)
@@ -276,94 +281,100 @@
     return listener
 
 
-def random_route(chance, operation):
+def random_route(rng, operation):
     configuration = RouteConfiguration(name=operation)
     action = configuration.virtual_hosts.add().routes.add().route
     action.cluster = f"0.1/{operation}"
-    if chance.random() < 0.5:
-        action.retry_policy.retry_on = chance.choice(["refused-stream,connect-failure", "5xx"])
+    if rng.random() < 0.5:
+        action.retry_policy.retry_on = rng.choice(["refused-stream,connect-failure", "5xx"])
         action.retry_policy.num_retries.value = 2
         action.retry_policy.per_try_timeout.FromMilliseconds(300)
-    if chance.random() < 0.5:
+    if rng.random() < 0.5:
         action.timeout.FromMilliseconds(1500)
     return configuration
 
 
-def random_assignments(chance, uses_collections):
+def random_assignments(rng, uses_collections):
     assignments = {}
-    for name in chance.sample(["0.1", "0.2", names.WITHDRAWN], 2):
+    for name in rng.sample(["0.1", "0.2", names.WITHDRAWN], 2):
         assignment = assignments[name] = ClusterLoadAssignment(cluster_name=name)
         locality = assignment.endpoints.add()
         if uses_collections and name != names.WITHDRAWN:
             locality.leds_cluster_locality_config.leds_collection_name = names.collection(name, "z")
-        for endpoint in chance.sample(ENDPOINTS, chance.randint(1, 4)):
+        for endpoint in rng.sample(ENDPOINTS, rng.randint(1, 4)):
             entry = locality.lb_endpoints.add()
-            address_of(entry, endpoint)
-            entry.load_balancing_weight.value = chance.randint(1, 9)
-            if chance.random() < 0.2:
+            set_address(entry, endpoint)
+            entry.load_balancing_weight.value = rng.randint(1, 9)
+            if rng.random() < 0.2:
                 entry.health_status = DRAINING
-        if chance.random() < 0.3:
+        if rng.random() < 0.3:
             assignment.policy.drop_overloads.add(category="level").drop_percentage.numerator = 250_000
     return assignments
 
 
-def random_collection_entries(chance):
+def random_collection_entries(rng):
     entries = {}
-    for endpoint in chance.sample(ENDPOINTS, 4):
+    for endpoint in rng.sample(ENDPOINTS, 4):
         entry = LbEndpoint()
-        address_of(entry, endpoint)
-        entry.load_balancing_weight.value = chance.randint(1, 9)
-        entries[names.line_name(chance.choice(["0.1", "0.2"]), "z", endpoint)] = entry
+        set_address(entry, endpoint)
+        entry.load_balancing_weight.value = rng.randint(1, 9)
+        entries[names.line_name(rng.choice(["0.1", "0.2"]), "z", endpoint)] = entry
     return entries
 
 
-@pytest.mark.parametrize("delta, lines", [(True, True), (True, False), (False, False)])
-def test_xds_requests_and_tables_equal_the_recording(delta, lines):
-    digest, chance = Digest(), random.Random(9)
+@pytest.mark.parametrize("delta, uses_collections", [(True, True), (True, False), (False, False)])
+def test_xds_requests_and_tables_equal_the_recording(delta, uses_collections):
+    digest, rng = Digest(), random.Random(9)
 
-    def refuses(kind, name, message):
-        return "bad" if chance.random() < 0.1 else None
+    def validate(resource_type, name, message):
+        return "bad" if rng.random() < 0.1 else None
 
-    client = XdsClient("gw", "z", 2.5, delta, lines, refuses)
+    client = XdsClient("gw", "z", 2.5, delta, uses_collections, validate)
     client.static_endpoints = {"10.9.9.9:1": 1}
 
-    def sent(requests):
-        form = DeltaDiscoveryRequest if delta else DiscoveryRequest
-        digest.add([form.FromString(request).SerializeToString(deterministic=True) for request in requests])
+    def record_requests(requests):
+        request_type = DeltaDiscoveryRequest if delta else DiscoveryRequest
+        digest.add(
+            [request_type.FromString(request).SerializeToString(deterministic=True) for request in requests]
+        )
 
     for stream in range(6):
-        sent(client.open_stream(fresh=chance.random() < 0.5))
-        for order in range(1, 60):
-            kind = chance.choice([kind for kind in names.ORDER if delta or kind != names.LEDS])
-            found = random_resources(chance, kind, lines)
-            nonce = f"{stream if chance.random() < 0.95 else 99}-{order - chance.choice([0, 0, 0, 0, 5])}"
+        record_requests(client.open_stream(fresh=rng.random() < 0.5))
+        for sequence_number in range(1, 60):
+            resource_type = rng.choice(
+                [resource_type for resource_type in names.ORDER if delta or resource_type != names.LEDS]
+            )
+            sent_resources = random_resources(rng, resource_type, uses_collections)
+            nonce = f"{stream if rng.random() < 0.95 else 99}-{sequence_number - rng.choice([0, 0, 0, 0, 5])}"
             if delta:
-                response = DeltaDiscoveryResponse(type_url=kind, nonce=nonce)
-                for name, message in found.items():
-                    row = Resource(name=name, version=str(order))
-                    row.resource.Pack(message)
-                    response.resources.append(row)
-                if chance.random() < 0.2:
-                    response.removed_resources.append(chance.choice(["0.1", "0.2", "read"]))
+                response = DeltaDiscoveryResponse(type_url=resource_type, nonce=nonce)
+                for name, message in sent_resources.items():
+                    entry = Resource(name=name, version=str(sequence_number))
+                    entry.resource.Pack(message)
+                    response.resources.append(entry)
+                if rng.random() < 0.2:
+                    response.removed_resources.append(rng.choice(["0.1", "0.2", "read"]))
             else:
-                response = DiscoveryResponse(type_url=kind, nonce=nonce, version_info=str(order))
-                for message in found.values():
+                response = DiscoveryResponse(
+                    type_url=resource_type, nonce=nonce, version_info=str(sequence_number)
+                )
+                for message in sent_resources.values():
                     response.resources.add().Pack(message)
-            if chance.random() < 0.02:
-                broken = response.resources[0].resource if delta else response.resources[0]
-                broken.value = b"\xff\xff"
-            sent(client.receive(response.SerializeToString()))
+            if rng.random() < 0.02:
+                corrupt = response.resources[0].resource if delta else response.resources[0]
+                corrupt.value = b"\xff\xff"
+            record_requests(client.receive(response.SerializeToString()))
             for operation in ("read", "pay", "none"):
                 table = client.table(operation)
                 digest.add(table and astuple(table))
                 if table is not None:
                     for endpoint in table.weights:
-                        client.record_attempt(table.cluster, endpoint, chance.random() < 0.8, chance.random())
+                        client.record_attempt(table.cluster, endpoint, rng.random() < 0.8, rng.random())
                     client.record_drop(table.cluster)
             digest.add(sorted(client.withdrawn_endpoints()), client.ignored, client.applied)
         report = LoadStatsRequest.FromString(client.build_load_report(1.25, first=stream == 0))
         digest.add(report.SerializeToString(deterministic=True))
-    assert repr(digest) == XDS[delta, lines]
+    assert repr(digest) == XDS[delta, uses_collections]
 
 
 REQUEST = [(b":method", b"POST"), (b":scheme", b"http"), (b":path", b"/svc/read"), (b":authority", b"x"),
@@ -372,46 +383,46 @@
 RESPONSE = [(b":status", b"200"), (b"content-type", b"application/grpc")]
 
 
-def play_frames(digest, client, server, seed):
+def exchange_frames(digest, client, server, seed):
     """Messages both ways in pieces; what each side wrote, and the text of its events without class names."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
 
-    def events_of(found):
-        return [tuple(getattr(event, slot) for slot in event.__dataclass_fields__) for event in found]
+    def events_of(events):
+        return [tuple(getattr(event, slot) for slot in event.__dataclass_fields__) for event in events]
 
-    asked = []
+    received = []
     for _ in range(60):
         headers = [field for field in REQUEST if field[0] != b"Keep-Alive"]
-        body = chance.randbytes(chance.choice([0, 3, 500, 30_000]))
+        body = rng.randbytes(rng.choice([0, 3, 500, 30_000]))
         try:
             if client.available_streams:
                 digest.add("send", client.send(HttpMessage(0, headers, body, [])), client.available_streams)
-        except HttpFramingError as cause:
-            digest.add("broken", str(cause))
+        except HttpFramingError as error:
+            digest.add("broken", str(error))
         for writer, reader, is_server in ((client, server, True), (server, client, False)):
             data = writer.data_to_send()
             digest.add(data)
-            size = chance.choice([1000, 7000, 100_000])
+            size = rng.choice([1000, 7000, 100_000])
             for start in range(0, len(data), size):
                 try:
-                    found = reader.receive_data(data[start : start + size])
-                except HttpFramingError as cause:
-                    digest.add("broken", str(cause))
+                    events = reader.receive_data(data[start : start + size])
+                except HttpFramingError as error:
+                    digest.add("broken", str(error))
                     return
-                digest.add(events_of(found), reader.closing)
-                asked += [event for event in found if is_server and isinstance(event, HttpMessage)]
-            if is_server and asked and chance.random() < 0.8:
-                number = asked.pop(0).stream_id
-                act = chance.random()
-                if isinstance(server, Http2Connection) and act < 0.2:
-                    server.reset_stream(number, 7)
+                digest.add(events_of(events), reader.closing)
+                received += [event for event in events if is_server and isinstance(event, HttpMessage)]
+            if is_server and received and rng.random() < 0.8:
+                request_stream = received.pop(0).stream_id
+                action = rng.random()
+                if isinstance(server, Http2Connection) and action < 0.2:
+                    server.reset_stream(request_stream, 7)
                 else:
-                    body = chance.randbytes(chance.choice([0, 10, 9000]))
+                    body = rng.randbytes(rng.choice([0, 10, 9000]))
                     trailers = [(b"grpc-status", b"0")] if isinstance(server, Http2Connection) else []
-                    server.send(HttpMessage(number, RESPONSE, body, trailers))
+                    server.send(HttpMessage(request_stream, RESPONSE, body, trailers))
                 if isinstance(server, Http1Connection):
-                    asked += [e for e in server.next_events() if isinstance(e, HttpMessage)]
-                elif act > 0.9:
+                    received += [e for e in server.next_events() if isinstance(e, HttpMessage)]
+                elif action > 0.9:
                     client.ping()
     server.send_goaway() if isinstance(server, Http2Connection) else server.reset_stream(0, 8)
     digest.add(server.data_to_send(), server.closing, server.available_streams)
@@ -424,25 +435,27 @@
         client, server = make(True, 20_000), make(False, 20_000)
         client.start()
         server.start()
-        play_frames(digest, client, server, seed)
+        exchange_frames(digest, client, server, seed)
     assert repr(digest) == FRAMES[make.__name__]
 
 
 def test_forwarded_requests_and_local_responses_equal_the_recording():
     digest = Digest()
-    for rpc, left in itertools.product((True, False), (1, 10**6, 7 * S)):
-        made = response_headers.forwarded_request(HttpMessage(3, REQUEST, b"body", [(b"x", b"y")]), rpc, left)
-        digest.add(made.stream_id, made.headers, made.body, made.trailers)
-    for rpc in (True, False):
+    for is_grpc, remaining_ns in itertools.product((True, False), (1, 10**6, 7 * S)):
+        built = response_headers.forwarded_request(
+            HttpMessage(3, REQUEST, b"body", [(b"x", b"y")]), is_grpc, remaining_ns
+        )
+        digest.add(built.stream_id, built.headers, built.body, built.trailers)
+    for is_grpc in (True, False):
         for result in list(RequestResult)[1:-1]:  # in the order of the recording
-            made = response_headers.local_response(result, rpc)
-            digest.add(made.stream_id, made.headers, made.body, made.trailers)
+            built = response_headers.local_response(result, is_grpc)
+            digest.add(built.stream_id, built.headers, built.body, built.trailers)
     for path in (b"/", b"/a/b%20c?d", b"", b"/x/"):
         for timeout in (b"1H", b"2M", b"3S", b"4m", b"5u", b"6n", b"7x", b"", b"123456789S"):
-            asked = response_headers.parse_request(
+            parsed = response_headers.parse_request(
                 HttpMessage(0, [(b":path", path), (b"grpc-timeout", timeout)])
             )
-            digest.add(asked.operation, asked.grpc, asked.timeout_ns)
+            digest.add(parsed.operation, parsed.grpc, parsed.timeout_ns)
     assert repr(digest) == HEADERS
 
 
