--- a/tests/proxy/test_connection_pool.py
+++ b/tests/proxy/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""Which connection of an endpoint is used, and when another is made."""
+"""Connection pool of an endpoint: selection, dialing, stream limits and idle connections."""
 
 from swiftchute.proxy.connection_pool import ConnectionPool, PoolDecision
 from swiftchute.proxy.settings import PoolLimits
@@ -8,7 +8,7 @@
 
 
 class IdlePeer:
-    """The framing of a connection whose peer accepts many streams."""
+    """Framing of a connection whose peer accepts many more streams."""
 
     available_streams = 100
 
--- a/tests/proxy/test_daemon.py
+++ b/tests/proxy/test_daemon.py
@@ -1,4 +1,4 @@
-"""A proxy process with a control plane: tables, load reports, and the cache for a start without it."""
+"""A proxy with a control plane: tables, load reports, and the cache for a start without a control plane."""
 
 import asyncio
 import json
@@ -73,7 +73,7 @@
 
 
 class RunningService:
-    """A service as a task of this event loop."""
+    """Runs a service as a task of this event loop."""
 
     def __init__(self, service):
         self.service = service
@@ -93,7 +93,7 @@
 
 
 def publish(folder, states):
-    """Write the endpoint list: state by address."""
+    """Write the endpoint list from a mapping of address to state."""
     rows = [
         {"targets": [address], "labels": {"zone": "z", "state": state}} for address, state in states.items()
     ]
--- a/tests/proxy/test_http2_connection.py
+++ b/tests/proxy/test_http2_connection.py
@@ -1,4 +1,4 @@
-"""HTTP/2 framing: whole messages, GOAWAY, resets, limits, and corrupt bytes."""
+"""HTTP/2 framing: complete messages, GOAWAY, resets, limits, and corrupt bytes."""
 
 import pytest
 from hypothesis import given
@@ -44,7 +44,7 @@
         client.send(HttpMessage(0, REQUEST_HEADERS, b"2")),
     )
     exchange(client, server)
-    # the frame is made by hand: h2 would end the connection with it
+    # built by hand: h2 would close the server's connection after sending a GOAWAY
     goaway = (8).to_bytes(3, "big") + b"\x07\0" + bytes(4) + first.to_bytes(4, "big") + bytes(4)
     assert client.receive_data(goaway) == [GoAway(first, 0)]
     assert (client.available_streams, second > first) == (0, True)
@@ -71,7 +71,7 @@
     exchange(client, server)
     server.reset_stream(stream_id, REFUSED_STREAM)
     assert client.receive_data(server.data_to_send()) == [StreamReset(stream_id, REFUSED_STREAM)]
-    client.reset_stream(stream_id, 8)  # it has ended: nothing happens
+    client.reset_stream(stream_id, 8)  # no-op: the stream has ended
 
 
 def test_a_message_over_the_limit_is_reset_and_others_continue():
--- a/tests/proxy/test_keepalive.py
+++ b/tests/proxy/test_keepalive.py
@@ -1,4 +1,4 @@
-"""When a silent connection is pinged and closed."""
+"""Keepalive: a silent connection is pinged, and closed if it does not answer."""
 
 from swiftchute.proxy.keepalive import Keepalive, KeepaliveAction
 
--- a/tests/proxy/test_outlier_ejection.py
+++ b/tests/proxy/test_outlier_ejection.py
@@ -28,7 +28,7 @@
     later = NOW + 5 * S
     ejector.attempt_started("a", later)
     assert ejector.ejected(later) == {"a"}  # the trial is in flight
-    ejector.attempt_abandoned("a")  # its caller went away: the next request may be the trial
+    ejector.attempt_abandoned("a")  # its caller disconnected: the next request may be the trial
     assert ejector.ejected(later) == set()
     ejector.attempt_started("a", later)
     record_failures(ejector, 1, later)
--- a/tests/proxy/test_request.py
+++ b/tests/proxy/test_request.py
@@ -1,4 +1,4 @@
-"""The request path: admission, endpoints, deadlines and retries of requests."""
+"""The request path: admission, endpoint selection, deadlines and retries."""
 
 import pytest
 from hypothesis import given
@@ -33,9 +33,9 @@
     first = router.next_attempt(request, NOW).endpoint
     router.client.tables = {"read": EndpointTable("0.2/read", {first: 1, "x": 5}, 0.0, 0)}
     router.update_tables()
-    # the new table allows no retries, its own does
+    # the new table allows no retries, but the one that the request began with does
     assert not router.attempt_ended(request, AttemptOutcome.REFUSED, NOW)
-    # the others of its table are withdrawn: no table names them now
+    # the other endpoints of the request's table are withdrawn: no table in force contains them
     assert router.next_attempt(request, NOW) is None
     router.abandon(request, NOW)
     assert router.admit("read", "k", NOW) == Rejection(RequestResult.NOT_ADMITTED)
@@ -52,7 +52,7 @@
     assert not router.attempt_ended(request, AttemptOutcome.WITHDRAWN, NOW)
     assert router.next_attempt(request, NOW).endpoint != first
     assert router.attempt_ended(request, AttemptOutcome.SUCCEEDED, NOW)
-    # what was not sent is not reported
+    # the attempt that was not sent is not in the load report
     assert router.client.load_by_cluster["0.1/read"].endpoints.keys() == {request.endpoint}
 
 
@@ -128,7 +128,7 @@
     )
     timed_out = router.admit("read", "k", NOW)
     attempt = router.next_attempt(timed_out, NOW)
-    router.abandon(timed_out, NOW + 5 * S)  # it had all of its time, and no answer
+    router.abandon(timed_out, NOW + 5 * S)  # no answer until the deadline counts as a failure
     assert router.ejector.ejected(NOW + 5 * S) == {attempt.endpoint}
 
 
--- a/tests/proxy/test_response_headers.py
+++ b/tests/proxy/test_response_headers.py
@@ -1,4 +1,4 @@
-"""Requests parsed and forwarded, responses classified and made locally."""
+"""Parsing and forwarding of requests, classification of responses, and local responses."""
 
 import pytest
 
--- a/tests/proxy/test_retry.py
+++ b/tests/proxy/test_retry.py
@@ -1,4 +1,4 @@
-"""Which attempts are retried, and the retry budget."""
+"""Retry policy: which attempts are retried, and the retry budget."""
 
 import pytest
 
@@ -64,7 +64,7 @@
     assert should_retry(
         AttemptOutcome.REFUSED, PROOF_REQUIRED, Idempotency.IDEMPOTENT, 0, NOW + 10 * S, NOW + 20 * S, budget
     )
-    # no failure: it was never sent
+    # a withdrawn attempt was never sent, so it is neither a failure nor limited by max_retries
     assert should_retry(
         AttemptOutcome.WITHDRAWN, PROOF_REQUIRED, Idempotency.SIDE_EFFECTING, 5, NOW, NOW + S, budget
     )
--- a/tests/proxy/test_server.py
+++ b/tests/proxy/test_server.py
@@ -1,4 +1,4 @@
-"""The proxy on real sockets: gRPC and HTTP/1.1 to endpoints that fail in every way."""
+"""The proxy on real sockets: gRPC and HTTP/1.1 to healthy and faulty endpoints."""
 
 import asyncio
 from dataclasses import replace
@@ -47,9 +47,9 @@
 @pytest.mark.parametrize(
     ("fault_action", "operation", "status", "requests"),
     [
-        (refuse_stream, "pay", "ok", 1),  # proof that it never ran: it goes elsewhere
+        (refuse_stream, "pay", "ok", 1),  # proof that it never ran: retried on the other endpoint
         (send_goaway, "pay", "ok", 1),
-        (cancel_stream, "pay", Status.UNAVAILABLE, 1),  # it may have run
+        (cancel_stream, "pay", Status.UNAVAILABLE, 1),  # may have run: not retried
         (close_after_execution, "pay", Status.UNAVAILABLE, 1),
         (close_after_execution, "read", Status.UNAVAILABLE, 1),  # the table requires proof
         (send_headers_only, "read", Status.DEADLINE_EXCEEDED, 1),
@@ -106,8 +106,8 @@
         ) as proxy:
             results = await asyncio.gather(*(proxy.call() for _ in range(40)))
             assert results.count("ok") > 5
-            assert results.count("ok") < 38  # those that were sent there time out
-            assert [await proxy.call() for _ in range(20)] == ["ok"] * 20  # it is ejected
+            assert results.count("ok") < 38  # requests to the stalled endpoint time out
+            assert [await proxy.call() for _ in range(20)] == ["ok"] * 20  # the stalled endpoint is ejected
         server.close()
 
     run(scenario)
@@ -188,7 +188,7 @@
 
 
 async def answer_plain_http(reader, writer):
-    """Serve /ok, /slow, /fail, and /close, which closes the connection after it ran."""
+    """Serve /ok, /slow, /fail, and /close, which closes the connection after reading the request."""
     while line := await reader.readline():
         path, size = line.split()[1], 0
         while (header := await reader.readline()).strip():
--- a/tests/proxy/test_table_cache.py
+++ b/tests/proxy/test_table_cache.py
@@ -1,4 +1,4 @@
-"""Tables cached on disk: age, damage and failed writes."""
+"""The on-disk table cache: maximum age, corrupt files and failed writes."""
 
 from swiftchute.proxy.endpoint_table import EndpointTable
 from swiftchute.proxy.table_cache import TableCache
@@ -14,7 +14,7 @@
     path = str(tmp_path / "t")
     assert TableCache(path, 60 * S).save(TABLES, NOW)
     assert TableCache(path, 60 * S).load(NOW + 60 * S) == TABLES
-    for wall_ns in (NOW + 61 * S, NOW - 1):  # the clock may have been set back: then its age is unknown
+    for wall_ns in (NOW + 61 * S, NOW - 1):  # after the clock was set back, the age is unknown
         cache = TableCache(path, 60 * S)
         assert cache.load(wall_ns) == {}
         assert "s old" in cache.last_error
@@ -27,8 +27,8 @@
     for end in range(len(data)):
         path.write_bytes(data[:end])
         assert TableCache(str(path), S).load(NOW) == {}
-    for place in range(len(data)):
-        path.write_bytes(data[:place] + bytes([data[place] ^ 4]) + data[place + 1 :])
+    for index in range(len(data)):
+        path.write_bytes(data[:index] + bytes([data[index] ^ 4]) + data[index + 1 :])
         assert TableCache(str(path), S).load(NOW) == {}
 
 
