--- a/swiftchute/proxy/control_client.py
+++ b/swiftchute/proxy/control_client.py
@@ -110,11 +110,11 @@
     async def _run_connection(self, host: str, port: int, stream: int) -> None:
         """Run one connection until it fails or ends."""
         channel = self._channel = Channel(host, port, codec=RawCodec(), config=self._configuration())
-        reports = None
+        report_task = None
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await channel.__connect__()
-            reports = asyncio.ensure_future(self._run_load_reports(channel))
+            report_task = asyncio.ensure_future(self._run_load_reports(channel))
             await self._run_stream(channel, f"{host}:{port}", stream)
         except STREAM_ERRORS:
             pass
@@ -122,10 +122,10 @@
             if self.connected_to:
                 self.on_stream_closed(self.connected_to, stream)
             self.connected_to = None
-            if reports:
-                reports.cancel()
+            if report_task:
+                report_task.cancel()
                 with contextlib.suppress(asyncio.CancelledError, *STREAM_ERRORS):
-                    await reports
+                    await report_task
             channel.close()
 
     def _configuration(self) -> Configuration:
--- a/swiftchute/proxy/downstream_connection.py
+++ b/swiftchute/proxy/downstream_connection.py
@@ -79,7 +79,7 @@
             framing.start()
             data = bytes(self._first_bytes)
             self._first_bytes = bytearray()
-        self._run_framing(framing, lambda: self._handle_all(framing, framing.receive_data(data)))
+        self._run_framing(framing, lambda: self._handle_events(framing, framing.receive_data(data)))
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Cancel the requests of the closed connection."""
@@ -117,7 +117,7 @@
         if framing.closing and not self.tasks and not self.transport.is_closing():
             self.transport.close()
 
-    def _handle_all(self, framing: Http2Connection | Http1Connection, events: list[HttpEvent]) -> None:
+    def _handle_events(self, framing: Http2Connection | Http1Connection, events: list[HttpEvent]) -> None:
         for event in events:
             match event:
                 case HttpMessage():
@@ -135,13 +135,13 @@
         self.tasks.pop(request.stream_id, None)
         if self.transport.is_closing():
             return
-        on_stream = HttpMessage(request.stream_id, response.headers, response.body, response.trailers)
-        self._run_framing(framing, lambda: self._respond(framing, on_stream))
+        stream_response = HttpMessage(request.stream_id, response.headers, response.body, response.trailers)
+        self._run_framing(framing, lambda: self._respond(framing, stream_response))
 
     def _respond(self, framing: Http2Connection | Http1Connection, response: HttpMessage) -> None:
         framing.send(response)
         if isinstance(framing, Http1Connection):
-            self._handle_all(framing, framing.next_events())  # a request that arrived in the meantime
+            self._handle_events(framing, framing.next_events())  # a request that arrived in the meantime
 
     def _flush(self, framing: Http2Connection | Http1Connection) -> None:
         data = framing.data_to_send()
--- a/swiftchute/proxy/http1_connection.py
+++ b/swiftchute/proxy/http1_connection.py
@@ -94,7 +94,7 @@
         try:
             if self.client:
                 self.busy = True
-            self._unsent += self._h11.send(self._head_of(message))
+            self._unsent += self._h11.send(self._build_head(message))
             if message.body:
                 self._unsent += self._h11.send(h11.Data(data=message.body))
             self._unsent += self._h11.send(h11.EndOfMessage())
@@ -139,7 +139,7 @@
         else:
             partial.body += data
 
-    def _head_of(self, message: HttpMessage) -> h11.Request | h11.Response:
+    def _build_head(self, message: HttpMessage) -> h11.Request | h11.Response:
         """Build start line and headers; raises KeyError or ValueError on missing or bad pseudo-headers."""
         pseudo_headers = {name: value for name, value in message.headers if name[:1] == b":"}
         headers = [
--- a/swiftchute/proxy/http2_connection.py
+++ b/swiftchute/proxy/http2_connection.py
@@ -189,7 +189,7 @@
             case h2.events.DataReceived():
                 self._handle_data(h2_event, events)
             case h2.events.StreamEnded():
-                self._handle_end(h2_event.stream_id, events)
+                self._handle_stream_ended(h2_event.stream_id, events)
             case h2.events.StreamReset():
                 self._partial_messages.pop(h2_event.stream_id, None)
                 self._unsent_bodies.pop(h2_event.stream_id, None)
@@ -213,7 +213,7 @@
         else:
             partial.body += h2_event.data
 
-    def _handle_end(self, stream_id: int, events: list[HttpEvent]) -> None:
+    def _handle_stream_ended(self, stream_id: int, events: list[HttpEvent]) -> None:
         partial = self._partial_messages.pop(stream_id, None)
         if partial is not None:
             events.append(HttpMessage(stream_id, partial.headers, bytes(partial.body), partial.trailers))
--- a/swiftchute/proxy/server.py
+++ b/swiftchute/proxy/server.py
@@ -194,7 +194,7 @@
             await asyncio.sleep(CHECK_INTERVAL_S)
             for key, upstream in list(self.upstreams.items()):
                 upstream.check_connections()
-                if key[0] not in self.router.known_endpoints and upstream.unused:
+                if key[0] not in self.router.known_endpoints and upstream.is_unused:
                     upstream.close()
                     del self.upstreams[key]
             now_ns = self.clock()
--- a/swiftchute/proxy/upstream.py
+++ b/swiftchute/proxy/upstream.py
@@ -46,7 +46,7 @@
         self._dial_task: asyncio.Task | None = None
 
     @property
-    def unused(self) -> bool:
+    def is_unused(self) -> bool:
         """Whether there are no connections and no request waits for one."""
         return not self.pool.connections and not self._waiters
 
--- a/swiftchute/proxy/xds_client.py
+++ b/swiftchute/proxy/xds_client.py
@@ -275,7 +275,7 @@
         return {names.EDS: assignments | {names.WITHDRAWN}, names.RDS: routes, names.LEDS: collections}
 
     def _subscribe(self, type_url: str, wanted: set[str]) -> bytes:
-        before = self._subscribed.get(type_url)
+        previous_names = self._subscribed.get(type_url)
         self._subscribed[type_url] = wanted
         if not self.delta:
             return DiscoveryRequest(
@@ -285,12 +285,12 @@
                 response_nonce=self._nonces.get(type_url, ""),
             ).SerializeToString()
         initial_versions = {}
-        if before is None:
+        if previous_names is None:
             initial_versions = {name: version for name, (version, _) in self.resources[type_url].items()}
         return DeltaDiscoveryRequest(
             type_url=type_url,
-            resource_names_subscribe=sorted(wanted - (before or set())),
-            resource_names_unsubscribe=sorted((before or set()) - wanted),
+            resource_names_subscribe=sorted(wanted - (previous_names or set())),
+            resource_names_unsubscribe=sorted((previous_names or set()) - wanted),
             initial_resource_versions=initial_versions,
         ).SerializeToString()
 
