--- a/swiftchute/controller/__init__.py
+++ b/swiftchute/controller/__init__.py
@@ -1,1 +1,1 @@
-"""One controller without I/O: runs the policy, reviews and versions its tables, and paces what is sent."""
+"""The controller, without I/O: runs the policy, reviews and versions its tables, and paces pushes."""
--- a/swiftchute/controller/assignments.py
+++ b/swiftchute/controller/assignments.py
@@ -1,8 +1,8 @@
-"""Endpoint tables, assignments of proxies to them, and ejections, as the policy commands them.
+"""Endpoint tables, their assignment to proxies, and ejections, as commanded by the policy.
 
-`Assignments` implements `swiftchute.api.commands.CommandSink`. The policy issues the commands of a round;
-`finish_round` then returns a `RoundResult`: how many entries go to which proxy, and what else was commanded.
-All frontends serve from the state kept here.
+`Assignments` implements `swiftchute.api.commands.CommandSink`. After the policy has issued the commands of a
+round, `finish_round` returns a `RoundResult`: the number of entries for each proxy, and the other commands.
+All frontends serve from this state.
 """
 
 from dataclasses import dataclass, field
@@ -12,22 +12,22 @@
 from swiftchute.controller.errors import CommandError
 
 MAX_TIMERS_PER_ROUND = 10_000
-MAX_LOG_LINES_PER_ROUND = 1000  # one more line says that later ones are lost
-TABLE_NUMBER_LIMIT = 65_535  # table numbers are below it
+MAX_LOG_LINES_PER_ROUND = 1000  # one more line reports that later lines are lost
+TABLE_NUMBER_LIMIT = 65_535  # exclusive upper bound
 FULL_ADMISSION = 1.0
 
 Admission = tuple[float, int]  # admission rate and retry policy
 
 
 class TimerRequest(NamedTuple):
-    """A timer that the policy asked for."""
+    """A timer that the policy requested."""
 
     delay_ns: int
     timer_id: int
 
 
 class InvalidWeight(NamedTuple):
-    """A weight that was commanded, cannot be set and was ignored."""
+    """A commanded weight that is negative, infinite or NaN, and was ignored."""
 
     table: int
     endpoint: str
@@ -36,16 +36,16 @@
 
 @dataclass(slots=True)
 class EndpointTable:
-    """A table as commanded: weights by endpoint, admission by the index of the operation."""
+    """A table as commanded: weights by endpoint, admission by operation index."""
 
     weights: dict[str, float] = field(default_factory=dict)
     admission: dict[int, Admission] = field(default_factory=dict)
-    revision: int = 0  # changes with each command that concerns the table
+    revision: int = 0  # incremented with each change of the table
 
 
 @dataclass(slots=True)
 class ProxyAssignment:
-    """The tables of a connected proxy; a proxy without any is unassigned."""
+    """The tables of a connected proxy, by operation index; a proxy without any is unassigned."""
 
     zone: str
     table_by_operation: dict[int, int] = field(default_factory=dict)
@@ -69,47 +69,47 @@
 
 
 class Assignments:
-    """All tables and assignments of one policy incarnation; a command changes them at once."""
+    """All tables and assignments of one policy incarnation; commands take effect immediately."""
 
     def __init__(self, settings: Settings, ignore_invalid_weights: bool = False) -> None:
         """Start without tables and proxies.
 
-        With `ignore_invalid_weights` a weight that cannot be set is recorded in the result of the round,
-        otherwise it raises `CommandError`.
+        With `ignore_invalid_weights` an invalid weight is recorded in the result of the round, otherwise it
+        raises `CommandError`.
         """
         self.settings, self.ignore_invalid_weights = settings, ignore_invalid_weights
         self.tables: dict[int, EndpointTable] = {}
         self.proxies: dict[Any, ProxyAssignment] = {}
         self.ejected: set[str] = set()
-        self.common_admission: dict[int, Admission] = {}  # for all tables, by the index of the operation
+        self.common_admission: dict[int, Admission] = {}  # for all tables, by operation index
         self.proxies_by_table: dict[int, dict[Any, None]] = {}
         self.current_round = RoundResult()
 
     def on_proxy_connected(self, proxy: Any, zone: str) -> None:
-        """A proxy connects and is unassigned; earlier assignments of it end."""
+        """Register a proxy as unassigned; its earlier assignments end."""
         self.on_proxy_disconnected(proxy)
         self.proxies[proxy] = ProxyAssignment(zone)
 
     def on_proxy_disconnected(self, proxy: Any) -> None:
-        """The session of a proxy ended, and its assignment with it."""
+        """Remove a proxy and its assignments."""
         assignment = self.proxies.pop(proxy, None)
         for table in assignment.table_by_operation.values() if assignment else ():
             self.proxies_by_table[table].pop(proxy, None)
 
     def finish_round(self) -> RoundResult:
-        """Return what was commanded since the last call, with all entries counted by proxy."""
+        """Return the commands since the last call, with all entries counted by proxy."""
         result, self.current_round = self.current_round, RoundResult()
         for table, entries in result.changed_entries_by_table.items():
             for proxy in self.proxies_by_table.get(table, ()):
                 result.entries_by_proxy[proxy] = result.entries_by_proxy.get(proxy, 0) + entries
         if result.nonce is not None:
             for proxy in self.proxies if result.ack_by_everyone else result.entries_by_proxy:
-                # the nonce counts as an entry of each message
+                # the nonce takes up one entry of each message
                 result.entries_by_proxy[proxy] = result.entries_by_proxy.get(proxy, 0) + 1
         return result
 
     def admission(self, table: int, operation: int) -> Admission:
-        """Return the admission rate and the retry policy in force for an operation of a table."""
+        """Return the effective admission rate and retry policy for an operation of a table."""
         by_operation = self.tables[table].admission
         own = by_operation.get(operation, (FULL_ADMISSION, self.settings.default_retry_policy))
         common = self.common_admission.get(operation)
@@ -119,11 +119,11 @@
         return min(own[0], common[0]), retry_policy
 
     def table_name(self, table: int) -> str:
-        """Return the name by which proxies know a table; it differs from those of other instances."""
+        """Return the name of a table on the proxies; it is unique across instances."""
         return f"{self.settings.instance}.{table}"
 
     def table_number(self, name: str) -> int | None:
-        """Return the number of a table by its name; None if there is no such table."""
+        """Return the number of the table with a name; None if there is no such table."""
         return next((number for number in self.tables if self.table_name(number) == name), None)
 
     def usable_weights(self, table: int) -> dict[str, float]:
@@ -135,7 +135,7 @@
         }
 
     def operations_of(self, table: int) -> list[int]:
-        """Return the indices of the operations that proxies are assigned to a table for."""
+        """Return the indices of the operations for which any proxy uses a table."""
         assignments = (self.proxies[proxy] for proxy in self.proxies_by_table.get(table, ()))
         return sorted(
             {
@@ -150,7 +150,9 @@
         """Set the weight of an endpoint in a table; 0 removes the entry."""
         if not 0 <= weight < float("inf"):
             if not self.ignore_invalid_weights:
-                raise CommandError(f"table {table}, {endpoint}: weight {weight}")
+                raise CommandError(
+                    f"table {table}, {endpoint}: weight {weight} is not a finite number of 0 or more"
+                )
             self.current_round.invalid_weights.append(InvalidWeight(table, endpoint, str(weight)))
             return
         weights = self._table(table).weights
@@ -167,9 +169,9 @@
         self._mark_changed(table)
 
     def assign_table(self, proxy: Any, table: int, operation_mask: int) -> None:
-        """Make a proxy use a table for the operations of the mask; it is sent the whole table."""
+        """Make a proxy use a table for the operations of the mask; the whole table is sent to it."""
         if proxy not in self.proxies:
-            return  # it has disconnected meanwhile
+            return  # it has disconnected in the meantime
         content, table_by_operation = self._table(table), self.proxies[proxy].table_by_operation
         self.current_round.proxy_assigned = True
         for operation in self._operations(operation_mask):
@@ -185,7 +187,7 @@
             + len(self.ejected & content.weights.keys())
             + len(self.common_admission)
         )
-        # entries that this round changed before are part of the whole table, and are not counted twice
+        # entries changed earlier in this round are part of the whole table; `finish_round` adds them
         entries -= self.current_round.changed_entries_by_table.get(table, 0)
         self._add_entries(proxy, entries)
 
@@ -194,7 +196,10 @@
     ) -> None:
         """Set the share of requests to admit and the retry policy, in one table or (None) in all."""
         if not admission_rate >= 0 or retry_policy not in (0, 1, 2, 3):
-            raise CommandError(f"table {table}: admission rate {admission_rate}, retry policy {retry_policy}")
+            raise CommandError(
+                f"table {table}: admission rate {admission_rate} (must be 0 or more),"
+                f" retry policy {retry_policy} (must be 0 to 3)"
+            )
         admission = dict.fromkeys(self._operations(operation_mask), (admission_rate, retry_policy))
         if table is not None:
             self._table(table).admission |= admission
@@ -219,11 +224,11 @@
                 self._add_entries(proxy, 1)
 
     def request_ack(self, nonce: int, everyone: bool) -> None:
-        """Ask for an acknowledgement of this round, from the proxies written to or from everyone."""
+        """Request an acknowledgement of this round, from the proxies it sends to or from all."""
         self.current_round.nonce, self.current_round.ack_by_everyone = nonce, everyone
 
     def subscribe(self, enabled: bool) -> None:
-        """Open or close the subscription to the endpoint list."""
+        """Start or end the subscription to the endpoint list."""
         self.current_round.subscribe = enabled
 
     def fetch_list(self) -> None:
@@ -233,7 +238,7 @@
     def start_timer(self, delay_ns: int, timer_id: int) -> None:
         """Deliver `TimerFired` after a delay."""
         if len(self.current_round.timers) >= MAX_TIMERS_PER_ROUND:
-            raise CommandError(f"more than {MAX_TIMERS_PER_ROUND} timers in a round")
+            raise CommandError(f"more than {MAX_TIMERS_PER_ROUND} timers started in one round")
         self.current_round.timers.append(TimerRequest(delay_ns, timer_id))
 
     def log(self, text: str) -> None:
@@ -246,15 +251,15 @@
 
     def probe(self, endpoint: str) -> None:
         """Raise `CommandError`: the settings allow no health checks."""
-        raise CommandError(f"probe of {endpoint}: the settings allow none")
+        raise CommandError(f"probe of {endpoint}: the settings do not allow health checks")
 
     def send_to_peer(self, peer: int | None, payload: bytes) -> None:
         """Raise `CommandError`: the settings allow no messages between instances."""
-        raise CommandError(f"message to {peer}: the settings allow none")
+        raise CommandError(f"message to peer {peer}: the settings do not allow messages between instances")
 
     def _table(self, number: int) -> EndpointTable:
         if not 0 <= number < TABLE_NUMBER_LIMIT:
-            raise CommandError(f"table {number}: numbers are 0 to {TABLE_NUMBER_LIMIT - 1}")
+            raise CommandError(f"table {number}: table numbers must be 0 to {TABLE_NUMBER_LIMIT - 1}")
         return self.tables.setdefault(number, EndpointTable())
 
     def _mark_changed(self, number: int, entries: int = 1) -> None:
@@ -267,5 +272,5 @@
         entries_by_proxy[proxy] = entries_by_proxy.get(proxy, 0) + entries
 
     def _operations(self, mask: int) -> list[int]:
-        """Return the indices of the operations of a mask; 0 stands for all."""
+        """Return the indices of the operations in a mask; a mask of 0 means all."""
         return [index for index in range(len(self.settings.operations)) if not mask or mask >> index & 1]
--- a/swiftchute/controller/canary_rollout.py
+++ b/swiftchute/controller/canary_rollout.py
@@ -1,7 +1,7 @@
-"""Large changes of a table reach a part of its proxies first; load reports decide whether they go on.
+"""Canary rollouts: a large change of a table goes to some of its proxies first; load reports decide the rest.
 
-`swiftchute.versions.canary` judges the reports. This module tells it of changes, proxies and reports, keeps
-the baseline content that the other proxies hold meanwhile, and carries its outcomes out.
+`swiftchute.versions.canary` evaluates the reports. This module passes changes, proxies and reports to it,
+stores the baseline content that the other proxies hold meanwhile, and completes or rolls back the change.
 """
 
 from typing import Any
@@ -17,12 +17,12 @@
 from swiftchute.versions.canary_statistics import ReportTotals
 from swiftchute.versions.table_log import ChangeCause
 
-# Changes that the safety rules or an operator asked for reach all proxies at once, without a canary.
+# Changes made by the safety rules, a rollback or an operator go to all proxies at once, without a canary.
 IMMEDIATE_CAUSES = frozenset({ChangeCause.GUARD, ChangeCause.ROLLBACK, ChangeCause.PIN})
 
 
 class CanaryRollout:
-    """Canaries of all tables."""
+    """Runs the canaries of all tables."""
 
     def __init__(
         self,
@@ -32,27 +32,27 @@
         version_control: VersionControl,
         republish: Republish,
     ) -> None:
-        """Start without canaries; `republish` sends a table whose canary changed or ended."""
+        """Start without canaries; `republish` publishes a table whose canary changed or ended."""
         self.trials, self.history, self.pins = versions.trials, versions.history, versions.pins
         self.runner, self.directory = runner, directory
         self.version_control, self.republish = version_control, republish
         self.observed_traffic = ObservedTraffic()
-        self.baselines: dict[int, TableContent] = {}  # by table, for proxies outside its canary
+        self.baselines: dict[int, TableContent] = {}  # by table, for proxies that are not in its canary
 
     def reset(self, observed_traffic: ObservedTraffic) -> None:
-        """End all canaries: the policy crashed, and its tables are gone."""
+        """End all canaries; called when the policy crashed and its tables were dropped."""
         self.observed_traffic = observed_traffic
         for name in list(self.trials.open_trials):
             self.trials.close(name)
         self.baselines.clear()
 
     def holds_baseline(self, number: int, proxy: Any) -> bool:
-        """Return whether a proxy holds the content of before the canary of a table."""
+        """Return whether a proxy holds the baseline of a table that has a canary."""
         name = self.runner.assignments.table_name(number)
         return number in self.baselines and not self.trials.is_canary(name, proxy)
 
     def on_content_changed(self, number: int, old: TableContent | None, new: TableContent) -> None:
-        """Start, continue or end the canary of a table that has a new content."""
+        """Start, continue or end the canary of a table whose content changed."""
         if not self.trials.limits.proxy_fraction:
             return
         name = self.runner.assignments.table_name(number)
@@ -60,11 +60,11 @@
         if old is None or change is None or change.cause in IMMEDIATE_CAUSES or name in self.pins.by_table:
             self.trials.close(name)
         elif old.entries != new.entries:
-            self._offer(number, name, old, new)
+            self._start_or_update_trial(number, name, old, new)
         self._update_baseline(number, name, new)
 
     def on_load_report(self, proxy: Any, report: LoadReport, now: int) -> None:
-        """Count the report of a proxy for the canaries of its tables."""
+        """Add a proxy's load report to the canaries of its tables."""
         assignments, operations = self.runner.assignments, self.runner.settings.operations
         table_by_operation = assignments.proxies[proxy].table_by_operation
         for number in set(table_by_operation.values()):
@@ -79,14 +79,14 @@
             self.trials.on_report(proxy, assignments.table_name(number), totals, now - report.window_ns)
 
     def check(self, now: int) -> None:
-        """Update the proxies and baselines of open canaries, and carry out those that are over."""
-        starts = self.directory.start_times(self.runner.assignments.ejected)
+        """Update the proxies and baselines of open canaries, and apply the outcomes of finished ones."""
+        start_ns_by_endpoint = self.directory.start_times(self.runner.assignments.ejected)
         for name in list(self.trials.open_trials):
-            self._check_open(name, starts, now)
+            self._check_open(name, start_ns_by_endpoint, now)
         for name, outcome in self.trials.take_finished(now):
             number = self.runner.assignments.table_number(name)
-            went = "back" if outcome.rolled_back else "on"
-            self.runner.log_event("canary ended", table=name, went=went, cause=outcome.cause)
+            direction = "back" if outcome.rolled_back else "on"
+            self.runner.log_event("canary ended", table=name, went=direction, cause=outcome.cause)
             if number is None:
                 continue
             if outcome.rolled_back and self.version_control.roll_back(
@@ -95,24 +95,24 @@
                 continue
             self.republish(number, ChangeCause.CANARY, now)
 
-    def _check_open(self, name: str, starts: dict[str, int], now: int) -> None:
-        """Republish a table whose canary has other proxies, or whose baseline lost endpoints."""
+    def _check_open(self, name: str, start_ns_by_endpoint: dict[str, int], now: int) -> None:
+        """Republish a table if the proxies of its canary changed or its baseline lost endpoints."""
         assignments = self.runner.assignments
         number = assignments.table_number(name)
         if number is None or not assignments.proxies_by_table.get(number):
             self.trials.close(name)
             return
-        chosen_anew = self.trials.reselect(name, self._request_rates(number))
+        proxies_changed = self.trials.reselect(name, self._request_rates(number))
         baseline = self.baselines.get(number)
-        held = {entry.endpoint for entry in baseline.entries} if baseline is not None else set()
-        weights = self.trials.baseline_weights(name, starts)
+        baseline_endpoints = {entry.endpoint for entry in baseline.entries} if baseline is not None else set()
+        weights = self.trials.baseline_weights(name, start_ns_by_endpoint)
         if weights is None:
             self.republish(number, ChangeCause.CANARY, now)
-        elif chosen_anew or weights.keys() != held:
+        elif proxies_changed or weights.keys() != baseline_endpoints:
             self.republish(number, ChangeCause.LIST, now)
 
-    def _offer(self, number: int, name: str, old: TableContent, new: TableContent) -> None:
-        """Let the trials decide whether a change of weights is tried by some proxies first."""
+    def _start_or_update_trial(self, number: int, name: str, old: TableContent, new: TableContent) -> None:
+        """Let `trials` decide whether a change of weights needs a canary, and log the start of one."""
         before, after = (
             {entry.endpoint: entry.weight for entry in content.entries} for content in (old, new)
         )
@@ -136,7 +136,7 @@
             )
 
     def _update_baseline(self, number: int, name: str, new: TableContent) -> None:
-        """Keep what proxies outside the canary hold: the weights of before, the admission of now."""
+        """Store the content for proxies outside the canary: earlier weights with the current admission."""
         weights = self.trials.baseline_weights(
             name, self.directory.start_times(self.runner.assignments.ejected)
         )
@@ -149,7 +149,7 @@
         self.baselines[number] = TableContent(entries, new.admission, encoding.version_of(table))
 
     def _request_rates(self, number: int) -> dict[Any, float]:
-        """Return the proxies of a table with their requests per second."""
+        """Return the requests per second of each of a table's proxies."""
         names = [operation.name for operation in self.runner.settings.operations]
         now = self.runner.last_round_ns
         return {
--- a/swiftchute/controller/controller.py
+++ b/swiftchute/controller/controller.py
@@ -1,14 +1,16 @@
-"""One controller without I/O: events of frontends and discovery in, messages to proxies and log events out.
+"""The controller of one instance, without I/O.
+
+It takes events from the frontends and from discovery, and returns pushes for proxies and log events:
 
     controller = Controller(settings, seed, Reconciler)
     controller.on_proxy_connected(proxy, zone, request_rate, fresh)
     controller.on_list_update(change)
     output = controller.run_round(now)      # after any event, and at `controller.next_deadline_ns`
-    output.pushes                           # these proxies should hold `controller.tables_of(proxy)` now
+    output.pushes                           # send `controller.tables_of(proxy)` to each of these proxies
 
-The policy decides about endpoints, weights, admission and assignments. The controller runs it, has its tables
-reviewed by the safety rules, keeps their versions, and paces what is sent. Frontends keep no tables of their
-own: they serve `tables_of(proxy)`.
+The policy decides on endpoints, weights, admission rates and assignments. The controller runs the policy,
+applies the safety rules to its tables, records their versions and limits the rate of pushes. Frontends store
+no tables; they send `tables_of(proxy)`.
 """
 
 from collections.abc import Collection
@@ -35,11 +37,11 @@
 from swiftchute.safety.publish_gate import PublishGate
 from swiftchute.versions.table_log import ChangeCause, VersionChange
 
-MAX_LOGGED_WEIGHTS = 8  # invalid weights that one log event shows
+MAX_LOGGED_WEIGHTS = 8  # invalid weights listed in one log event
 
 
 class Push(NamedTuple):
-    """A message to a proxy: it should hold `tables_of(proxy)` and acknowledge the nonce."""
+    """A message that updates a proxy to `tables_of(proxy)` and asks it to acknowledge the nonce, if any."""
 
     proxy: Any
     nonce: int | None
@@ -47,15 +49,15 @@
 
 @dataclass(slots=True)
 class RoundOutput:
-    """What the frontends are to do after a round."""
+    """Work for the frontends after a round."""
 
     pushes: list[Push] = field(default_factory=list)
-    overflowed_proxies: list[Any] = field(default_factory=list)  # their messages exceed the egress queue
+    overflowed_proxies: list[Any] = field(default_factory=list)  # to disconnect: the egress queue has no room
     log_events: list[LogEvent] = field(default_factory=list)
 
 
 class Controller:
-    """The state of one instance for one incarnation of the process."""
+    """The state of one instance; it lasts as long as the process."""
 
     def __init__(
         self,
@@ -67,9 +69,10 @@
         enforce: bool = True,
         retention: RetentionSettings | None = None,
     ) -> None:
-        """Start the first policy; without `safety_rules` tables are published as commanded.
+        """Start the first policy.
 
-        Without `enforce` what breaks the safety rules is logged and published all the same.
+        Without `safety_rules`, tables are published as commanded. Without `enforce`, violations of the safety
+        rules are logged, and the tables are published nevertheless.
         """
         self.settings, self.safety_rules, self.enforce = settings, safety_rules, enforce
         self.runner = PolicyRunner(
@@ -90,9 +93,9 @@
             versions, self.runner, self.directory, self.version_control, self._republish
         )
         self.last_review_ns = now
-        self.reviewed_change_count = 0  # changes of the endpoint list that a round of the policy has seen
+        self.reviewed_change_count = 0  # value of `directory.change_count` at the last completed policy round
         self.push_count = 0
-        self.tables_of_crashed_policy: dict[Any, ProxyTables] = {}  # by proxies that still hold them
+        self.tables_of_crashed_policy: dict[Any, ProxyTables] = {}  # by proxy, until its first new assignment
         self.output = RoundOutput()
         self.egress_queue = EgressQueue(
             settings.egress_rate_entries_per_s,
@@ -104,8 +107,8 @@
         self._reset()
 
     def _reset(self) -> None:
-        """Make the state that belongs to one policy incarnation."""
-        for proxy in list(self.deliveries.holdings_by_proxy):  # those of a crashed policy are unassigned
+        """Create the state that is tied to one policy incarnation."""
+        for proxy in list(self.deliveries.holdings_by_proxy):  # a policy crash unassigns all
             self.deliveries.on_disconnected(proxy)
         self.observed_traffic = ObservedTraffic()
         self.nonces = NonceTracker()
@@ -136,22 +139,22 @@
 
     @property
     def assignments(self) -> Assignments:
-        """Tables, assignments and ejections as the policy commanded them."""
+        """Tables, assignments and ejections as commanded by the policy."""
         return self.runner.assignments
 
     @property
     def unavailable_endpoints(self) -> frozenset[str]:
-        """Endpoints that must not be used, whatever tables say; the same object until the list changes."""
+        """Endpoints that must not be used, whatever tables hold; the same object until the list changes."""
         return self.directory.unavailable
 
     @property
     def counts(self) -> dict[str, int]:
-        """Totals since the start, by the names they have in the log."""
+        """Totals since the start, keyed by their names in the log."""
         return self.runner.counts | {"pushes": self.push_count}
 
     @property
     def next_deadline_ns(self) -> int:
-        """When the next round is due, if no event comes in before."""
+        """When the next round is due if no event arrives earlier."""
         deadlines = (
             self.runner.next_deadline_ns,
             self.egress_queue.next_deadline_ns,
@@ -163,17 +166,17 @@
         return min(deadline for deadline in deadlines if deadline is not None)
 
     def log_event(self, name: str, /, **fields: Any) -> None:
-        """Add an event for the log."""
+        """Add a log event to the output of the next round."""
         self.runner.log_event(name, **fields)
 
     def on_proxy_connected(self, proxy: Any, zone: str, request_rate: float, fresh: bool) -> None:
-        """A proxy takes the messages of this instance from now on; it is unassigned."""
+        """Register a proxy that connected to this instance; it has no assignments yet."""
         self.runner.on_proxy_connected(proxy, zone, request_rate, fresh)
         self.nonces.unsent.pop(proxy, None)
         self.tables_of_crashed_policy.pop(proxy, None)
 
     def on_proxy_disconnected(self, proxy: Any) -> bool:
-        """The session of a proxy ended, queued messages are lost; return False if it was not connected."""
+        """Remove a proxy and its queued messages; return False if it was not connected."""
         if not self.runner.on_proxy_disconnected(proxy):
             return False
         self.egress_queue.on_proxy_disconnected(proxy)
@@ -185,11 +188,11 @@
         return True
 
     def on_acknowledged(self, proxy: Any, nonce: int, now: int) -> None:
-        """A proxy has acknowledged all that was sent with a nonce and before it."""
+        """Tell the policy that a proxy acknowledged a nonce, and with it everything sent up to that nonce."""
         self.runner.enqueue(PushAcknowledged(proxy, nonce, self.nonces.latency_ns(nonce, now)))
 
     def on_fully_acknowledged(self, proxy: Any, now: int) -> None:
-        """A proxy has acknowledged all that was sent to it."""
+        """Record that a proxy has acknowledged everything sent to it."""
         self.deliveries.on_acknowledged(proxy)
         if self.canaries.open_trials and proxy in self.deliveries.holdings_by_proxy:
             contents = self.deliveries.holdings_by_proxy[proxy][-1].contents
@@ -199,7 +202,7 @@
             self.on_acknowledged(proxy, self.nonces.withheld.pop(proxy), now)
 
     def on_load_report(self, proxy: Any, report: LoadReport, now: int) -> None:
-        """Add the load report of a proxy; that of one that is not connected is ignored."""
+        """Add the load report of a proxy; reports of proxies that are not connected are ignored."""
         connected = self.proxies.get(proxy)
         if connected is None:
             return
@@ -208,16 +211,16 @@
             self.canary_rollout.on_load_report(proxy, report, now)
 
     def on_list_update(self, change: EndpointListChange) -> None:
-        """Discovery delivered an endpoint list or changes to it."""
+        """Apply an endpoint list, or changes to it, from discovery."""
         self.directory.apply(change)
         self.runner.on_endpoint_list(change.scope, change.endpoints)
 
     def on_tables_rejected(self, proxy: Any, names: Collection[str], now: int) -> None:
-        """A proxy rejects what was sent of these tables; what too many reject is rolled back."""
+        """Record that a proxy rejected these tables; roll back versions that too many proxies reject."""
         self.version_control.on_tables_rejected(proxy, names, now)
 
     def run_round(self, now: int) -> RoundOutput:
-        """Call the policy if there are events for it; return what may be sent to proxies now."""
+        """Run the policy if it has pending events; return the pushes that may be sent now."""
         self.runner.check_timeouts(now)
         for event in self.load_aggregator.pop_due(now):
             self.runner.enqueue(event)
@@ -233,47 +236,53 @@
         return output
 
     def table_content(self, number: int) -> TableContent:
-        """Return what a table holds as published; the same object until the table changes."""
+        """Return the published content of a table; the same object until the table changes."""
         return self.contents.content(number)
 
     def tables_of(self, proxy: Any) -> ProxyTables:
-        """Return what a proxy should hold; proxies with the same tables share the object."""
+        """Return the tables that a proxy should hold; proxies with the same tables share the object."""
         if not self.assignments.proxies[proxy].table_by_operation:
             return self._remaining_tables(proxy)
         self.tables_of_crashed_policy.pop(proxy, None)
         return self.contents.tables_of(proxy)
 
     def warming_endpoints(self, now: int) -> frozenset[str]:
-        """Return the ready endpoints that started so lately that they are not warm yet."""
+        """Return the ready endpoints that are still in their warm-up."""
         return self.directory.warming_up(now)
 
     def commanded_weights(self, name: str) -> dict[str, float]:
-        """Return the weights that the policy commands for a table; empty for one that is not known."""
+        """Return the weights that the policy commands for a table; empty if the table is unknown."""
         number = self.assignments.table_number(name)
         return {} if number is None else dict(self.assignments.tables[number].weights)
 
     def pin(
-        self, name: str, asked: str, duration_ns: int, with_admission: bool, cause: ChangeCause, now: int
+        self,
+        name: str,
+        version_spec: str,
+        duration_ns: int,
+        with_admission: bool,
+        cause: ChangeCause,
+        now: int,
     ) -> VersionChange:
-        """Hold a table at a version. Raises `UnknownVersionError` or `PinError`; nothing changes then."""
-        return self.version_control.pin(name, asked, duration_ns, with_admission, cause, now)
+        """Pin a table to a version. Raises `UnknownVersionError` or `PinError` without changing anything."""
+        return self.version_control.pin(name, version_spec, duration_ns, with_admission, cause, now)
 
     def release(self, name: str, now: int) -> None:
-        """End the pin of a table. Raises `PinError` if it is not pinned."""
+        """Unpin a table. Raises `PinError` if it is not pinned."""
         self.version_control.release(name, now)
 
     def explain(self, now: int) -> list[dict[str, Any]]:
-        """Return by table what was commanded, what may be published, and why they differ."""
+        """Return for each table what was commanded, what may be published, and why they differ."""
         return self.safety_review.explain(now) if self.safety_review is not None else []
 
     def before_policy_reset(self) -> None:
-        """Keep what proxies hold of a crashed policy, before its assignments are dropped."""
+        """Keep the tables that proxies hold, before the assignments of the crashed policy are dropped."""
         for proxy in self.proxies:
             if self.assignments.proxies[proxy].table_by_operation:
                 self.tables_of_crashed_policy[proxy] = self.tables_of(proxy)
 
     def after_policy_reset(self) -> None:
-        """Drop all other state of a crashed policy."""
+        """Replace all other state of the crashed policy."""
         self._reset()
 
     def _reconcile(self, now: int) -> None:
@@ -287,7 +296,7 @@
             self._apply(result, now)
 
     def _apply(self, result: RoundResult, now: int) -> None:
-        """Review what the policy commanded, and queue what may be sent."""
+        """Review the commands of a round, and queue the messages that may be sent."""
         if result.changed_entries_by_table or result.ejections_changed:
             self.contents.invalidate_proxy_tables()
         if self.reviewed_change_count != self.directory.change_count:
@@ -304,7 +313,7 @@
         self._enqueue(result.entries_by_proxy, now)
 
     def _withhold(self, result: RoundResult, now: int) -> None:
-        """Review the tables that changed; what the gate holds back is not sent."""
+        """Review the changed tables, and drop the messages for those that the safety gate holds back."""
         if self.safety_review is None:
             return
         self._review(result.changed_entries_by_table, now)
@@ -318,7 +327,7 @@
             self.on_acknowledged(proxy, self.nonces.withheld.pop(proxy), now)
 
     def _review(self, changed: Collection[int], now: int, urgent: Collection[int] = ()) -> None:
-        """Have all tables reviewed; queue those whose allowed content changed without a command."""
+        """Review all tables; queue those whose allowed content changed without a command."""
         assert self.safety_review is not None
         self.last_review_ns = now
         entries_by_proxy: dict[Any, int] = {}
@@ -333,7 +342,7 @@
             self.log_event(name, **fields)
 
     def _republish(self, number: int, cause: ChangeCause, now: int) -> None:
-        """Review and queue a table that changes without a command of the policy, ahead of what waits."""
+        """Review and queue a table that changes without a policy command; the review treats it as urgent."""
         self.contents.change_causes[number] = cause
         self.contents.invalidate(number)
         if self.safety_review is not None:
@@ -342,7 +351,7 @@
         self._enqueue(dict.fromkeys(self.assignments.proxies_by_table.get(number, ()), entries), now)
 
     def _enqueue(self, entries_by_proxy: dict[Any, int], now: int) -> None:
-        """Queue messages; frontends end the sessions of proxies whose message exceeds the queue."""
+        """Queue messages; frontends end the sessions of proxies whose message does not fit the queue."""
         overflowed = self.egress_queue.enqueue(entries_by_proxy, now)
         if overflowed:
             self.output.overflowed_proxies += overflowed
@@ -354,7 +363,7 @@
             )
 
     def _send(self, now: int) -> None:
-        """Hand the messages that the egress queue has sent to the frontends."""
+        """Add the messages that the egress queue releases now to the output."""
         for proxy, _ in self.egress_queue.pop_sent(now):
             if proxy not in self.proxies:
                 continue
@@ -364,7 +373,7 @@
             self.output.pushes.append(Push(proxy, nonce))
 
     def _remaining_tables(self, proxy: Any) -> ProxyTables:
-        """Return what a proxy holds of a crashed policy, without endpoints that were ejected since."""
+        """Return the tables kept from a crashed policy, without endpoints that were ejected since."""
         remaining = self.tables_of_crashed_policy.get(proxy)
         if remaining is None:
             return ProxyTables()
--- a/swiftchute/controller/egress_queue.py
+++ b/swiftchute/controller/egress_queue.py
@@ -1,8 +1,8 @@
-"""The queue of messages to proxies: bounded, sent at a fixed rate, one waiting message per proxy.
+"""A bounded queue of messages to proxies, sent at a fixed rate, with at most one waiting message per proxy.
 
-A message costs its overhead and its entries, and is sent once everything before it has been sent at the rate
-of the queue. Entries for a proxy that already waits are merged into its message, which keeps its place. No
-I/O: the time comes in with each call.
+A message costs its overhead plus its entries. Messages are sent in order, and each takes its cost divided by
+the rate. New entries for a proxy with a waiting message are merged into that message, which keeps its place.
+No I/O and no clock: the caller passes the time.
 """
 
 from collections import deque
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True)
 class EgressQueue:
-    """Waiting messages by proxy, in order."""
+    """Messages waiting to be sent, by proxy and in order."""
 
     rate_entries_per_s: float
     limit_entries: float
@@ -37,15 +37,15 @@
     quota_window_ns: int = DEFAULT_QUOTA_WINDOW_NS
     waiting: dict[Any, float] = field(default_factory=dict)  # entries by proxy
     queued_entries: float = 0.0
-    busy_until_ns: int = 0  # when the last message that was taken has been sent
-    sent_at_ns: dict[Any, deque[int]] = field(default_factory=dict)  # by proxy, within the window
+    busy_until_ns: int = 0  # when the transmission of the last popped message ends
+    send_times_ns: dict[Any, deque[int]] = field(default_factory=dict)  # by proxy, within the quota window
     counters: EgressCounters = field(default_factory=EgressCounters)
 
     def enqueue(self, entries_by_proxy: dict[Any, int], now: int) -> list[Any]:
-        """Queue the messages of a round; return the proxies whose message exceeds the limit.
+        """Queue the messages of a round; return the proxies whose message would exceed the limit.
 
-        Such a message is not queued. The caller ends the sessions of those proxies, so that what they hold is
-        known again when they reconnect.
+        Those messages are not queued. The caller must end the sessions of these proxies, so that the tables
+        they hold are known again once they reconnect.
         """
         rejected = []
         if not self.waiting:
@@ -63,76 +63,76 @@
         return rejected
 
     def pop_sent(self, now: int) -> list[tuple[Any, float]]:
-        """Remove and return the messages sent by now, in order, as (proxy, cost in entries)."""
+        """Remove and return the messages sent by `now`, in order, as (proxy, cost in entries)."""
         sent: list[tuple[Any, float]] = []
         for proxy in list(self.waiting):
             cost = self.waiting[proxy]
-            sent_at_ns = self._sent_at_ns(cost)
-            if sent_at_ns > now:
+            end_ns = self._transmission_end_ns(cost)
+            if end_ns > now:
                 break
             if not self._within_quota(proxy, now):
                 self.counters.quota_delays += 1
                 continue
-            self.busy_until_ns = sent_at_ns
+            self.busy_until_ns = end_ns
             self.drop(proxy)
             if self.message_quota:
-                self.sent_at_ns.setdefault(proxy, deque(maxlen=self.message_quota)).append(now)
+                self.send_times_ns.setdefault(proxy, deque(maxlen=self.message_quota)).append(now)
             self.counters.messages += 1
             self.counters.entries += cost
             sent.append((proxy, cost))
         return sent
 
     def utilization(self, proxies: Iterable[Any], drain_wait_ns: int, now: int) -> float:
-        """Return the used part (0 to 1) of the tightest limit.
+        """Return how much of the tightest limit is used, as a fraction from 0 to 1.
 
-        The limits are that on queued entries, that on what is sent within `drain_wait_ns` (a drain waits
-        behind it), and the message quotas of the proxies.
+        The limits are the maximum of queued entries, the entries that can be sent within `drain_wait_ns` (a
+        drain waits behind the queued entries), and the message quotas of the proxies.
         """
         used = self.queued_entries / min(
             self.limit_entries, self.rate_entries_per_s * drain_wait_ns / NS_PER_S
         )
         for proxy in proxies if self.message_quota else ():
-            sent = self.sent_at_ns.get(proxy)
+            sent = self.send_times_ns.get(proxy)
             if sent and not self._within_quota(proxy, now):
                 return 1.0
             used = max(used, len(sent) / self.message_quota if sent else 0.0)
         return used
 
     def drop(self, proxy: Any) -> None:
-        """Remove the message that waits for a proxy."""
+        """Remove the waiting message of a proxy."""
         self.queued_entries -= self.waiting.pop(proxy, 0.0)
         if not self.waiting:
             self.queued_entries = 0.0
 
     def drop_all(self) -> None:
-        """Remove all waiting messages; what was sent still counts for the message quotas."""
+        """Remove all waiting messages; messages already sent still count towards the quotas."""
         self.waiting, self.queued_entries = {}, 0.0
 
     def on_proxy_disconnected(self, proxy: Any) -> None:
-        """Drop what waits for a proxy; its quota is counted anew from its next connection on."""
+        """Drop the waiting message of a proxy, and reset its message quota."""
         self.drop(proxy)
-        self.sent_at_ns.pop(proxy, None)
+        self.send_times_ns.pop(proxy, None)
 
     @property
     def next_deadline_ns(self) -> int | None:
-        """When the next message can be sent, at the earliest; None without one."""
+        """The earliest time at which a message can be sent; None if no message waits."""
         times = []
         for proxy, cost in self.waiting.items():
-            sent_at_ns = self._sent_at_ns(cost)
-            earlier = self.sent_at_ns.get(proxy)
+            end_ns = self._transmission_end_ns(cost)
+            earlier = self.send_times_ns.get(proxy)
             if self.message_quota and earlier and len(earlier) >= self.message_quota:
-                times.append(max(sent_at_ns, earlier[0] + self.quota_window_ns + 1))
+                times.append(max(end_ns, earlier[0] + self.quota_window_ns + 1))
                 continue
-            times.append(sent_at_ns)
+            times.append(end_ns)
             break
         return min(times, default=None)
 
-    def _sent_at_ns(self, cost: float) -> int:
-        """Return when a message of this cost has been sent, if it is the next."""
+    def _transmission_end_ns(self, cost: float) -> int:
+        """Return when the transmission of a message of this cost ends, if it is the next one."""
         return self.busy_until_ns + int(cost / self.rate_entries_per_s * NS_PER_S)
 
     def _within_quota(self, proxy: Any, now: int) -> bool:
-        sent = self.sent_at_ns.get(proxy)
+        sent = self.send_times_ns.get(proxy)
         while sent and now - sent[0] > self.quota_window_ns:
             sent.popleft()
         return not self.message_quota or not sent or len(sent) < self.message_quota
--- a/swiftchute/controller/version_control.py
+++ b/swiftchute/controller/version_control.py
@@ -1,4 +1,4 @@
-"""Tables that are held at an earlier version: pins of operators, and rollbacks of what proxies reject."""
+"""Pins of tables to a version: by operators, and by rollbacks of versions that proxies reject."""
 
 from collections.abc import Callable, Collection
 from typing import Any
@@ -11,13 +11,13 @@
 from swiftchute.versions.table_log import ChangeCause, VersionChange
 
 NS_PER_S = 1_000_000_000
-SHORT_VERSION_LENGTH = 12  # hexadecimal digits of a version in logs and messages
+SHORT_VERSION_LENGTH = 12  # hexadecimal digits of a version, in logs and messages
 
 Republish = Callable[[int, ChangeCause, int], None]  # table number, cause, now
 
 
 def short_version(version: bytes) -> str:
-    """Return a version as logs and messages show it."""
+    """Return the abbreviated version that logs and messages show."""
     return version.hex()[:SHORT_VERSION_LENGTH]
 
 
@@ -31,40 +31,46 @@
         directory: EndpointDirectory,
         republish: Republish,
     ) -> None:
-        """Start without pins; `republish` sends a table that changed by a pin."""
+        """Start without pins; `republish` publishes a table that a pin or a release changed."""
         self.runner, self.directory, self.republish = runner, directory, republish
         self.pins, self.rejections, self.trials = versions.pins, versions.rejections, versions.trials
         self.history, self.rollback_duration_ns = versions.history, versions.rollback_duration_ns
 
     def pinned_weights(self, number: int) -> dict[str, float] | None:
-        """Return the weights that a table is pinned to, of ready endpoints; None if it is not pinned."""
+        """Return the pinned weights of a table's ready endpoints; None if it is not pinned."""
         if not self.pins.by_table:
             return None
         return self.pins.weights(self.runner.assignments.table_name(number), self.directory.ready())
 
     def wanted_weights(self, number: int) -> dict[str, float]:
-        """Return the weights that a table should have: the pinned ones, or those commanded."""
+        """Return the weights that a table should have: pinned if there is a pin, else commanded."""
         pinned = self.pinned_weights(number)
         return self.runner.assignments.usable_weights(number) if pinned is None else pinned
 
     def pin_reason(self, name: str) -> str:
-        """Return why a pinned table differs from what the policy commands; empty if it is not pinned."""
+        """Return why a pinned table differs from the commanded one; empty if it is not pinned."""
         pin = self.pins.by_table.get(name)
         return f"held at {short_version(pin.change.version)} ({pin.cause})" if pin else ""
 
     def pin(
-        self, name: str, asked: str, duration_ns: int, with_admission: bool, cause: ChangeCause, now: int
+        self,
+        name: str,
+        version_spec: str,
+        duration_ns: int,
+        with_admission: bool,
+        cause: ChangeCause,
+        now: int,
     ) -> VersionChange:
-        """Hold a table at the version that `asked` names.
+        """Pin a table to the version that `version_spec` selects; see `VersionHistory.find`.
 
-        Raises `UnknownVersionError` or `PinError` if that cannot be done; nothing changes then.
+        Raises `UnknownVersionError` or `PinError` without changing anything.
         """
         if not MIN_PIN_NS <= duration_ns <= MAX_PIN_NS:
             raise PinError(
                 f"{duration_ns / NS_PER_S:g} s: a pin lasts {MIN_PIN_NS // NS_PER_S}"
                 f" to {MAX_PIN_NS // NS_PER_S} s"
             )
-        number, change = self._number_in_use(name), self.history.find(name, asked)
+        number, change = self._number_in_use(name), self.history.find(name, version_spec)
         content = self.history.content(change.version)
         if content is None:
             raise PinError(f"version {short_version(change.version)} is no longer kept")
@@ -83,17 +89,17 @@
         return change
 
     def release(self, name: str, now: int) -> None:
-        """End a pin. Raises `PinError` if the table is not pinned."""
+        """Unpin a table. Raises `PinError` if it is not pinned."""
         self.pins.release(name)
         self._on_released(name, "released", now)
 
     def end_expired_pins(self, now: int) -> None:
-        """End pins whose time is over, or none of whose endpoints is ready."""
+        """Release pins that have expired, and those without any ready endpoint."""
         for name, reason in self.pins.take_ended(self.directory.ready(), now) if self.pins.by_table else ():
             self._on_released(name, reason, now)
 
     def on_tables_rejected(self, proxy: Any, names: Collection[str], now: int) -> None:
-        """A proxy rejects what was sent of these tables; roll back what too many reject."""
+        """Record that a proxy rejected these tables; roll back versions that too many proxies reject."""
         assignments = self.runner.assignments
         for name in names:
             newest = self.history.newest_change(name)
@@ -109,13 +115,13 @@
                 self.roll_back(name, newest.parent.hex(), True, now)
 
     def roll_back(self, name: str, version: str, with_admission: bool, now: int) -> bool:
-        """Hold a table at an earlier version without an operator's order; return whether that was done.
+        """Pin a table to an earlier version without an operator's request; return whether it was pinned.
 
-        Rollbacks are limited in number, as the fault may be with the proxies.
+        The number of rollbacks is limited, since the cause may lie in the proxies and not in the tables.
         """
         if not self.rejections.reserve_rollback(now):
             window_s = self.rejections.window_ns / NS_PER_S
-            cause = f"{self.rejections.max_rollbacks} times within {window_s:g} s is the most"
+            cause = f"limit of {self.rejections.max_rollbacks} rollbacks within {window_s:g} s is reached"
             self.runner.log_event("rollback refused", table=name, cause=cause)
             return False
         try:
@@ -126,7 +132,7 @@
         return True
 
     def _number_in_use(self, name: str) -> int:
-        """Return the number of a table that proxies are assigned to. Raises `PinError`."""
+        """Return the number of a table; raises `PinError` if no proxy is assigned to it."""
         assignments = self.runner.assignments
         number = assignments.table_number(name)
         if number is not None and assignments.proxies_by_table.get(number):
--- a/tests/controller/test_safety_review.py
+++ b/tests/controller/test_safety_review.py
@@ -105,7 +105,7 @@
     for k in range(20):
         now += NS_PER_S // 4
         command(controller, policy, now, ("set_weight", 1, "a", 1.0 + k % 2), ("request_ack", k, False))
-    used = len(controller.egress_queue.sent_at_ns["p"])
+    used = len(controller.egress_queue.send_times_ns["p"])
     assert used <= 0.8 * SETTINGS.message_quota
     controller.on_list_update(list_change("b", scope="changes", state="draining"))
     now += NS_PER_S // 4
@@ -117,8 +117,8 @@
 def test_a_withheld_message_is_not_sent_and_its_nonce_is_answered_by_what_the_proxy_holds(busy_controller):
     """Left open, the nonce would reserve egress budget in the policy, and delay assignments."""
     controller, policy = busy_controller
-    sent_at_ns = controller.egress_queue.sent_at_ns["p"]
-    sent_at_ns.extend([1001 * NS_PER_S] * 9)  # nearly the whole message quota
+    send_times_ns = controller.egress_queue.send_times_ns["p"]
+    send_times_ns.extend([1001 * NS_PER_S] * 9)  # nearly the whole message quota
     before = controller.tables_of("p")
     pushes = command(
         controller,
