--- a/swiftchute/controller/endpoint_directory.py
+++ b/swiftchute/controller/endpoint_directory.py
@@ -1,4 +1,4 @@
-"""What discovery says of each endpoint, or last said of those that it removed."""
+"""The last known status of each endpoint, including endpoints that discovery has removed."""
 
 from collections.abc import Collection
 
@@ -6,25 +6,25 @@
 from swiftchute.discovery.endpoint_list import EndpointListChange
 from swiftchute.safety.proposal import EndpointStatus
 
-MAX_ENDPOINTS = 200_000  # removed ones among them; past it those are forgotten
+MAX_ENDPOINTS = 200_000  # including removed ones, which are forgotten beyond it
 
 
 class EndpointDirectory:
-    """The status of all endpoints that discovery ever named, within `MAX_ENDPOINTS`."""
+    """The status of all endpoints that discovery has ever listed, up to `MAX_ENDPOINTS`."""
 
     def __init__(self, max_warmup_ns: int, removal_is_binding: bool) -> None:
-        """Start without endpoints; the arguments are those of `Settings`."""
+        """Start without endpoints; the arguments are the fields of `Settings` with these names."""
         self.max_warmup_ns, self.removal_is_binding = max_warmup_ns, removal_is_binding
         self.statuses: dict[str, EndpointStatus] = {}
-        self.unavailable: frozenset[str] = frozenset()  # must not be used, whatever tables say
+        self.unavailable: frozenset[str] = frozenset()  # must not be used, whatever tables hold
         self.change_count = 0
 
     def apply(self, change: EndpointListChange) -> None:
-        """Take over a change of the endpoint list."""
+        """Apply a change of the endpoint list."""
         self.change_count += 1
         unavailable = set(self.unavailable)
         for record in change.endpoints:
-            self._remember(record)
+            self._store_status(record)
             if self._is_unavailable(record):
                 unavailable.add(record.endpoint)
             else:
@@ -38,7 +38,7 @@
         return frozenset(name for name, status in self.statuses.items() if status.state == "ready")
 
     def start_times(self, ejected: Collection[str]) -> dict[str, int]:
-        """Return when each endpoint started that is ready and not ejected."""
+        """Return the start time of each endpoint that is ready and not ejected."""
         return {
             name: status.started_ns
             for name, status in self.statuses.items()
@@ -46,24 +46,24 @@
         }
 
     def warming_up(self, now: int) -> frozenset[str]:
-        """Return the ready endpoints that started less than the longest warm-up ago."""
-        since = now - self.max_warmup_ns
+        """Return the ready endpoints that started less than `max_warmup_ns` ago."""
+        earliest_start_ns = now - self.max_warmup_ns
         return frozenset(
             name
             for name, status in self.statuses.items()
-            if status.started_ns > since and status.started_ns and status.state == "ready"
+            if status.started_ns > earliest_start_ns and status.started_ns and status.state == "ready"
         )
 
     def zone_of(self, endpoint: str) -> str:
-        """Return the zone of an endpoint, or an empty string if it is not known."""
+        """Return the zone of an endpoint, or an empty string if it is unknown."""
         status = self.statuses.get(endpoint)
         return status.zone if status is not None else ""
 
-    def _remember(self, record: EndpointRecord) -> None:
+    def _store_status(self, record: EndpointRecord) -> None:
         self.statuses[record.endpoint] = EndpointStatus(
             record.zone, record.state, record.started_ns, record.weight, record.kind
         )
-        if len(self.statuses) > MAX_ENDPOINTS:  # one that is not known is as good as removed
+        if len(self.statuses) > MAX_ENDPOINTS:  # an unknown endpoint is treated like a removed one
             self.statuses = {
                 name: status
                 for name, status in self.statuses.items()
--- a/swiftchute/controller/errors.py
+++ b/swiftchute/controller/errors.py
@@ -8,4 +8,4 @@
 
 
 class CommandError(ControllerError):
-    """The policy issued a command that cannot be carried out; the text names the field and its value."""
+    """The policy issued an invalid command; the message names the field and its value."""
--- a/swiftchute/controller/load_aggregation.py
+++ b/swiftchute/controller/load_aggregation.py
@@ -4,7 +4,7 @@
     aggregator.add(proxy, zone, report, known_endpoints, now)
     events = aggregator.pop_due(now)
 
-What may not be delivered yet adds up and follows, the oldest first.
+Totals over the rate limit keep adding up and are delivered later, oldest first.
 """
 
 from collections import OrderedDict
@@ -15,12 +15,12 @@
 from swiftchute.api.events import DemandReport, EndpointLoadReport, Event
 
 NS_PER_S = 1_000_000_000
-MAX_PENDING_KEYS = 100_000  # past it, entries with a new key are dropped and counted
-UNKNOWN_LATENCY_NS = 1  # if no latency was measured at all: 0 would look infinitely fast
+MAX_PENDING_KEYS = 100_000  # beyond it, entries with a new key are dropped and counted
+UNKNOWN_LATENCY_NS = 1  # without any measured latency; 0 would look infinitely fast to the policy
 
 
 class DemandEntry(NamedTuple):
-    """Requests for one operation that arrived at a proxy."""
+    """Requests for one operation received by a proxy."""
 
     operation: str
     requests: int
@@ -28,18 +28,18 @@
 
 
 class EndpointEntry(NamedTuple):
-    """Attempts of a proxy at one endpoint."""
+    """Attempts of a proxy to reach one endpoint."""
 
     endpoint: str
     attempts: int
     failures: int
-    latency_sum_ns: int  # of the successful attempts that were timed
+    latency_sum_ns: int  # of the successful attempts with a measured latency
     latency_count: int
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What one proxy counted within a window of time."""
+    """The counts of one proxy over a time window."""
 
     window_ns: int
     demand: tuple[DemandEntry, ...]
@@ -48,13 +48,13 @@
 
 class _Key(NamedTuple):
     event_type: type[Event]  # `DemandReport` or `EndpointLoadReport`
-    source: Any  # the proxy, or the zone of the proxies
+    source: Any  # the proxy for demand, the zone of the proxies for endpoint load
     name: str  # of the operation, or of the endpoint
 
 
 @dataclass(slots=True)
 class _Totals:
-    began_ns: int
+    start_ns: int
     requests: int = 0
     failures: int = 0
     latency_sum_ns: int = 0
@@ -62,10 +62,10 @@
 
 
 class LoadAggregator:
-    """Totals that wait to be delivered, in the order in which they began."""
+    """Totals that wait for delivery, in the order in which they were started."""
 
     def __init__(self, rate_entries_per_s: float, interval_ns: int) -> None:
-        """Deliver so many entries per second at most, once per interval."""
+        """Deliver at most `rate_entries_per_s`, once per interval."""
         self.rate_entries_per_s, self.interval_ns = rate_entries_per_s, interval_ns
         self.pending: OrderedDict[_Key, _Totals] = OrderedDict()
         self.allowance_entries, self.refilled_at_ns = rate_entries_per_s, 0
@@ -75,22 +75,22 @@
     def add(
         self, proxy: Any, zone: str, report: LoadReport, known_endpoints: Container[str], now: int
     ) -> None:
-        """Add the report of a proxy; entries of endpoints that are not known are ignored."""
-        began_ns = now - report.window_ns
+        """Add the report of a proxy; entries of unknown endpoints are ignored."""
+        start_ns = now - report.window_ns
         for operation, requests, failures in report.demand:
-            self._add(_Key(DemandReport, proxy, operation), began_ns, requests, failures)
+            self._add(_Key(DemandReport, proxy, operation), start_ns, requests, failures)
         for endpoint, attempts, failures, latency_sum_ns, latency_count in report.endpoints:
-            if endpoint in known_endpoints:  # others would use up the allowance of known ones
+            if endpoint in known_endpoints:  # unknown ones would use up the allowance
                 key = _Key(EndpointLoadReport, zone, endpoint)
-                self._add(key, began_ns, attempts, failures, latency_sum_ns, latency_count)
+                self._add(key, start_ns, attempts, failures, latency_sum_ns, latency_count)
 
     def on_proxy_disconnected(self, proxy: Any) -> None:
-        """Drop the demand of a proxy that is no longer connected."""
+        """Drop the pending demand totals of a disconnected proxy."""
         for key in [key for key in self.pending if key.event_type is DemandReport and key.source == proxy]:
             del self.pending[key]
 
     def pop_due(self, now: int) -> list[Event]:
-        """Return the events that may be delivered now, once per interval."""
+        """Return the events that may be delivered now; empty until the interval has passed."""
         if now < self.next_delivery_ns:
             return []
         self.next_delivery_ns = now + self.interval_ns
@@ -105,13 +105,13 @@
 
     @property
     def next_deadline_ns(self) -> int | None:
-        """When the next totals may be delivered, if any wait."""
+        """When the next totals may be delivered; None if there are none."""
         return self.next_delivery_ns if self.pending else None
 
     def _add(
         self,
         key: _Key,
-        began_ns: int,
+        start_ns: int,
         requests: int,
         failures: int,
         latency_sum_ns: int = 0,
@@ -122,30 +122,30 @@
             if len(self.pending) >= MAX_PENDING_KEYS:
                 self.dropped += 1
                 return
-            totals = self.pending[key] = _Totals(began_ns)
-        totals.began_ns = min(totals.began_ns, began_ns)
+            totals = self.pending[key] = _Totals(start_ns)
+        totals.start_ns = min(totals.start_ns, start_ns)
         totals.requests += requests
         totals.failures += failures
         totals.latency_sum_ns += latency_sum_ns
         totals.latency_count += latency_count
 
     def _refill(self, now: int) -> None:
-        """Grow the allowance by the time that passed, to that of one interval or second at most."""
+        """Refill the allowance for the elapsed time, up to that of one interval or second, the longer one."""
         limit = self.rate_entries_per_s * max(self.interval_ns, NS_PER_S) / NS_PER_S
         gained = self.rate_entries_per_s * (now - self.refilled_at_ns) / NS_PER_S
         self.allowance_entries = min(limit, self.allowance_entries + gained)
         self.refilled_at_ns = now
 
     def _mean_latency_ns(self) -> int:
-        """Return the mean latency at all endpoints that wait."""
+        """Return the mean latency over all pending endpoint totals."""
         totals = [totals for key, totals in self.pending.items() if key.event_type is EndpointLoadReport]
         count = sum(each.latency_count for each in totals)
         return sum(each.latency_sum_ns for each in totals) // count if count else UNKNOWN_LATENCY_NS
 
 
 def _event(key: _Key, totals: _Totals, mean_latency_ns: int, now: int) -> Event:
-    """Return the event of totals; endpoints without a measured latency get the mean of the others."""
-    window_ns = max(now - totals.began_ns, 1)
+    """Convert totals to an event; endpoints without a measured latency get the mean of the others."""
+    window_ns = max(now - totals.start_ns, 1)
     if key.event_type is DemandReport:
         return DemandReport(key.source, key.name, totals.requests, totals.failures, window_ns)
     latency_ns = totals.latency_sum_ns // totals.latency_count if totals.latency_count else mean_latency_ns
--- a/swiftchute/controller/log_events.py
+++ b/swiftchute/controller/log_events.py
@@ -1,19 +1,19 @@
-"""Events for the log: collected without I/O, written by the process that runs the controller."""
+"""Log events, collected without I/O; the process that runs the controller writes them."""
 
 from typing import Any, NamedTuple
 
-MAX_WAITING_EVENTS = 2000  # past it events are dropped and counted
+MAX_WAITING_EVENTS = 2000  # further events are dropped and counted
 
 
 class LogEvent(NamedTuple):
-    """One log record: its name and its fields."""
+    """A structured log record."""
 
     name: str
     fields: dict[str, Any]
 
 
 class EventLog:
-    """Log events that wait to be written, in order."""
+    """Log events waiting to be written, in order."""
 
     def __init__(self) -> None:
         """Start without events."""
@@ -21,13 +21,13 @@
         self.dropped = 0
 
     def add(self, name: str, /, **fields: Any) -> None:
-        """Add an event; past `MAX_WAITING_EVENTS` it is dropped and counted."""
+        """Add an event; beyond `MAX_WAITING_EVENTS` it is dropped and counted."""
         if len(self.waiting) >= MAX_WAITING_EVENTS:
             self.dropped += 1
         else:
             self.waiting.append(LogEvent(name, fields))
 
     def drain(self) -> list[LogEvent]:
-        """Return the events since the last call."""
+        """Remove and return the waiting events."""
         drained, self.waiting = self.waiting, []
         return drained
--- a/swiftchute/controller/policy_runner.py
+++ b/swiftchute/controller/policy_runner.py
@@ -1,4 +1,4 @@
-"""Runs the policy in rounds and restarts it when it crashes. No I/O; the time comes in with each call.
+"""Runs the policy in rounds and restarts it after a crash. No I/O and no clock: the caller passes the time.
 
     runner = PolicyRunner(settings, seed, Reconciler)
     runner.on_proxy_connected(proxy, zone, request_rate, fresh)
@@ -6,8 +6,8 @@
     result = runner.run_round(now)      # after any event, and at `runner.next_deadline_ns`
     runner.assignments                  # tables, assignments and ejections as commanded
 
-All events that came in since the last round are handed to the policy in one call. A policy that raises an
-exception is replaced by a new one, which is given the last endpoint list and the connected proxies.
+The policy receives all events since the last round in one call. A policy that raises an exception is replaced
+by a new one, which receives the last endpoint list and the connected proxies.
 """
 
 import random
@@ -32,26 +32,26 @@
 from swiftchute.controller.log_events import EventLog, LogEvent
 
 NS_PER_S = 1_000_000_000
-IDLE_ROUND_INTERVAL_NS = 1 * NS_PER_S  # a round at least so often
-EVENT_LOOP_STALL_NS = 2 * NS_PER_S  # a round that comes so much later than that is logged
-MAX_CRASHES_IN_WINDOW = 5  # past it the next restart is delayed
+IDLE_ROUND_INTERVAL_NS = 1 * NS_PER_S  # longest time between two rounds
+EVENT_LOOP_STALL_NS = 2 * NS_PER_S  # a round that is late by more than this is logged as a stall
+MAX_CRASHES_IN_WINDOW = 5  # one more crash within the window delays the restart
 CRASH_WINDOW_NS = 60 * NS_PER_S
-MAX_RESTART_DELAY_NS = 10 * NS_PER_S  # half of it at least, at random
-MAX_PENDING_EVENTS = 200_000  # load reports past it are dropped; connections and endpoint lists never are
+MAX_RESTART_DELAY_NS = 10 * NS_PER_S  # the delay is random, from half of this on
+MAX_PENDING_EVENTS = 200_000  # beyond it reports and acknowledgements are dropped, other events never
 
 PolicyFactory = Callable[[Settings, int], Policy]
 
 
 @dataclass(slots=True)
 class ConnectedProxy:
-    """A proxy that takes the messages of this instance."""
+    """A proxy that receives messages from this instance."""
 
     zone: str
     request_rate: float
 
 
 class PendingTimer(NamedTuple):
-    """A timer that the policy started."""
+    """A timer started by the policy."""
 
     deadline_ns: int
     timer_id: int
@@ -67,17 +67,17 @@
 
 
 class CrashObserver(Protocol):
-    """Is called when the policy crashed and its assignments are replaced."""
+    """Called when the policy has crashed, before and after its assignments are replaced."""
 
     def before_policy_reset(self) -> None:
-        """The assignments of the crashed policy are about to be dropped."""
+        """Called before the assignments of the crashed policy are dropped."""
 
     def after_policy_reset(self) -> None:
-        """The assignments are empty; connected proxies are added next."""
+        """Called with empty assignments, before the connected proxies are added."""
 
 
 class PolicyRunner:
-    """The policy of one instance, its pending events and timers, and what it commanded."""
+    """The policy of one instance, its pending events and timers, and its commanded assignments."""
 
     def __init__(
         self,
@@ -88,9 +88,9 @@
         ignore_invalid_weights: bool = False,
         crash_observer: CrashObserver | None = None,
     ) -> None:
-        """Start the first policy; `policy_factory` also makes those that replace a crashed one.
+        """Create the first policy; `policy_factory` also creates the replacements after crashes.
 
-        `ignore_invalid_weights` is as in `Assignments`.
+        `ignore_invalid_weights` has the same meaning as in `Assignments`.
         """
         self.settings, self.policy_factory, self.random = settings, policy_factory, random.Random(seed)
         self.ignore_invalid_weights, self.crash_observer = ignore_invalid_weights, crash_observer
@@ -100,8 +100,8 @@
         self.pending_events: list[Event] = []
         self.timers: list[PendingTimer] = []
         self.crash_times: deque[int] = deque(maxlen=MAX_CRASHES_IN_WINDOW)
-        self.restart_at_ns: int | None = None  # after a crash, until the policy is started again
-        self.queued_entries = 0  # in the channel, by a frontend that counts what it writes
+        self.restart_at_ns: int | None = None  # set from a crash until the restart
+        self.queued_entries = 0  # in the channel; set by a frontend that counts what it writes
         self.last_round_ns = now
         self.counters = RunnerCounters()
         self.event_log = EventLog()
@@ -109,7 +109,7 @@
 
     @property
     def counts(self) -> dict[str, int]:
-        """Totals since the start, by the names they have in the log."""
+        """Totals since the start, keyed by their names in the log."""
         return {
             "rounds": self.counters.rounds,
             "faults": self.counters.crashes,
@@ -118,7 +118,7 @@
         }
 
     def log_event(self, name: str, /, **fields: Any) -> None:
-        """Add an event for the log."""
+        """Add a log event."""
         self.event_log.add(name, **fields)
 
     def drain_log_events(self) -> list[LogEvent]:
@@ -126,13 +126,13 @@
         return self.event_log.drain()
 
     def on_proxy_connected(self, proxy: Any, zone: str, request_rate: float, fresh: bool) -> None:
-        """A proxy takes the messages of this instance from now on; it is unassigned."""
+        """Register a proxy that connected to this instance; it has no assignments yet."""
         self.proxies[proxy] = ConnectedProxy(zone, request_rate)
         self.assignments.on_proxy_connected(proxy, zone)
         self.pending_events.append(ProxyConnected(proxy, zone, request_rate, fresh))
 
     def on_proxy_disconnected(self, proxy: Any) -> bool:
-        """The session of a proxy ended, queued messages are lost; return False if it was not connected."""
+        """Remove a proxy; return False if it was not connected."""
         if self.proxies.pop(proxy, None) is None:
             return False
         self.assignments.on_proxy_disconnected(proxy)
@@ -140,7 +140,7 @@
         return True
 
     def on_endpoint_list(self, scope: ListScope | str, records: Iterable[EndpointRecord]) -> None:
-        """Hand an endpoint list on to the policy, and keep it for the next start of one."""
+        """Queue an endpoint list for the policy, and store it for the next restart."""
         records = list(records)
         if scope in (ListScope.SNAPSHOT, ListScope.CACHED):
             self.endpoint_records = {}
@@ -152,7 +152,7 @@
         self.pending_events.append(EndpointListUpdate(scope, records))
 
     def enqueue(self, event: Event) -> None:
-        """Add a report or an acknowledgement; past `MAX_PENDING_EVENTS` it is dropped and counted."""
+        """Queue a report or an acknowledgement; beyond `MAX_PENDING_EVENTS` it is dropped and counted."""
         if len(self.pending_events) >= MAX_PENDING_EVENTS:
             self.counters.events_dropped += 1
         else:
@@ -160,25 +160,25 @@
 
     @property
     def next_deadline_ns(self) -> int:
-        """When the next round is due, if no event comes in before."""
+        """When the next round is due if no event arrives earlier."""
         deadlines = [self.last_round_ns + IDLE_ROUND_INTERVAL_NS, *(t.deadline_ns for t in self.timers)]
         return min(deadlines if self.restart_at_ns is None else [*deadlines, self.restart_at_ns])
 
     def run_round(self, now: int) -> RoundResult | None:
-        """Call the policy if there are events for it; return what it commanded, or None."""
+        """Run the policy if it has pending events; return its commands, None if it did not run or crashed."""
         self.check_timeouts(now)
         return self.reconcile(now) if self.has_work else None
 
     @property
     def has_work(self) -> bool:
-        """Whether there are events, and a policy to handle them."""
+        """Whether there are pending events, and a running policy to handle them."""
         return bool(self.pending_events) and self.policy is not None
 
     def check_timeouts(self, now: int) -> None:
-        """Report a stall, fire the timers that are due, restart the policy if it is time."""
+        """Log a stall of the event loop, fire due timers, and restart the policy if its delay is over."""
         if now - self.last_round_ns > IDLE_ROUND_INTERVAL_NS + EVENT_LOOP_STALL_NS:
-            # Decisions of before the stall wait in the egress queue at most, and a push is of the current
-            # state, so nothing outdated is sent. Drains that came meanwhile are in this round's events.
+            # Nothing outdated is sent: decisions from before the stall wait in the egress queue at most, and
+            # a push carries the current state. Drains that arrived meanwhile are among this round's events.
             self.log_event("event loop stalled", seconds=round((now - self.last_round_ns) / NS_PER_S, 1))
         self.last_round_ns = now
         due = [timer for timer in self.timers if timer.deadline_ns <= now]
@@ -189,15 +189,15 @@
             self._restart_policy()
 
     def reconcile(self, now: int) -> RoundResult | None:
-        """Hand the pending events to the policy; return what it commanded, or None if it crashed."""
+        """Pass the pending events to the policy; return its commands, or None if it crashed."""
         assert self.policy is not None
         events, self.pending_events = self.pending_events, []
-        if self.queued_entries:  # the last event, as it is compared with what the policy counts by then
+        if self.queued_entries:  # last: the policy compares it with its own count after the other events
             events.append(EgressQueueObserved(self.queued_entries))
         self.counters.rounds += 1
         try:
             self.policy.reconcile(now, events, self.assignments)
-        except Exception as error:  # a crash of the policy must not end the process
+        except Exception as error:  # a policy crash must not end the process
             self._on_policy_crash(error, len(events), now)
             return None
         result = self.assignments.finish_round()
@@ -207,13 +207,13 @@
         return result
 
     def _on_policy_crash(self, error: Exception, event_count: int, now: int) -> None:
-        """Drop the policy and its assignments; proxies keep their tables until the next one has started."""
+        """Drop the policy and its assignments; proxies keep their tables until the policy is restarted."""
         self.counters.crashes += 1
-        place = traceback.extract_tb(error.__traceback__)[-1]
+        frame = traceback.extract_tb(error.__traceback__)[-1]
         self.log_event(
             "policy crashed",
             error=f"{type(error).__name__}: {error}",
-            at=f"{place.name}:{place.lineno}",
+            at=f"{frame.name}:{frame.lineno}",
             calls=event_count,
             faults=self.counters.crashes,
         )
@@ -221,7 +221,7 @@
             self.crash_observer.before_policy_reset()
         self.policy, self.timers, self.restart_at_ns = None, [], now
         if len(self.crash_times) == MAX_CRASHES_IN_WINDOW and now - self.crash_times[0] < CRASH_WINDOW_NS:
-            # a crash that repeats at once would keep the process busy and flood the log
+            # immediate restarts of a policy that keeps crashing would use up the CPU and flood the log
             self.restart_at_ns = now + int(MAX_RESTART_DELAY_NS * self.random.uniform(0.5, 1.0))
             delay_s = round((self.restart_at_ns - now) / NS_PER_S, 1)
             self.log_event("policy restart delayed", seconds=delay_s, faults=MAX_CRASHES_IN_WINDOW)
--- a/swiftchute/controller/safety_review.py
+++ b/swiftchute/controller/safety_review.py
@@ -1,4 +1,4 @@
-"""Presents all tables to the publish gate, with what is known of endpoints, proxies and traffic."""
+"""Submits all tables to the publish gate, with the current data on endpoints, proxies and traffic."""
 
 from collections.abc import Collection
 from typing import Any
@@ -16,7 +16,7 @@
 
 
 class SafetyReview:
-    """Reviews of all tables under one policy incarnation."""
+    """Reviews all tables of one policy incarnation."""
 
     def __init__(
         self,
@@ -28,15 +28,15 @@
         deliveries: DeliveryTracker,
         version_control: VersionControl,
     ) -> None:
-        """`gate` judges; the rest is what it is told of."""
+        """Create reviews by `gate`; the other arguments supply its input."""
         self.gate, self.observed_traffic, self.egress_queue = gate, observed_traffic, egress_queue
         self.runner, self.directory = runner, directory
         self.deliveries, self.version_control = deliveries, version_control
 
     def is_due(self, last_review_ns: int, now: int) -> bool:
-        """Return whether tables must be reviewed although the policy commanded nothing.
+        """Return whether tables must be reviewed even without policy commands.
 
-        Warm-up, demand and the endpoint list change without commands: a drain that the policy passes over may
+        Warm-up, demand and the endpoint list change without commands; a drain that the policy ignores must
         not wait for the next idle round.
         """
         deadline = self.gate.due
@@ -47,9 +47,9 @@
         )
 
     def review(self, changed: Collection[int], now: int, urgent: Collection[int] = ()) -> list[int]:
-        """Judge all tables; return those whose allowed content changed without a command.
+        """Review all tables; return those whose allowed content changed without a command.
 
-        `changed` are the tables that commands changed, `urgent` those of them that need not wait.
+        `changed` are the tables changed by commands, `urgent` those of them that must not be delayed.
         """
         statuses = self.directory.statuses
         is_warm = self.gate.warm_check(statuses, now)
@@ -67,18 +67,18 @@
         )
 
     def withhold(self, result: RoundResult, nonces: NonceTracker) -> None:
-        """Remove the entries of tables that the gate holds back from the result of a round."""
+        """Remove the entries of tables held back by the gate from the result of a round."""
         asks_for_ack = result.nonce is not None
         for number in self.gate.held_tables & result.changed_entries_by_table.keys():
             for proxy in self.runner.assignments.proxies_by_table.get(number, ()):
                 entries = result.entries_by_proxy.get(proxy, 0) - result.changed_entries_by_table[number]
-                if entries > asks_for_ack:  # something is left besides the nonce
+                if entries > asks_for_ack:  # entries other than the nonce remain
                     result.entries_by_proxy[proxy] = entries
                 elif result.entries_by_proxy.pop(proxy, None) is not None and result.nonce is not None:
                     nonces.withhold(proxy, result.nonce)
 
     def explain(self, now: int) -> list[dict[str, Any]]:
-        """Return by table with proxies what was commanded, what may be published, and why they differ."""
+        """Return for each table in use what was commanded, what may be published, and why they differ."""
         assignments, operations = self.runner.assignments, self.runner.settings.operations
         rows = []
         for number in sorted(assignments.tables):
--- a/swiftchute/controller/table_contents.py
+++ b/swiftchute/controller/table_contents.py
@@ -1,7 +1,7 @@
-"""What each table holds as published, and which tables a proxy should hold.
+"""The published content of each table, and the tables that each proxy should hold.
 
-A published table is what the policy commanded, within what the safety rules allow, or the version that it is
-pinned to. Each change of a table is recorded in the version history.
+The published content is what the policy commanded, restricted to what the safety rules allow, or the version
+that the table is pinned to. Each change of a table is recorded in the version history.
 """
 
 from collections.abc import Mapping
@@ -27,36 +27,36 @@
 
 @dataclass(frozen=True)
 class TableContent:
-    """What a published table holds."""
+    """The published content of a table."""
 
     entries: tuple[TableEntry, ...]  # sorted by endpoint
-    admission: tuple[Admission, ...]  # by the index of the operation
+    admission: tuple[Admission, ...]  # by operation index
     version: bytes = field(default=b"", compare=False)  # digest of its canonical encoding
 
 
 @dataclass(frozen=True)
 class ProxyTables:
-    """What a proxy should hold."""
+    """The tables that a proxy should hold."""
 
-    tables_by_operation: tuple[tuple[str, str], ...] = ()  # names of operation and table
+    tables_by_operation: tuple[tuple[str, str], ...] = ()  # (operation name, table name)
     contents: dict[str, TableContent] = field(default_factory=dict, compare=False)  # by table name
-    baseline_tables: frozenset[str] = frozenset()  # tables whose newest content is in a canary elsewhere
+    baseline_tables: frozenset[str] = frozenset()  # tables whose newest content only other proxies have
 
 
 class CanaryView(Protocol):
-    """What `TableContents` asks of canaries."""
+    """The part of `CanaryRollout` that `TableContents` uses."""
 
     baselines: dict[int, TableContent]
 
     def on_content_changed(self, number: int, old: TableContent | None, new: TableContent) -> None:
-        """A table has a new content."""
+        """Process a change of a table's content."""
 
     def holds_baseline(self, number: int, proxy: Any) -> bool:
-        """Return whether a proxy holds the content of before a canary."""
+        """Return whether a proxy holds the baseline of a table that has a canary."""
 
 
 def sorted_entries(weights: Mapping[str, float], directory: EndpointDirectory) -> tuple[TableEntry, ...]:
-    """Return weights by endpoint as the entries of a table."""
+    """Return the table entries for weights by endpoint, sorted by endpoint."""
     return tuple(
         TableEntry(endpoint, directory.zone_of(endpoint), weight)
         for endpoint, weight in sorted(weights.items())
@@ -66,14 +66,14 @@
 def encode_table(
     entries: tuple[TableEntry, ...], admission: tuple[Admission, ...], runner: PolicyRunner
 ) -> encoding.Table:
-    """Return a table in the form that the version history keeps."""
+    """Return a table in the form stored in the version history."""
     operations = runner.settings.operations
     rows = [(operation.name, *row) for operation, row in zip(operations, admission, strict=True)]
     return encoding.make_table(rows, entries)
 
 
 class TableContents:
-    """Published contents under one policy incarnation, made when they are asked for."""
+    """Published contents of the tables of one policy incarnation, computed on demand and cached."""
 
     def __init__(
         self,
@@ -83,25 +83,25 @@
         canaries: CanaryView,
         publish_gate: PublishGate | None,
     ) -> None:
-        """Start without contents."""
+        """Start with an empty cache."""
         self.runner, self.directory = runner, directory
         self.history, self.pins = versions.history, versions.pins
         self.canaries, self.publish_gate = canaries, publish_gate
-        self.change_causes: dict[int, ChangeCause] = {}  # by table, for its next version
-        self._contents: dict[int, tuple[int, TableContent]] = {}  # by table, with its revision
+        self.change_causes: dict[int, ChangeCause] = {}  # by table, the cause of its next version
+        self._contents: dict[int, tuple[int, TableContent]] = {}  # by table, with the table's revision
         self._proxy_tables: dict[Any, ProxyTables] = {}
 
     def invalidate(self, number: int) -> None:
-        """A table changes without a command of the policy."""
+        """Mark a table as changed without a policy command."""
         self.runner.assignments.tables[number].revision += 1
         self._proxy_tables.clear()
 
     def invalidate_proxy_tables(self) -> None:
-        """The policy changed tables or ejections."""
+        """Drop the cached tables of proxies, after the policy changed tables or ejections."""
         self._proxy_tables.clear()
 
     def content(self, number: int) -> TableContent:
-        """Return what a table holds; the same object until the table changes."""
+        """Return the published content of a table; the same object until the table changes."""
         revision = self.runner.assignments.tables[number].revision
         old_revision, old = self._contents.get(number, (None, None))
         if old is not None and old_revision == revision:
@@ -115,7 +115,7 @@
         return content
 
     def tables_of(self, proxy: Any) -> ProxyTables:
-        """Return what an assigned proxy should hold; proxies with the same tables share the object."""
+        """Return the tables that an assigned proxy should hold; proxies with the same share the object."""
         assignments = self.runner.assignments
         table_by_operation = tuple(sorted(assignments.proxies[proxy].table_by_operation.items()))
         contents = {number: self.content(number) for _, number in table_by_operation}
@@ -135,7 +135,7 @@
         return self._proxy_tables[key]
 
     def _published(self, number: int) -> tuple[Mapping[str, float], tuple[Admission, ...]]:
-        """Return the weights and the admission of a table that may be published."""
+        """Return the weights and admission of a table that may be published."""
         assignments, operations = self.runner.assignments, self.runner.settings.operations
         name = assignments.table_name(number)
         weights: Mapping[str, float] = assignments.usable_weights(number)
@@ -155,7 +155,7 @@
         return weights, tuple(admission)
 
     def _record_version(self, number: int, table: encoding.Table) -> bytes:
-        """Record a version in the history with its cause; return its name."""
+        """Record a version and its cause in the history; return the version."""
         name = self.runner.assignments.table_name(number)
         before, cause = self.history.newest_content(name), self.change_causes.pop(number, None)
         if before is None:
--- a/swiftchute/controller/version_state.py
+++ b/swiftchute/controller/version_state.py
@@ -1,4 +1,4 @@
-"""What is kept of versions of tables: history, deliveries, pins, rejections and canaries."""
+"""State of table versions: history, deliveries, pins, rejections and canaries."""
 
 from dataclasses import dataclass
 
@@ -17,19 +17,19 @@
 
     max_versions: int = 1000
     max_age_ns: int = 3600 * NS_PER_S
-    rejected_fraction: float = 0.3  # of a table's proxies, whose rejections roll a version back
+    rejected_fraction: float = 0.3  # of a table's proxies; rejections by so many roll a version back
     max_rollbacks: int = 3  # within the rollback window; 0: never
     rollback_window_ns: int = 600 * NS_PER_S
-    rollback_duration_ns: int = 300 * NS_PER_S  # for so long a table stays rolled back
-    canary_fraction: float = 0.0  # of a table's proxies, that hold a change first; 0: no canaries
-    canary_duration_ns: int = 5 * NS_PER_S  # after they acknowledged it
+    rollback_duration_ns: int = 300 * NS_PER_S  # time that a table stays rolled back
+    canary_fraction: float = 0.0  # of a table's proxies, which get a change first; 0: no canaries
+    canary_duration_ns: int = 5 * NS_PER_S  # counted from their acknowledgement of the change
     max_canary_duration_ns: int = 30 * NS_PER_S
-    min_canary_change: float = 0.25  # of all requests, that a change moves; smaller ones need no canary
+    min_canary_change: float = 0.25  # of requests moved by a change; smaller changes need no canary
 
 
 @dataclass(frozen=True, slots=True)
 class VersionState:
-    """Versions of all tables of one instance, and who holds which."""
+    """Versions of all tables of one instance, and which proxies hold them."""
 
     history: VersionHistory
     deliveries: DeliveryTracker
@@ -40,7 +40,7 @@
 
     @classmethod
     def empty(cls, instance: int, retention: RetentionSettings) -> "VersionState":
-        """Return the state of an instance that has published nothing."""
+        """Return the state of an instance that has not published anything."""
         history = VersionHistory(str(instance), retention.max_versions, retention.max_age_ns)
         limits = CanaryLimits(
             retention.canary_fraction,
