--- a/swiftchute/discovery/__init__.py
+++ b/swiftchute/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Endpoint lists of the daemon: their format, their sources, and backoff between attempts to read them."""
+"""Endpoint lists: their format, their sources, start times of endpoints, and backoff after failed polls."""
--- a/swiftchute/discovery/endpoint_list.py
+++ b/swiftchute/discovery/endpoint_list.py
@@ -1,11 +1,11 @@
-"""Endpoint lists in Prometheus' service discovery format, and the last good one. No I/O, no clock.
+"""Reads endpoint lists in Prometheus' service discovery format; stores the last good one. No I/O, no clock.
 
     endpoint_list = EndpointList(zones, clock_offset_ns)
     change = endpoint_list.update(text)  # EndpointListChange, or raises EndpointListError
 
-A list (file_sd, http_sd) is a JSON array of `{"targets": ["host:port", ..], "labels": {..}}`. Labels, all
-strings as in the format's page: `zone` (required), `kind`, `cell`, `state` (ready or draining; an endpoint
-that is not named is removed), `weight`, `start` (seconds since 1970 of the endpoint's last start).
+A list (file_sd, http_sd) is a JSON array of `{"targets": ["host:port", ..], "labels": {..}}`. All labels are
+strings, as the format requires: `zone` (required), `kind`, `cell`, `state` (ready or draining), `weight` and
+`start` (the endpoint's last start, in seconds since 1970). An endpoint that is not listed is removed.
 """
 
 from dataclasses import dataclass, field
@@ -17,17 +17,17 @@
 from swiftchute.discovery.targets import parse_target
 
 MAX_TARGETS = 100_000
-MAX_SHOWN_CHARS = 64  # of a target that a message quotes
+MAX_SHOWN_CHARS = 64  # of a target quoted in a message
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointListChange:
-    """What an accepted list changes.
+    """The changes made by an accepted list.
 
     Attributes:
         scope: `CACHED` for the first list, `DELTA` for those that follow.
         endpoints: New, changed and removed endpoints, sorted.
-        skipped: One text for each target that was ignored, with the cause.
+        skipped: A message for each target that was skipped, with the cause.
     """
 
     scope: ListScope | str
@@ -42,12 +42,12 @@
 
 @dataclass
 class EndpointList:
-    """The last good endpoint list, and how many lists were accepted and rejected.
+    """The last good endpoint list, and the numbers of accepted and rejected lists.
 
     Attributes:
-        zones: Names of the zones that endpoints may lie in.
-        clock_offset_ns: Wall clock minus the control plane's clock, fixed so that a start time stays the
-            same from list to list.
+        zones: Names of the zones that endpoints may be in.
+        clock_offset_ns: Wall clock minus the control plane's clock; constant, so that the start time of an
+            endpoint does not vary between lists.
         endpoints: The last good list by target.
     """
 
@@ -59,16 +59,16 @@
     rejected_count: int = 0
 
     def update(self, text: bytes) -> EndpointListChange | None:
-        """Replace the list by a new one.
+        """Replace the endpoint list.
 
         Args:
             text: The list as JSON.
 
         Returns:
-            What changed, or None if nothing did.
+            The changes, or None if there are none.
 
         Raises:
-            EndpointListError: The list is rejected; the last good one stays.
+            EndpointListError: The list is rejected; the last good one stays in force.
         """
         try:
             return self._accept(_decode_groups(text))
@@ -79,7 +79,9 @@
     def _accept(self, groups: list[_TargetGroup]) -> EndpointListChange | None:
         found, skipped = self._read_groups(groups)
         if not found and self.endpoints:
-            raise EndpointListError("no server in it: a list empties no pool; drain servers instead")
+            raise EndpointListError(
+                "the list has no targets; a list cannot empty the pool, drain the endpoints instead"
+            )
         removed = [
             record._replace(state=EndpointState.REMOVED)
             for target, record in self.endpoints.items()
@@ -96,19 +98,19 @@
         return EndpointListChange(scope, endpoints, tuple(skipped))
 
     def _read_groups(self, groups: list[_TargetGroup]) -> tuple[dict[str, EndpointRecord], list[str]]:
-        """Return the endpoints by target, and a text for each target that is skipped.
+        """Return the endpoints by target, and a message for each skipped target.
 
-        A target that cannot be read does not hide the drains beside it: its last good record stays. Of two
-        records of one target the one that takes it out of service counts.
+        An invalid target keeps its last good record and does not invalidate the rest of the list, so that
+        drains of other targets take effect. Of several records of a target, a draining one takes precedence.
         """
         found: dict[str, EndpointRecord] = {}
         skipped = []
-        for place, group in enumerate(groups, 1):
+        for number, group in enumerate(groups, 1):
             for target in group.targets:
                 try:
                     record = parse_target(target, group.labels, self.zones, self.clock_offset_ns)
                 except InvalidEndpointError as error:
-                    skipped.append(f"group {place}, target {target[:MAX_SHOWN_CHARS]!r}: {error}")
+                    skipped.append(f"group {number}, target {target[:MAX_SHOWN_CHARS]!r}: {error}")
                     if target not in self.endpoints:
                         continue
                     record = self.endpoints[target]
@@ -122,7 +124,7 @@
     try:
         groups = msgspec.json.decode(text, type=list[_TargetGroup])
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise EndpointListError(f"not a list of targets: {error}") from None
+        raise EndpointListError(f"the list is not a JSON array of target groups: {error}") from None
     if sum(len(group.targets) for group in groups) > MAX_TARGETS:
-        raise EndpointListError(f"more than {MAX_TARGETS} targets")
+        raise EndpointListError(f"the list has more than {MAX_TARGETS} targets")
     return groups
--- a/swiftchute/discovery/errors.py
+++ b/swiftchute/discovery/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the endpoint lists."""
+"""Errors in endpoint lists and their sources."""
 
 from swiftchute.api.errors import SwiftchuteError
 
@@ -8,12 +8,12 @@
 
 
 class EndpointListError(DiscoveryError):
-    """An endpoint list that is rejected as a whole; the text names what is wrong and where."""
+    """An endpoint list is rejected as a whole; the message names what is wrong and where."""
 
 
 class InvalidEndpointError(DiscoveryError, ValueError):
-    """One target of a list that cannot be used; the text names the label, its value and the cause."""
+    """A target of a list is invalid; the message names the label, its value and the cause."""
 
 
 class SourceError(DiscoveryError, ValueError):
-    """A source that could not be read; the text names the cause."""
+    """A source could not be read; the message names the cause."""
--- a/swiftchute/discovery/sources.py
+++ b/swiftchute/discovery/sources.py
@@ -1,6 +1,6 @@
-"""Sources of endpoint lists: a file that is watched, or a URL that is polled.
+"""Sources of endpoint lists: a file or a URL, each polled at an interval.
 
-Each source calls `on_list(text)` with a list it read, or `on_failure(cause)`.
+A source calls `on_list(text)` for each list that it reads, and `on_failure(cause)` if it cannot read one.
 """
 
 import asyncio
@@ -18,8 +18,8 @@
 MAX_LIST_BYTES = 64 * 2**20
 HTTP_OK = 200
 FIRST_BACKOFF_INTERVALS = 2  # bound of the wait after the first failed poll, in poll intervals
-MAX_BACKOFF_INTERVALS = 8  # bound of the wait after any number of failed polls, in poll intervals
-RESPONSE_TIMEOUTS = 2  # a whole response may take so many times the timeout of one of its reads
+MAX_BACKOFF_INTERVALS = 8  # largest bound of the wait after failed polls, in poll intervals
+RESPONSE_TIMEOUTS = 2  # time limit of a whole response, in timeouts of a single read
 
 
 class _FileStamp(NamedTuple):
@@ -29,7 +29,7 @@
 
 
 class FileSource:
-    """A file_sd file, read whenever it was changed or replaced."""
+    """A file_sd file, read when it has been changed or replaced."""
 
     def __init__(
         self,
@@ -42,9 +42,9 @@
 
         Args:
             path: Path of the file.
-            interval_ns: Time from one look at the file to the next, nanoseconds.
+            interval_ns: Time between two polls of the file, nanoseconds.
             on_list: Called with the content of a changed file.
-            on_failure: Called with the cause of a failure, once until the cause changes.
+            on_failure: Called with the cause of a failure, and again only if the cause changes.
         """
         self.path = path
         self.interval_ns = interval_ns
@@ -54,7 +54,7 @@
         self._last_failure = ""
 
     def poll(self) -> None:
-        """Read the file if it changed since it was last read."""
+        """Read the file if it has changed since the last read."""
         try:
             text = self._read_if_changed()
         except OSError as error:
@@ -74,7 +74,7 @@
             if stamp == self._last_stamp:
                 return None
             if stamp.size_bytes > MAX_LIST_BYTES:
-                raise OSError(f"{stamp.size_bytes} bytes; {MAX_LIST_BYTES} at most")
+                raise OSError(f"the file has {stamp.size_bytes} bytes; the limit is {MAX_LIST_BYTES}")
             text = file.read(MAX_LIST_BYTES)
         self._last_stamp = stamp
         return text
@@ -87,7 +87,7 @@
 
 
 class HttpSource:
-    """An http_sd URL, polled at an interval, and after failures with exponential backoff."""
+    """An http_sd URL, polled at an interval, with exponential backoff after failures."""
 
     def __init__(
         self,
@@ -101,12 +101,12 @@
         """Request nothing yet.
 
         Args:
-            url: Address of the list.
-            interval_ns: Time from one poll to the next, nanoseconds.
-            timeout_ns: Longest time of connecting, and of each read of a response, nanoseconds.
+            url: URL of the list.
+            interval_ns: Time between two polls, nanoseconds.
+            timeout_ns: Timeout of connecting and of each read of a response, nanoseconds.
             on_list: Called with the body of each response.
             on_failure: Called with the cause of each failed poll.
-            seed: Seed of the jitter of the backoff.
+            seed: Seed for the jitter of the backoff.
         """
         self.url = url
         self.interval_ns = interval_ns
@@ -125,9 +125,9 @@
                 await asyncio.sleep(wait_ns / NS_PER_S)
 
     async def _poll(self, client: httpx.AsyncClient) -> int:
-        """Request the list once; return the time until the next poll, nanoseconds."""
+        """Request the list once; return the wait until the next poll, nanoseconds."""
         try:
-            # the client's timeout is one of each read: a response that drips would never end by it
+            # the client's timeout applies to each read: it does not end a response that arrives byte by byte
             async with asyncio.timeout(RESPONSE_TIMEOUTS * self.timeout_s):
                 text = await self._fetch(client)
         except (httpx.HTTPError, ValueError, TimeoutError) as error:
@@ -141,9 +141,9 @@
         text = bytearray()
         async with client.stream("GET", self.url) as response:
             if response.status_code != HTTP_OK:
-                raise SourceError(f"status {response.status_code}")
+                raise SourceError(f"HTTP status {response.status_code}, expected {HTTP_OK}")
             async for chunk in response.aiter_bytes():
                 text += chunk
                 if len(text) > MAX_LIST_BYTES:
-                    raise SourceError(f"more than {MAX_LIST_BYTES} bytes")
+                    raise SourceError(f"the response has more than {MAX_LIST_BYTES} bytes")
         return bytes(text)
--- a/swiftchute/discovery/targets.py
+++ b/swiftchute/discovery/targets.py
@@ -1,4 +1,4 @@
-"""One target of an endpoint list with its labels, as an endpoint record."""
+"""Converts a target of an endpoint list and its labels to an endpoint record."""
 
 import ipaddress
 import math
@@ -8,8 +8,8 @@
 from swiftchute.discovery.errors import InvalidEndpointError
 
 NS_PER_S = 1_000_000_000
-MAX_NUMBER = 1e12  # exclusive bound of every numeric label
-MAX_SHOWN_CHARS = 64  # of a value that a message quotes
+MAX_NUMBER = 1e12  # exclusive upper bound of numeric labels
+MAX_SHOWN_CHARS = 64  # of a value quoted in a message
 LISTED_STATES = {state.value: state for state in (EndpointState.READY, EndpointState.DRAINING)}
 
 
@@ -21,23 +21,23 @@
     Args:
         target: `address:port`.
         labels: Labels of the target's group.
-        zones: Names of the zones that endpoints may lie in.
+        zones: Names of the zones that endpoints may be in.
         clock_offset_ns: Wall clock minus the control plane's clock.
 
     Raises:
-        InvalidEndpointError: The target or one of its labels cannot be used.
+        InvalidEndpointError: The target or one of its labels is invalid.
     """
     _check_address(target)
     zone, state = labels.get("zone", ""), labels.get("state", EndpointState.READY.value)
     if zone not in zones:
-        raise InvalidEndpointError(f"label zone: {zone[:MAX_SHOWN_CHARS]!r} is none of {', '.join(zones)}")
+        raise InvalidEndpointError(f"label zone: {zone[:MAX_SHOWN_CHARS]!r} is not one of {', '.join(zones)}")
     if state not in LISTED_STATES:
         raise InvalidEndpointError(f"label state: {state[:MAX_SHOWN_CHARS]!r} is neither ready nor draining")
     weight = _parse_number(labels, "weight", 1.0)
     start_s = _parse_number(labels, "start", 0.0)
     cell = _parse_number(labels, "cell", 0.0)
     if weight == 0:
-        raise InvalidEndpointError("label weight: 0; drain the server instead")
+        raise InvalidEndpointError("label weight: 0 is not allowed; drain the endpoint instead")
     started_ns = int(start_s * NS_PER_S) - clock_offset_ns if start_s else 0
     return EndpointRecord(
         target, zone, labels.get("kind", ""), int(cell), LISTED_STATES[state], weight, started_ns
@@ -50,9 +50,9 @@
         ipaddress.ip_address(host.strip("[]"))
         number = int(port)
     except ValueError:
-        raise InvalidEndpointError("not address:port") from None
+        raise InvalidEndpointError("the target is not an IP address and port") from None
     if not 0 < number < 65_536:
-        raise InvalidEndpointError(f"port {number}")
+        raise InvalidEndpointError(f"port {number} is not 1 to 65535")
 
 
 def _parse_number(labels: Mapping[str, str], label: str, default: float) -> float:
@@ -62,6 +62,6 @@
         value = math.nan
     if not 0 <= value < MAX_NUMBER:
         raise InvalidEndpointError(
-            f"label {label}: {labels[label][:MAX_SHOWN_CHARS]!r} is no figure of 0 or more"
+            f"label {label}: {labels[label][:MAX_SHOWN_CHARS]!r} is not a number in [0, {MAX_NUMBER:g})"
         )
     return value
