--- a/swiftchute/simulator/__init__.py
+++ b/swiftchute/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter between the simulator's wire and the policy: it translates and decides nothing."""
+"""The adapter between the simulator's wire protocol and the policy: it only translates."""
--- a/swiftchute/simulator/__main__.py
+++ b/swiftchute/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m swiftchute.simulator`: batches on standard input, replies on standard output."""
+"""`python -m swiftchute.simulator`: reads batches from standard input, writes replies to standard output."""
 
 import sys
 
--- a/swiftchute/simulator/codec.py
+++ b/swiftchute/simulator/codec.py
@@ -1,8 +1,8 @@
-"""The simulator's wire: the one module that knows its names and units.
+"""Codec of the simulator's wire protocol; no other module knows the names and units of the protocol.
 
 A line of input is a batch: a time and, for each instance, the events since the last batch. A line of output
-is the reply: for each instance the actions that its policy decided. Both are JSON. Times are microseconds on
-the wire and nanoseconds in `swiftchute.api`.
+is the reply: for each instance, the actions of its policy. Both are JSON. Times are microseconds on the wire
+and nanoseconds in `swiftchute.api`.
 """
 
 import json
@@ -29,7 +29,7 @@
 from swiftchute.api.settings import Operation, Settings
 
 NS_PER_US = 1000
-ALL_TABLES = 65535  # number that stands for all tables of an instance
+ALL_TABLES = 65535  # table number that stands for all tables of an instance
 ALL_PEERS = "*"
 START, STOP, FAULT = "HELLO", "EXIT", "FAULT"
 
@@ -57,14 +57,14 @@
 
 
 class InstanceEvents(NamedTuple):
-    """What a batch holds for one instance: events as the wire has them."""
+    """The events of one instance in a batch, not yet decoded."""
 
     instance: int
     events: list[Any]
 
 
 class Batch(NamedTuple):
-    """A decoded line of input; its events are still as the wire has them."""
+    """A line of input; its events are not yet decoded."""
 
     now_ns: int
     serial: int
@@ -72,14 +72,14 @@
 
 
 class InstanceStart(NamedTuple):
-    """The start of an instance."""
+    """The settings and the seed with which an instance is started."""
 
     settings: Settings
     seed: int
 
 
 def decode_batch(value: WireObject) -> Batch:
-    """Read a batch; raises KeyError or TypeError where a field is missing or of the wrong type."""
+    """Decode a batch; raises KeyError or TypeError if a field is missing or of the wrong type."""
     now_ns, serial = value["now_us"] * NS_PER_US, value["serial"]
     return Batch(
         now_ns, serial, [InstanceEvents(group["planner_id"], group["in"]) for group in value["groups"]]
@@ -87,18 +87,18 @@
 
 
 def encode_reply(serial: int, actions: list[tuple[int, list[WireObject]]]) -> str:
-    """Write the reply to a batch, with the actions of each instance that has any."""
+    """Encode the reply to a batch, with the actions of each instance that has any."""
     groups = [{"planner_id": instance, "outbox": outbox} for instance, outbox in actions]
     return json.dumps({"serial": serial, "groups": groups}, separators=(",", ":"))
 
 
 def decode_start(fields: WireObject) -> InstanceStart:
-    """Read the start of an instance; raises KeyError where a field is missing."""
+    """Decode the start of an instance; raises KeyError if a field is missing."""
     return InstanceStart(decode_settings(fields["profile_data"]), fields["init_seed"])
 
 
 def decode_settings(data: WireObject) -> Settings:
-    """Read the settings of an instance.
+    """Decode the settings of an instance.
 
     Args:
         data: The wire's description of the deployment; unknown keys are ignored.
@@ -107,7 +107,7 @@
         The settings.
 
     Raises:
-        KeyError: A key is missing, or a value is none of those that the wire allows.
+        KeyError: A key is missing, or a value is not one that the protocol allows.
     """
     specifics, prices = data["specifics"], data["prices"]
     return Settings(
@@ -119,7 +119,7 @@
         cross_zone_price=prices.get("cross_zone") or 0.0,
         probe_price=prices.get("probe") or 0.0,
         entry_price=specifics.get("line_fee") or 0.0,
-        **_information_fields(data),
+        **_data_source_fields(data),
         **_rule_fields(data["rules"]),
         **_proxy_fields(specifics),
         **_channel_fields(specifics),
@@ -145,8 +145,8 @@
     )
 
 
-def _information_fields(data: WireObject) -> dict[str, Any]:
-    """Return the settings on what an instance learns, and what it may ask for."""
+def _data_source_fields(data: WireObject) -> dict[str, Any]:
+    """Return the settings for the data that an instance receives and may request."""
     permissions, stats = data["permissions"], data["stats"]
     weight_source, load_source = data["weight_source"], stats["via"]
     list_interval_us = data["rules"].get("ask_within_us")
@@ -162,7 +162,7 @@
 
 
 def _rule_fields(rules: WireObject) -> dict[str, Any]:
-    """Return the settings on draining, removal and warm-up of endpoints."""
+    """Return the settings for draining, removal and warm-up of endpoints."""
     return {
         "drain_grace_ns": rules["drain_grace_us"] * NS_PER_US,
         "removal_is_binding": not rules.get("removal_not_binding"),
@@ -174,7 +174,7 @@
 
 
 def _proxy_fields(specifics: WireObject) -> dict[str, Any]:
-    """Return the settings on proxies and key ranges."""
+    """Return the settings for proxies and key ranges."""
     admission = specifics["admission"]
     return {
         "max_no_endpoint_ns": specifics["empty_for_us"] * NS_PER_US,
@@ -190,7 +190,7 @@
 
 
 def _channel_fields(specifics: WireObject) -> dict[str, Any]:
-    """Return the settings on load reports and on the channel to the proxies."""
+    """Return the settings for load reports and for the channel to the proxies."""
     return {
         "report_interval_ns": specifics["interval_us"] * NS_PER_US,
         "report_rate_entries_per_s": specifics["reports_per_s"],
@@ -205,10 +205,10 @@
 
 
 def decode_event(name: str, fields: WireObject) -> Event:
-    """Read one event.
+    """Decode one event.
 
     Args:
-        name: The wire's name of the event.
+        name: The name of the event on the wire.
         fields: Its fields.
 
     Returns:
@@ -217,7 +217,7 @@
     Raises:
         KeyError: The name is unknown, or a field is missing.
         TypeError: A field is of the wrong type.
-        ValueError: A field has a wrong value.
+        ValueError: A field has an invalid value.
     """
     return _EVENT_DECODERS[name](fields)
 
@@ -317,12 +317,12 @@
 
 
 class ActionEncoder:
-    """The command sink of one instance's round: each command becomes one action of the reply.
+    """Encodes the commands of one round of an instance; each command becomes one action of the reply.
 
     It implements `swiftchute.api.commands.CommandSink`.
 
     Attributes:
-        actions: The actions in order.
+        actions: The actions, in the order of the commands.
     """
 
     def __init__(self) -> None:
@@ -358,7 +358,7 @@
         self.actions.append({"PULL": {"server": endpoint, "yes": ejected}})
 
     def request_ack(self, nonce: int, everyone: bool) -> None:
-        """Ask for an acknowledgement of this round, from the proxies written to or from everyone."""
+        """Request an acknowledgement of this round, from the proxies it sends to or from all."""
         self.actions.append({"SEAL": {"serial": nonce, "yes": everyone}})
 
     def probe(self, endpoint: str) -> None:
@@ -366,7 +366,7 @@
         self.actions.append({"PING": {"server": endpoint}})
 
     def subscribe(self, enabled: bool) -> None:
-        """Open or close the subscription to the endpoint list."""
+        """Start or end the subscription to the endpoint list."""
         self.actions.append({"STREAM_CHANGES": {"yes": enabled}})
 
     def fetch_list(self) -> None:
@@ -374,20 +374,20 @@
         self.actions.append({"GET_LIST": {}})
 
     def start_timer(self, delay_ns: int, timer_id: int) -> None:
-        """Deliver `TimerFired` after a delay, rounded up to the wire's unit."""
+        """Deliver `TimerFired` after a delay, rounded up to microseconds."""
         self.actions.append({"TIMER": {"from_now_us": -(-delay_ns // NS_PER_US), "cookie": timer_id}})
 
     def send_to_peer(self, peer: int | None, payload: bytes) -> None:
         """Send bytes to one peer, or to all (None)."""
-        whom = ALL_PEERS if peer is None else peer
-        self.actions.append({"POST": {"whom": whom, "payload": payload.hex()}})
+        recipient = ALL_PEERS if peer is None else peer
+        self.actions.append({"POST": {"whom": recipient, "payload": payload.hex()}})
 
     def log(self, text: str) -> None:
         """Write a line for the operators."""
         self.actions.append({"RECORD": {"msg": text}})
 
     def report_fault(self, text: str) -> None:
-        """Report an exception of the policy."""
+        """Report an exception raised by the policy."""
         self.actions.append({FAULT: {"msg": text}})
 
     @property
--- a/swiftchute/simulator/errors.py
+++ b/swiftchute/simulator/errors.py
@@ -8,15 +8,15 @@
 
 
 class WireInputError(SimulatorError):
-    """Input that does not follow the wire's format.
+    """Input that is not valid in the wire protocol.
 
     Attributes:
-        location: Line, and the instance and event in it if they are known.
-        cause: What is wrong there.
+        location: The line, and the instance and event in it if known.
+        cause: What is wrong at that location.
     """
 
     def __init__(self, location: str, cause: str) -> None:
-        """Create an error for a location of the input."""
+        """Create an error for a location in the input."""
         super().__init__(f"{location}: {cause}")
         self.location = location
         self.cause = cause
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -1,4 +1,4 @@
-"""The wire's names and units: every event, every action, and the settings of a start."""
+"""The codec: every event, every action, and the settings of a start."""
 
 import pytest
 
@@ -68,7 +68,7 @@
         ("NEIGHBOUR_SAYS", {"src_peer": 2, "payload": "no hex"}, ValueError),
     ],
 )
-def test_unknown_event_or_wrong_field_raises(name, fields, error):
+def test_unknown_event_or_invalid_field_raises(name, fields, error):
     with pytest.raises(error):
         codec.decode_event(name, fields)
 
@@ -103,7 +103,7 @@
     assert encoder.ends_with_fault == (command == "report_fault")
 
 
-def test_settings_are_decoded_in_whole_names_and_nanoseconds():
+def test_settings_are_decoded_with_their_full_names_and_in_nanoseconds():
     settings = codec.decode_settings(PROFILE)
     (operation,) = settings.operations
     assert (operation.name, operation.latency_objective_ns, operation.idempotency) == (
--- a/tests/simulator/test_host.py
+++ b/tests/simulator/test_host.py
@@ -1,4 +1,4 @@
-"""The host: framing both ways, malformed input, starts and stops, faults."""
+"""The host: batches and replies, malformed input, starts and stops, faults of policies."""
 
 import io
 import json
@@ -28,24 +28,24 @@
 
 
 class RecordingPolicy:
-    """A policy that records its rounds, and issues the commands that the test gives it."""
+    """A policy that records its rounds and issues the commands of `issue_commands`, if a test sets it."""
 
     rounds: list = []
-    act = None
+    issue_commands = None
 
     def __init__(self, settings, seed):
         self.settings, self.seed = settings, seed
 
     def reconcile(self, now_ns, events, commands):
         RecordingPolicy.rounds.append((self.seed, now_ns, events))
-        if RecordingPolicy.act:
-            RecordingPolicy.act(commands)
+        if RecordingPolicy.issue_commands:
+            RecordingPolicy.issue_commands(commands)
 
 
 @pytest.fixture
-def play():
-    """Feed lines; returns the exit code, the replies and the error output."""
-    RecordingPolicy.rounds, RecordingPolicy.act = [], None
+def run_host():
+    """A function that serves lines of input and returns the exit code, the replies and the error output."""
+    RecordingPolicy.rounds, RecordingPolicy.issue_commands = [], None
 
     def run(*texts):
         replies, errors = io.StringIO(), io.StringIO()
@@ -55,17 +55,17 @@
     return run
 
 
-def batch(*events, planner=3, now=5, serial=9):
+def batch(*events, instance=3, now=5, serial=9):
     return json.dumps(
-        {"now_us": now, "serial": serial, "groups": [{"planner_id": planner, "in": list(events)}]}
+        {"now_us": now, "serial": serial, "groups": [{"planner_id": instance, "in": list(events)}]}
     )
 
 
-def test_empty_batch_gets_an_empty_reply(play):
-    assert play('{"now_us":1,"serial":4,"groups":[]}') == (0, [{"serial": 4, "groups": []}], "")
+def test_empty_batch_gets_an_empty_reply(run_host):
+    assert run_host('{"now_us":1,"serial":4,"groups":[]}') == (0, [{"serial": 4, "groups": []}], "")
 
 
-def test_events_are_decoded_in_whole_names_and_nanoseconds(play):
+def test_events_are_decoded_with_their_full_names_and_in_nanoseconds(run_host):
     digest = {
         "az": "east",
         "server": "a:1",
@@ -77,7 +77,9 @@
     }
     entry = {"server": "a:1", "az": "east", "model": "k", "pack": 2, "health": "ready", "share": 1.5,
              "last_start_us": None}  # fmt: skip
-    play(batch(HELLO, {"FLEET": {"serial": 1, "scope": "warm_copy", "items": [entry]}}, {"DIGEST": digest}))
+    run_host(
+        batch(HELLO, {"FLEET": {"serial": 1, "scope": "warm_copy", "items": [entry]}}, {"DIGEST": digest})
+    )
     ((seed, now_ns, events),) = RecordingPolicy.rounds
     assert (seed, now_ns) == (7, 5000)
     assert events == [
@@ -86,16 +88,16 @@
     ]
 
 
-def test_commands_are_encoded_as_actions(play):
-    def act(commands):
+def test_commands_are_encoded_as_actions(run_host):
+    def issue_commands(commands):
         commands.set_weight(1, "a:1", 0.5)
         commands.assign_table(4, 1, 3)
         commands.set_admission(None, 0, 0.75, 1)
         commands.send_to_peer(None, b"hi")
         commands.start_timer(1500, 2)
 
-    RecordingPolicy.act = act
-    code, replies, _ = play(batch(HELLO))
+    RecordingPolicy.issue_commands = issue_commands
+    code, replies, _ = run_host(batch(HELLO))
     assert (code, replies[0]["serial"]) == (0, 9)
     assert replies[0]["groups"] == [{"planner_id": 3, "outbox": [
         {"UPSERT": {"set_id": 1, "server": "a:1", "share": 0.5}},
@@ -106,9 +108,9 @@
     ]}]  # fmt: skip
 
 
-def test_restart_within_a_batch_drops_earlier_events(play):
+def test_restart_within_a_batch_drops_earlier_events(run_host):
     disconnected = {"DROPPED_OFF": {"client_lb": 1}}
-    play(batch(HELLO), batch(disconnected, {"EXIT": {}}, {"HELLO": HELLO["HELLO"] | {"init_seed": 8}}))
+    run_host(batch(HELLO), batch(disconnected, {"EXIT": {}}, {"HELLO": HELLO["HELLO"] | {"init_seed": 8}}))
     assert RecordingPolicy.rounds[-1] == (8, 5000, [])
 
 
@@ -119,26 +121,29 @@
         ('{"serial":1,"groups":[]}', "line 1: not a batch"),
         (
             batch({"WAKE": {"cookie": 1}}),
-            "line 1, planner 3, event 1: WAKE for a planner that was not",
+            "line 1, instance 3, event 1: WAKE for an instance that was not",
+        ),
+        (batch(HELLO, {"GUESS": {}}), "line 1, instance 3, event 2: GUESS: unknown"),
+        (
+            batch(HELLO, {"WAKE": {}}),
+            "line 1, instance 3, event 2: WAKE: unknown event, or a field is missing",
         ),
-        (batch(HELLO, {"GUESS": {}}), "line 1, planner 3, event 2: GUESS: unknown"),
-        (batch(HELLO, {"WAKE": {}}), "line 1, planner 3, event 2: WAKE: unknown, or a field is missing"),
-        (batch(HELLO, 5), "line 1, planner 3, event 2: not an event"),
+        (batch(HELLO, 5), "line 1, instance 3, event 2: not an event"),
     ],
 )
-def test_malformed_input_is_reported_in_one_line_and_ends_the_run(play, text, message):
-    code, replies, errors = play(text)
+def test_malformed_input_is_reported_in_one_line_and_ends_the_run(run_host, text, message):
+    code, replies, errors = run_host(text)
     assert (code != 0, replies) == (True, [])
     assert message in errors
     assert errors.count("\n") == 1
 
 
-def test_exception_in_a_policy_becomes_the_fault_of_its_instance(play):
-    def act(commands):
+def test_exception_in_a_policy_becomes_the_fault_of_its_instance(run_host):
+    def issue_commands(commands):
         raise ValueError("no such thing")
 
-    RecordingPolicy.act = act
-    code, replies, errors = play(batch(HELLO))
+    RecordingPolicy.issue_commands = issue_commands
+    code, replies, errors = run_host(batch(HELLO))
     assert code == 0
     assert replies[0]["groups"][0]["outbox"] == [{"FAULT": {"msg": "ValueError: no such thing"}}]
     assert "Traceback" in errors
