--- a/tests/controller/conftest.py
+++ b/tests/controller/conftest.py
@@ -1,4 +1,4 @@
-"""Controllers that several test modules use."""
+"""Controllers shared by the test modules."""
 
 import pytest
 
@@ -17,14 +17,14 @@
 
 @pytest.fixture
 def controller():
-    """A controller without safety rules, with two endpoints and proxy `p`."""
+    """A controller without safety rules, with two endpoints and proxy `p`; its policy can crash."""
     CrashingPolicy.crashes = False
     return start(Controller(SETTINGS, 7, CrashingPolicy), "a:1", "b:1")
 
 
 @pytest.fixture
 def guarded_controller():
-    """A controller under safety rules whose first tables are published."""
+    """A controller with safety rules that has published its first tables."""
     controller = start(Controller(SETTINGS, 7, InterferingPolicy, safety_rules=SafetyRules()), "a:1", "b:1")
     play(controller, 0, 2)
     return controller
@@ -32,7 +32,7 @@
 
 @pytest.fixture
 def busy_controller(scripted_controller):
-    """A controller with three ready endpoints and proxies `p` (table 1) and `q` (table 2): (it, policy)."""
+    """(controller, policy) with three ready endpoints and proxies `p` (table 1) and `q` (table 2)."""
     controller, policy = scripted_controller
     controller.on_list_update(list_change("a", "b", "d"))
     for proxy in "pq":
--- a/tests/controller/test_acknowledgements.py
+++ b/tests/controller/test_acknowledgements.py
@@ -1,4 +1,4 @@
-"""Nonces that wait to be sent or are withheld, and the time that they took."""
+"""Unsent and withheld nonces, and acknowledgement latencies."""
 
 from swiftchute.controller import acknowledgements
 from swiftchute.controller.acknowledgements import NonceTracker
@@ -12,7 +12,7 @@
     assert nonces.pop_unsent("p") is None
 
 
-def test_a_withheld_nonce_is_answerable_until_a_newer_one_is_commanded():
+def test_a_withheld_nonce_can_be_acknowledged_until_a_newer_one_is_commanded():
     nonces = NonceTracker()
     nonces.withhold("p", 1)
     assert nonces.can_answer_for("p")
@@ -20,7 +20,7 @@
     assert not nonces.can_answer_for("p")
 
 
-def test_times_of_old_nonces_are_forgotten(monkeypatch):
+def test_command_times_of_the_oldest_nonces_are_dropped(monkeypatch):
     monkeypatch.setattr(acknowledgements, "MAX_NONCES", 2)
     nonces = NonceTracker()
     for nonce in range(3):
@@ -28,7 +28,7 @@
     assert [nonces.latency_ns(nonce, 10) for nonce in range(3)] == [0, 9, 8]
 
 
-def test_a_disconnected_proxy_owes_nothing():
+def test_a_disconnected_proxy_has_no_nonces():
     nonces = NonceTracker()
     nonces.on_command(1, ["p"], 0)
     nonces.withhold("p", 2)
--- a/tests/controller/test_assignments.py
+++ b/tests/controller/test_assignments.py
@@ -1,4 +1,4 @@
-"""Assignments: entries of a round by proxy, admission, and commands that cannot be carried out."""
+"""Assignments: entries of a round by proxy, admission, and invalid commands."""
 
 import pytest
 
@@ -9,25 +9,25 @@
 
 @pytest.fixture
 def assignments():
-    made = Assignments(SETTINGS)
-    made.on_proxy_connected("p", "east")
-    made.on_proxy_connected("q", "east")
-    return made
+    commanded = Assignments(SETTINGS)
+    commanded.on_proxy_connected("p", "east")
+    commanded.on_proxy_connected("q", "east")
+    return commanded
 
 
-def test_an_assignment_costs_its_table_once_and_later_entries_one_each(assignments):
+def test_an_assignment_sends_the_whole_table_and_later_changes_one_entry_each(assignments):
     assignments.set_weight(1, "a:1", 1.0)
     assignments.set_weight(1, "b:1", 1.0)
     assignments.assign_table("p", 1, 0)
     assignments.request_ack(3, False)
     result = assignments.finish_round()
-    # the assignment, two entries, the nonce
+    # one for the assignment, two for the table, one for the nonce
     assert (result.entries_by_proxy, result.nonce) == ({"p": 4}, 3)
     assignments.set_weight(1, "a:1", 0)
     assert assignments.finish_round().entries_by_proxy == {"p": 1}
 
 
-def test_an_ejection_reaches_unassigned_proxies_and_those_whose_tables_name_the_endpoint(assignments):
+def test_an_ejection_is_sent_to_unassigned_proxies_and_those_whose_tables_hold_the_endpoint(assignments):
     assignments.set_weight(1, "a:1", 1.0)
     assignments.assign_table("p", 1, 0)
     assignments.finish_round()
@@ -37,7 +37,7 @@
     assert assignments.finish_round().entries_by_proxy == {"p": 1, "q": 1}
 
 
-def test_the_lower_admission_rate_holds_with_the_retry_policy_of_the_table(assignments):
+def test_the_lower_admission_rate_applies_with_the_retry_policy_of_the_table(assignments):
     assignments.set_admission(1, 0b01, 0.5, 0)
     assignments.set_admission(None, 0, 0.7, 2)
     assert [assignments.admission(1, operation) for operation in (0, 1)] == [(0.5, 0), (0.7, 2)]
@@ -55,6 +55,6 @@
         ("send_to_peer", (1, b"")),
     ],
 )
-def test_a_command_that_cannot_be_carried_out_is_an_error(assignments, command, arguments):
+def test_an_invalid_command_raises(assignments, command, arguments):
     with pytest.raises(CommandError):
         getattr(assignments, command)(*arguments)
--- a/tests/controller/test_controller.py
+++ b/tests/controller/test_controller.py
@@ -1,4 +1,4 @@
-"""The controller as a whole: what proxies should hold, and messages that exceed the egress queue."""
+"""The whole controller: tables of proxies, messages that exceed the egress queue, and the message quota."""
 
 from dataclasses import replace
 
@@ -8,7 +8,7 @@
 
 
 class VerbosePolicy:
-    """Commands far more entries at once than a short egress queue takes."""
+    """Commands more entries in one round than a short egress queue can hold."""
 
     def __init__(self, settings, seed):
         pass
@@ -28,7 +28,7 @@
     assert controller.runner.policy.budget.unacknowledged_entries == 0  # every nonce was acknowledged
 
 
-def test_a_message_beyond_the_egress_queue_is_logged_and_ends_the_session_of_its_proxy():
+def test_a_message_that_exceeds_the_egress_queue_is_logged_and_its_proxy_is_to_be_disconnected():
     controller = start(Controller(replace(SETTINGS, egress_queue_limit_entries=8.0), 7, VerbosePolicy), "a:1")
     output = controller.run_round(0)
     assert output.overflowed_proxies == ["p"]
@@ -37,7 +37,7 @@
 
 
 class CrashingAfterCommands(VerbosePolicy):
-    """Assigns a table in each round, and crashes in every twelfth one."""
+    """Assigns a table in each round, and crashes in every twelfth round."""
 
     rounds = 0
 
@@ -48,7 +48,7 @@
         super().reconcile(now, events, commands)
 
 
-def test_a_policy_that_crashes_again_and_again_writes_no_more_messages_than_the_quota():
+def test_a_policy_that_crashes_repeatedly_stays_within_the_message_quota():
     settings = replace(SETTINGS, egress_rate_entries_per_s=1e6, message_quota=10)
     controller = start(Controller(settings, 7, CrashingAfterCommands), "a:1")
     times = []
--- a/tests/controller/test_deliveries.py
+++ b/tests/controller/test_deliveries.py
@@ -1,4 +1,4 @@
-"""Which tables a proxy may use until it acknowledges: the acknowledged ones and all that were sent since."""
+"""Tables that a proxy may use: the last acknowledged ones and all that were sent since."""
 
 import pytest
 
@@ -19,7 +19,7 @@
     assert share() == ((1.0, {"a": pytest.approx(1 / 3)}),)
     command(controller, policy, 1002 * NS_PER_S, ("set_weight", 1, "a", 4.0))
     command(controller, policy, 1003 * NS_PER_S, ("set_weight", 1, "a", 1.0))
-    assert share() == ((1.0, {"a": pytest.approx(4 / 6)}),)  # the largest share that it may use
+    assert share() == ((1.0, {"a": pytest.approx(4 / 6)}),)  # the largest share in all usable tables
     controller.on_fully_acknowledged("p", 1001 * NS_PER_S)
     assert share() == ((1.0, {"a": pytest.approx(1 / 3)}),)
     controller.on_proxy_disconnected("p")
--- a/tests/controller/test_digest.py
+++ b/tests/controller/test_digest.py
@@ -1,7 +1,7 @@
-"""A fixed scenario through the controller with the real policy: its outputs must not change with its code.
+"""A fixed scenario for the controller with the real policy; changes of the code must not change its outputs.
 
-Recorded for each run: messages to proxies, tables of each proxy, deadlines, log events and explanations. A
-change of behaviour on purpose changes the digests; the commit that does so gives the reason.
+The outputs of a run are pushes to proxies, tables of each proxy, deadlines, log events and explanations. An
+intended change of behaviour changes the digests; its commit must give the reason.
 """
 
 import hashlib
@@ -33,18 +33,18 @@
 
 
 class ScriptedPolicy(Reconciler):
-    """The real policy, which crashes or issues more commands when the scenario says so."""
+    """The real policy, which the scenario can make crash or issue extra commands."""
 
     crashes = False
     extra_commands = None
 
-    def reconcile(self, now, calls, writer):
+    def reconcile(self, now, events, commands):
         if ScriptedPolicy.crashes:
             raise ZeroDivisionError("on purpose")
-        super().reconcile(now, calls, writer)
+        super().reconcile(now, events, commands)
         if ScriptedPolicy.extra_commands is not None:
             extra, ScriptedPolicy.extra_commands = ScriptedPolicy.extra_commands, None
-            extra(writer)
+            extra(commands)
 
 
 def record(endpoint, zone, state="ready", started_ns=0):
@@ -52,35 +52,35 @@
 
 
 class Scenario:
-    """Plays the events of each step, runs every round that is due, and digests what comes out."""
+    """Plays the events of each step, runs every due round, and computes digests of the outputs."""
 
-    def __init__(self, guard, enforce, canary, **facts):
+    def __init__(self, safety_rules, enforce, canary, **facts):
         ScriptedPolicy.crashes, ScriptedPolicy.extra_commands = False, None
         settings = Settings(**(FACTS | {"operations": OPERATIONS, "proxy_count": len(PROXIES)} | facts))
-        keep = RetentionSettings(canary_fraction=0.25 if canary else 0.0, min_canary_change=0.05)
-        self.controller = Controller(settings, 7, ScriptedPolicy, START_NS, guard, enforce, keep)
+        retention = RetentionSettings(canary_fraction=0.25 if canary else 0.0, min_canary_change=0.05)
+        self.controller = Controller(settings, 7, ScriptedPolicy, START_NS, safety_rules, enforce, retention)
         self.random = random.Random(3)
         self.now = START_NS
         self.acks = []  # (step, proxy, nonce)
         self.event_names = {}
         self.digests = {name: hashlib.sha256() for name in ("pushes", "tables", "events", "explain")}
 
-    def note(self, name, *values):
+    def add_to_digest(self, name, *values):
         self.digests[name].update(repr(values).encode())
 
     def play(self):
         for step in range(RUN_STEPS):
             self.now = START_NS + step * STEP_NS
-            self.events_of(step)
+            self.play_events(step)
             self.run_round(step)
             while self.now < self.controller.next_deadline_ns < START_NS + (step + 1) * STEP_NS:
                 self.now = self.controller.next_deadline_ns
                 self.run_round(step)
         gate = self.controller.publish_gate
-        self.note(
+        self.add_to_digest(
             "explain", sorted(self.controller.counts.items()), sorted(gate.counts.items()) if gate else None
         )
-        self.note(
+        self.add_to_digest(
             "explain",
             [
                 (c.table, c.serial, c.version, c.parent, str(c.cause), c.changed_count, c.removed_count)
@@ -91,7 +91,7 @@
 
     def run_round(self, step):
         output = self.controller.run_round(self.now)
-        self.note(
+        self.add_to_digest(
             "pushes",
             self.now,
             [tuple(push) for push in output.pushes],
@@ -99,7 +99,7 @@
             self.controller.next_deadline_ns,
         )
         for proxy, nonce in output.pushes:
-            self.note("tables", proxy, self.tables(proxy))
+            self.add_to_digest("tables", proxy, self.tables(proxy))
             delay = ACK_DELAY_STEPS * (10 if proxy == SLOW_PROXY else 1)
             self.acks.append((step + delay, proxy, nonce))
         for proxy in output.overflowed_proxies:
@@ -110,15 +110,15 @@
             self.event_names[name] = self.event_names.get(name, 0) + 1
             stable = {key: value for key, value in fields.items() if key not in ("at", "error")}
             shown.append(repr(sorted(stable.items())))
-        self.note("events", self.now, sorted(shown))  # findings that end together come in any order
+        self.add_to_digest("events", self.now, sorted(shown))  # violations that end together have no fixed order
 
     def tables(self, proxy):
-        held = self.controller.tables_of(proxy)
+        proxy_tables = self.controller.tables_of(proxy)
         contents = [
-            (name, tuple(tuple(entry) for entry in made.entries), made.admission, made.version)
-            for name, made in sorted(held.contents.items())
+            (name, tuple(tuple(entry) for entry in content.entries), content.admission, content.version)
+            for name, content in sorted(proxy_tables.contents.items())
         ]
-        return held.tables_by_operation, contents, sorted(held.baseline_tables)
+        return proxy_tables.tables_by_operation, contents, sorted(proxy_tables.baseline_tables)
 
     def list_changes(self, *records, scope="changes"):
         self.controller.on_list_update(EndpointListChange(scope, tuple(records), ()))
@@ -130,28 +130,28 @@
         self.controller.on_proxy_disconnected(proxy)
         self.acks = [ack for ack in self.acks if ack[1] != proxy]
 
-    def asked(self, command, *arguments):
-        """An operator's command, whose errors are an output too."""
+    def run_command(self, command, *arguments):
+        """Run an operator's command; its result or error is part of the digest."""
         try:
             change = getattr(self.controller, command)(*arguments)
         except (UnknownVersionError, PinError) as error:
-            self.note("explain", command, str(error))
+            self.add_to_digest("explain", command, str(error))
         else:
-            self.note("explain", command, change and change.version)
+            self.add_to_digest("explain", command, change and change.version)
 
-    def events_of(self, step):
+    def play_events(self, step):
         self.acknowledge(step)
         if step % 10 == 5:
             for proxy in PROXIES:
                 if proxy in self.controller.proxies:
                     self.controller.on_load_report(proxy, self.load_report(proxy, step), self.now)
         if step % 50 == 0:
-            self.note(
+            self.add_to_digest(
                 "explain",
                 self.controller.explain(self.now),
                 sorted(self.controller.warming_endpoints(self.now)),
             )
-            self.note(
+            self.add_to_digest(
                 "explain",
                 sorted(self.controller.unavailable_endpoints),
                 self.controller.commanded_weights("0.1"),
@@ -207,19 +207,19 @@
         self.connect("p2", fresh=False)
 
     def at_150(self):
-        self.asked("pin", "0.1", "~1", 5 * NS_PER_S, True, "rollback", self.now)
-        self.asked("pin", "0.2", "~0", 20 * NS_PER_S, False, "pin", self.now)
-        self.asked("pin", "0.77", "~0", 20 * NS_PER_S, False, "pin", self.now)
-        self.asked("pin", "0.1", "~900", 20 * NS_PER_S, False, "pin", self.now)
-        self.asked("pin", "0.1", "~0", 20, False, "pin", self.now)
+        self.run_command("pin", "0.1", "~1", 5 * NS_PER_S, True, "rollback", self.now)
+        self.run_command("pin", "0.2", "~0", 20 * NS_PER_S, False, "pin", self.now)
+        self.run_command("pin", "0.77", "~0", 20 * NS_PER_S, False, "pin", self.now)
+        self.run_command("pin", "0.1", "~900", 20 * NS_PER_S, False, "pin", self.now)
+        self.run_command("pin", "0.1", "~0", 20, False, "pin", self.now)
 
     def at_180(self):
-        self.asked("release", "0.2", self.now)
-        self.asked("release", "0.2", self.now)
+        self.run_command("release", "0.2", self.now)
+        self.run_command("release", "0.2", self.now)
 
     def at_220(self):
-        ScriptedPolicy.extra_commands = lambda writer: [
-            writer.set_weight(1, endpoint, weight)
+        ScriptedPolicy.extra_commands = lambda commands: [
+            commands.set_weight(1, endpoint, weight)
             for endpoint, weight in (("10.0.0.0:80", 9.0), ("10.0.0.6:80", 0.0), ("10.0.0.8:80", 5.0))
         ]
 
@@ -238,15 +238,15 @@
         ScriptedPolicy.crashes = False
 
     def at_340(self):
-        ScriptedPolicy.extra_commands = lambda writer: [
-            writer.clear_table(1),
-            writer.set_ejected("10.0.0.7:80", True),
-            writer.set_admission(None, 0, 0.8, 2),
-            writer.log("level east 0: on, 0.8, time 0.71 of the objective"),
+        ScriptedPolicy.extra_commands = lambda commands: [
+            commands.clear_table(1),
+            commands.set_ejected("10.0.0.7:80", True),
+            commands.set_admission(None, 0, 0.8, 2),
+            commands.log("level east 0: on, 0.8, time 0.71 of the objective"),
         ]
 
     def at_380(self):
-        ScriptedPolicy.extra_commands = lambda writer: writer.set_weight(1, "10.0.0.0:80", float("nan"))
+        ScriptedPolicy.extra_commands = lambda commands: commands.set_weight(1, "10.0.0.0:80", float("nan"))
 
     def at_400(self):
         self.list_changes(scope="lost")
--- a/tests/controller/test_egress_queue.py
+++ b/tests/controller/test_egress_queue.py
@@ -32,7 +32,7 @@
         )
 
 
-def test_a_message_is_sent_after_its_entries_at_the_rate_and_in_order():
+def test_messages_are_sent_in_order_and_at_the_rate():
     queue = EgressQueue(100.0, 1000.0, 6.0)
     queue.enqueue({"a": 44, "b": 94}, 0)
     assert queue.pop_sent(NS_PER_S // 2 - 1) == []
--- a/tests/controller/test_endpoint_directory.py
+++ b/tests/controller/test_endpoint_directory.py
@@ -1,10 +1,10 @@
-"""What is remembered of endpoints that discovery removed."""
+"""The number of removed endpoints that the directory keeps is limited."""
 
 from tests.support.controller import list_change
 
 
-def test_removed_endpoints_are_forgotten_past_the_limit(controller, monkeypatch):
-    """A fleet whose addresses change with every deployment must not fill the memory."""
+def test_removed_endpoints_are_dropped_beyond_the_limit(controller, monkeypatch):
+    """Memory use stays bounded if each deployment gives the endpoints new addresses."""
     monkeypatch.setattr("swiftchute.controller.endpoint_directory.MAX_ENDPOINTS", 10)
     for k in range(50):
         controller.on_list_update(list_change(f"n{k}:1", scope="changes"))
--- a/tests/controller/test_load_aggregation.py
+++ b/tests/controller/test_load_aggregation.py
@@ -1,4 +1,4 @@
-"""Load reports: their sums, the rate at which they are delivered, and latencies that nobody measured."""
+"""Load reports: their totals, the delivery rate, and endpoints without a measured latency."""
 
 from swiftchute.api.events import DemandReport, EndpointLoadReport
 from swiftchute.controller.load_aggregation import DemandEntry, EndpointEntry, LoadAggregator, LoadReport
@@ -14,7 +14,7 @@
     )
 
 
-def test_the_oldest_sums_are_delivered_first_and_the_rest_adds_up():
+def test_the_oldest_totals_are_delivered_first_and_the_rest_keep_adding_up():
     aggregator = LoadAggregator(rate_entries_per_s=2.0, interval_ns=NS_PER_S)
     first = report([("read", 5, 1)], ("a:1", 4, 1, 300, 3), ("x:9", 4, 0, 1, 1))
     aggregator.add("p", "east", first, {"a:1"}, NS_PER_S)
@@ -28,7 +28,7 @@
 
 
 def test_an_endpoint_without_measured_latencies_gets_the_mean_of_the_others():
-    """The policy divides by the latency: 0 would crash it, and looks infinitely fast."""
+    """A latency of 0 would look infinitely fast, and crash the policy by a division by zero."""
     aggregator = LoadAggregator(rate_entries_per_s=100.0, interval_ns=NS_PER_S)
     both = report([], ("a:1", 4, 0, 0, 0), ("b:1", 2, 0, 500, 2))
     aggregator.add("p", "east", both, {"a:1", "b:1"}, NS_PER_S)
--- a/tests/controller/test_policy_runner.py
+++ b/tests/controller/test_policy_runner.py
@@ -1,4 +1,4 @@
-"""Crashes of the policy, its restarts, and stalls of the event loop."""
+"""Policy crashes and restarts, and stalls of the event loop."""
 
 from tests.support.controller import (
     NS_PER_S,
@@ -10,7 +10,7 @@
 )
 
 
-def test_a_crash_is_logged_and_the_next_policy_gets_the_endpoint_list(controller):
+def test_a_crash_is_logged_and_the_restarted_policy_gets_the_endpoint_list(controller):
     play(controller, 0, 2)
     before = controller.tables_of("p")
     CrashingPolicy.crashes = True
--- a/tests/controller/test_safety_review.py
+++ b/tests/controller/test_safety_review.py
@@ -1,4 +1,4 @@
-"""What the safety rules hold back, what they publish by themselves, and what they do not delay."""
+"""Tables held back by the safety rules, changes that they publish without commands, and drains in time."""
 
 import pytest
 
@@ -21,7 +21,7 @@
 
 
 class OneTablePolicy:
-    """Commands one table once: two warm endpoints, and a third at a thousand times their weight."""
+    """Commands one table once, in which a third endpoint has a thousand times the weight of the other two."""
 
     def __init__(self, settings, seed):
         self.done = False
@@ -35,7 +35,7 @@
 
 
 def acknowledgements(controller):
-    """Proxies and nonces of the acknowledgements that wait for the policy."""
+    """Return (proxy, nonce) of the acknowledgements that wait for the policy."""
     return [
         (event.proxy, event.nonce)
         for event in controller.runner.pending_events
@@ -65,7 +65,7 @@
     assert (first["rule"], first["table"], first["done"]) == ("empty pool", 1, "mended")
 
 
-def test_a_table_held_back_longer_than_the_drain_grace_raises_one_alarm(guarded_controller):
+def test_a_table_held_back_longer_than_the_drain_grace_is_logged_once(guarded_controller):
     InterferingPolicy.interference = lambda commands: commands.clear_table(1)
     names = [name for name, _ in log_events(play(guarded_controller, 2 * NS_PER_S, 6))]
     assert names.count("guard") == 1  # logged once, then counted
@@ -88,7 +88,7 @@
     assert pushes > 5
 
 
-def test_rules_that_only_warn_publish_tables_as_commanded():
+def test_without_enforcement_tables_are_published_as_commanded_and_violations_logged():
     controller = Controller(SETTINGS, 7, InterferingPolicy, safety_rules=SafetyRules(), enforce=False)
     start(controller, "a:1", "b:1")
     play(controller, 0, 2)
@@ -98,8 +98,8 @@
     assert [fields["done"] for name, fields in events if name == "guard"][:1] == ["warned"]
 
 
-def test_a_policy_whose_weights_oscillate_leaves_messages_for_drains(busy_controller):
-    """Oscillations that use up the message quota delayed a drain beyond its bound."""
+def test_oscillating_weights_leave_part_of_the_message_quota_for_drains(busy_controller):
+    """Guards against a drain that is late because oscillating weights have used up the message quota."""
     controller, policy = busy_controller
     now = 1001 * NS_PER_S
     for k in range(20):
@@ -114,8 +114,8 @@
     assert published_weights(controller).keys() == {"a", "d"}
 
 
-def test_a_withheld_message_is_not_sent_and_its_nonce_is_answered_by_what_the_proxy_holds(busy_controller):
-    """Left open, the nonce would reserve egress budget in the policy, and delay assignments."""
+def test_the_nonce_of_a_withheld_message_is_acknowledged_once_the_proxy_is_up_to_date(busy_controller):
+    """An unacknowledged nonce would keep egress budget reserved in the policy and delay assignments."""
     controller, policy = busy_controller
     send_times_ns = controller.egress_queue.send_times_ns["p"]
     send_times_ns.extend([1001 * NS_PER_S] * 9)  # nearly the whole message quota
@@ -138,7 +138,7 @@
 def test_a_share_moved_to_another_table_waits_for_the_acknowledgement_of_the_first(busy_controller):
     controller, policy = busy_controller
     now = 1001 * NS_PER_S
-    for _ in range(8):  # each endpoint answers 10 requests per second, and 10 come to each proxy
+    for _ in range(8):  # each endpoint serves 10 requests per second, and each proxy receives 10
         now += NS_PER_S
         controller.runner.pending_events += [
             EndpointLoadReport("east", endpoint, 10, 0, 1, NS_PER_S, None) for endpoint in "abd"
@@ -161,12 +161,12 @@
     assert controller.publish_gate.allowed[2][0]["c"] == pytest.approx(1.2)
 
 
-def test_a_drain_that_the_policy_ignores_is_published_soon_after_the_list_change(busy_controller):
+def test_a_drain_ignored_by_the_policy_is_published_within_half_a_second_of_the_list_change(busy_controller):
     controller, _ = busy_controller
     now = 1001 * NS_PER_S + NS_PER_S // 10
     controller.run_round(now)
     controller.on_list_update(list_change("b", scope="changes", state="draining"))
-    pushes = controller.run_round(now + 5_000_000).pushes  # an event has a round soon
+    pushes = controller.run_round(now + 5_000_000).pushes  # an event triggers a round soon after
     while now < 1002 * NS_PER_S and len(pushes) < 2:
         now = max(controller.next_deadline_ns, now + 1)
         pushes += controller.run_round(now).pushes
