--- a/tests/controller/test_controller.py
+++ b/tests/controller/test_controller.py
@@ -1,4 +1,4 @@
-"""The whole controller: tables of proxies, messages that exceed the egress queue, and the message quota."""
+"""The whole controller: tables of proxies, messages that exceed the egress queue, and message quotas."""
 
 from dataclasses import replace
 
@@ -28,7 +28,7 @@
     assert controller.runner.policy.budget.unacknowledged_entries == 0  # every nonce was acknowledged
 
 
-def test_a_message_that_exceeds_the_egress_queue_is_logged_and_its_proxy_is_to_be_disconnected():
+def test_a_message_that_exceeds_the_egress_queue_is_logged_and_its_proxy_reported():
     controller = start(Controller(replace(SETTINGS, egress_queue_limit_entries=8.0), 7, VerbosePolicy), "a:1")
     output = controller.run_round(0)
     assert output.overflowed_proxies == ["p"]
--- a/tests/controller/test_digest.py
+++ b/tests/controller/test_digest.py
@@ -110,7 +110,7 @@
             self.event_names[name] = self.event_names.get(name, 0) + 1
             stable = {key: value for key, value in fields.items() if key not in ("at", "error")}
             shown.append(repr(sorted(stable.items())))
-        self.add_to_digest("events", self.now, sorted(shown))  # violations that end together have no fixed order
+        self.add_to_digest("events", self.now, sorted(shown))  # violations that end together are unordered
 
     def tables(self, proxy):
         proxy_tables = self.controller.tables_of(proxy)
--- a/tests/controller/test_safety_review.py
+++ b/tests/controller/test_safety_review.py
@@ -1,4 +1,4 @@
-"""Tables held back by the safety rules, changes that they publish without commands, and drains in time."""
+"""What the safety rules hold back, what they publish without commands, and what they must not delay."""
 
 import pytest
 
@@ -21,7 +21,7 @@
 
 
 class OneTablePolicy:
-    """Commands one table once, in which a third endpoint has a thousand times the weight of the other two."""
+    """Commands one table once: endpoint `c:1` has a thousand times the weight of the two warm endpoints."""
 
     def __init__(self, settings, seed):
         self.done = False
