--- a/swiftchute/controller/acknowledgements.py
+++ b/swiftchute/controller/acknowledgements.py
@@ -37,7 +37,7 @@
         """Record that the message that would have carried the nonce is not sent."""
         self.withheld[proxy] = nonce
 
-    def can_answer_for(self, proxy: Any) -> bool:
+    def can_acknowledge_for(self, proxy: Any) -> bool:
         """Return whether the newest nonce of a proxy is a withheld one.
 
         The controller acknowledges it on the proxy's behalf once the proxy has acknowledged everything that
--- a/swiftchute/controller/assignments.py
+++ b/swiftchute/controller/assignments.py
@@ -187,7 +187,7 @@
             + len(self.ejected & content.weights.keys())
             + len(self.common_admission)
         )
-        # entries changed earlier in this round are part of the whole table; `finish_round` adds them
+        # `finish_round` adds the entries changed earlier in this round; they must not be counted twice
         entries -= self.current_round.changed_entries_by_table.get(table, 0)
         self._add_entries(proxy, entries)
 
--- a/swiftchute/controller/canary_rollout.py
+++ b/swiftchute/controller/canary_rollout.py
@@ -1,7 +1,8 @@
-"""Canary rollouts: a large change of a table goes to some of its proxies first; load reports decide the rest.
+"""Canary rollouts: large changes of a table go to some of its proxies first.
 
-`swiftchute.versions.canary` evaluates the reports. This module passes changes, proxies and reports to it,
-stores the baseline content that the other proxies hold meanwhile, and completes or rolls back the change.
+`swiftchute.versions.canary` decides from load reports whether the other proxies follow. This module passes it
+changes, proxies and reports, stores the baseline content that the other proxies hold meanwhile, and completes
+or rolls back the change.
 """
 
 from typing import Any
--- a/swiftchute/controller/controller.py
+++ b/swiftchute/controller/controller.py
@@ -198,7 +198,7 @@
             contents = self.deliveries.holdings_by_proxy[proxy][-1].contents
             versions = {name: content.version for name, content in contents.items()}
             self.canaries.on_acknowledged(proxy, versions, now)
-        if self.nonces.can_answer_for(proxy):
+        if self.nonces.can_acknowledge_for(proxy):
             self.on_acknowledged(proxy, self.nonces.withheld.pop(proxy), now)
 
     def on_load_report(self, proxy: Any, report: LoadReport, now: int) -> None:
@@ -318,12 +318,12 @@
             return
         self._review(result.changed_entries_by_table, now)
         self.safety_review.withhold(result, self.nonces)
-        answerable = [
+        up_to_date_proxies = [
             proxy
             for proxy in self.nonces.withheld
-            if self.deliveries.is_up_to_date(proxy) and self.nonces.can_answer_for(proxy)
+            if self.deliveries.is_up_to_date(proxy) and self.nonces.can_acknowledge_for(proxy)
         ]
-        for proxy in answerable:
+        for proxy in up_to_date_proxies:
             self.on_acknowledged(proxy, self.nonces.withheld.pop(proxy), now)
 
     def _review(self, changed: Collection[int], now: int, urgent: Collection[int] = ()) -> None:
--- a/swiftchute/simulator/host.py
+++ b/swiftchute/simulator/host.py
@@ -1,4 +1,4 @@
-"""Answers each line of the simulator's input with one line of output; each instance has its own policy."""
+"""Answers each line of the simulator's input with one line of output; instances are isolated from each other."""
 
 import json
 import traceback
--- a/tests/controller/test_acknowledgements.py
+++ b/tests/controller/test_acknowledgements.py
@@ -15,9 +15,9 @@
 def test_a_withheld_nonce_can_be_acknowledged_until_a_newer_one_is_commanded():
     nonces = NonceTracker()
     nonces.withhold("p", 1)
-    assert nonces.can_answer_for("p")
+    assert nonces.can_acknowledge_for("p")
     nonces.on_command(2, ["p"], 0)
-    assert not nonces.can_answer_for("p")
+    assert not nonces.can_acknowledge_for("p")
 
 
 def test_command_times_of_the_oldest_nonces_are_dropped(monkeypatch):
@@ -34,4 +34,4 @@
     nonces.withhold("p", 2)
     nonces.on_proxy_disconnected("p")
     assert nonces.pop_unsent("p") is None
-    assert not nonces.can_answer_for("p")
+    assert not nonces.can_acknowledge_for("p")
