--- a/swiftchute/simulator/host.py
+++ b/swiftchute/simulator/host.py
@@ -1,4 +1,4 @@
-"""Answers each line of the simulator's input with one line of output; instances are isolated from each other."""
+"""Answers each line of the simulator's input with one line of output, with isolated instances."""
 
 import json
 import traceback
