--- a/swiftchute/platform/discovery_client.py
+++ b/swiftchute/platform/discovery_client.py
@@ -1,11 +1,11 @@
-"""Which connections to discovery there are, whose updates count, and when to connect again. No I/O, no clock.
+"""Manages the connections to the discovery service. No I/O, no clock.
 
-At most two connections are in use: the current one, and the previous one until the current has brought a
-line and has caught up with all that is known. Updates of both count, those of any other do not. So a change
-of the address, or a watch that has fallen silent, leaves no gap, and neither does a discovery that lags
-behind the previous one.
+At most two connections are in use: the current one, and the previous one until the current one has delivered
+a line and caught up with the latest known revision. Updates from both are applied, those from any other
+connection are ignored. No change is therefore lost when the address changes, when a watch falls silent, or
+when the new discovery server lags behind the previous one.
 
-What the transport is to do comes from `take_commands`, to be called after each other method.
+Call `take_commands` after every other method: it yields what the transport must do.
 """
 
 from collections.abc import Iterator
@@ -20,10 +20,10 @@
 from swiftchute.platform.errors import DiscoveryError
 
 NS_PER_S = 1_000_000_000
-# An empty line comes every 2 s, and a change counts as delivered 6 s after it: two missed lines, a connection
-# and its answer have to fit into that.
+# Discovery sends an empty line every 2 s and guarantees delivery of a change within 6 s. Two missed lines, a
+# reconnect and the response to it must fit into those 6 s.
 SILENCE_TIMEOUT_NS = 21 * NS_PER_S // 5
-ANSWER_TIMEOUT_NS = NS_PER_S  # from the command to connect to the head of the answer
+RESPONSE_TIMEOUT_NS = NS_PER_S  # from the command to connect to the head of the response
 FIRST_RECONNECT_WAIT_NS = NS_PER_S // 10
 MAX_RECONNECT_WAIT_NS = NS_PER_S
 
@@ -32,39 +32,39 @@
 
 
 class DiscoveryConnection(msgspec.Struct, eq=False):
-    """One connection to discovery, from the command to open it on."""
+    """One connection to discovery; it exists from the command to open it."""
 
     address: Address
     watch: DiscoveryWatch
-    last_activity_ns: int  # when it was opened, or bytes last arrived
-    overdue: bool = False  # it was silent for too long when last checked
-    transport: Any = None  # belongs to the server
+    last_activity_ns: int  # when it was opened or last received bytes
+    overdue: bool = False  # silent for longer than the timeout at the last check
+    transport: Any = None  # set and used by the server only
 
 
 class OpenConnection(msgspec.Struct, frozen=True):
-    """Connect, and report `connection_opened` or `connection_closed`."""
+    """Connect, then call `connection_opened` or `connection_closed`."""
 
     connection: DiscoveryConnection
 
 
 class CloseConnection(msgspec.Struct, frozen=True):
-    """Close the connection, or give up opening it."""
+    """Close the connection, or abort the attempt to open it."""
 
     connection: DiscoveryConnection
 
 
 class DiscoveryClient:
-    """The connections of this process to discovery."""
+    """The connections of this instance to discovery."""
 
     def __init__(self, endpoint_list: EndpointList, random: Random) -> None:
-        """Start without an address.
+        """Create a client that has no address yet.
 
         Args:
-            endpoint_list: The list that is updated.
-            random: Source of the jitter between connections.
+            endpoint_list: The list that the connections update.
+            random: Random source of the reconnect jitter.
         """
         self.endpoint_list = endpoint_list
-        self.heard_ns: int | None = None  # when a watch last said what has changed, or that nothing has
+        self.list_confirmed_ns: int | None = None  # when a watch last delivered a change or reported none
         self.address: Address | None = None
         self.current: DiscoveryConnection | None = None
         self.previous: DiscoveryConnection | None = None
@@ -74,7 +74,7 @@
         self._log_events: list[LogEvent] = []
 
     def set_address(self, address: Address, now_ns: int) -> None:
-        """Watch discovery there; the connection so far counts until that one has brought a line."""
+        """Watch discovery at this address; the old connection stays in use until the new one catches up."""
         if address == self.address:
             return
         self.address, self._connect_at_ns = address, now_ns
@@ -82,7 +82,7 @@
         self._replace_current()
 
     def take_commands(self, now_ns: int) -> Iterator[OpenConnection | CloseConnection]:
-        """Yield what the transport is to do now."""
+        """Yield the commands that the transport must carry out now."""
         if self.current is None and self.address is not None and now_ns >= self._connect_at_ns:
             watch = DiscoveryWatch(self.endpoint_list, _format_address(self.address))
             self.current = DiscoveryConnection(self.address, watch, now_ns)
@@ -92,16 +92,16 @@
             yield CloseConnection(connection)
 
     def take_log_events(self) -> list[LogEvent]:
-        """Return the log events since the last call, each with its fields."""
+        """Return the name and fields of each log event since the last call."""
         events, self._log_events = self._log_events, []
         return events
 
     def connection_opened(self, connection: DiscoveryConnection) -> bytes | None:
-        """Return the bytes of the request; None if the connection is not in use any more."""
+        """Return the encoded request, or None if the connection is no longer in use."""
         return connection.watch.request() if self._is_in_use(connection) else None
 
     def receive_data(self, connection: DiscoveryConnection, data: bytes, now_ns: int) -> Iterator[ListUpdate]:
-        """Handle bytes of a connection and yield what they change."""
+        """Handle received bytes and yield the resulting list updates."""
         if not self._is_in_use(connection):
             return
         connection.last_activity_ns, connection.overdue = now_ns, False
@@ -112,12 +112,12 @@
             self.connection_closed(connection, str(error), now_ns)
         watch = connection.watch
         if watch.has_update:
-            self.heard_ns = now_ns
+            self.list_confirmed_ns = now_ns
         if connection is self.current and watch.has_line and watch.lagging is None:
             self._close_previous()
 
     def connection_closed(self, connection: DiscoveryConnection, cause: str, now_ns: int) -> None:
-        """Handle the end of a connection, or that it could not be opened."""
+        """Handle a connection that ended or could not be opened."""
         if connection is self.previous:
             self.previous = None
         elif connection is self.current:
@@ -125,17 +125,17 @@
             self._schedule_reconnect(connection, cause, now_ns, backoff=True)
 
     def check_timeouts(self, now_ns: int) -> Iterator[ListUpdate]:
-        """Replace a silent connection, and yield the lists that count now for the time that has passed.
+        """Replace a silent connection, and yield the lists of lagging watches whose time has run out.
 
-        Sockets must be read between two calls: bytes may wait there if this process was stopped, so that a
-        connection is replaced only when it is overdue twice.
+        The sockets must be read between two calls: if this process was suspended, bytes may be waiting there.
+        A connection is therefore replaced only if it is overdue in two consecutive checks.
         """
         connection = self.current
         if connection is not None and self._is_silent(connection, now_ns):
             if connection.overdue:
                 answered = connection.watch.answered
                 silent_s = (now_ns - connection.last_activity_ns) / NS_PER_S
-                cause = f"{'silent' if answered else 'no answer'} for {silent_s:.1f} s"
+                cause = f"{'silent' if answered else 'no response'} for {silent_s:.1f} s"
                 self._schedule_reconnect(connection, cause, now_ns, backoff=not answered)
                 self._replace_current()
             connection.overdue = True
@@ -149,11 +149,11 @@
 
     @staticmethod
     def _is_silent(connection: DiscoveryConnection, now_ns: int) -> bool:
-        timeout_ns = SILENCE_TIMEOUT_NS if connection.watch.answered else ANSWER_TIMEOUT_NS
+        timeout_ns = SILENCE_TIMEOUT_NS if connection.watch.answered else RESPONSE_TIMEOUT_NS
         return now_ns - connection.last_activity_ns > timeout_ns
 
     def _replace_current(self) -> None:
-        """Make room for a new connection; the current one becomes the previous if it was ever answered."""
+        """Make room for a new connection; the current one becomes the previous one if it got a response."""
         unused, self.current = self.current, None
         if unused is not None and unused.watch.answered:
             unused, self.previous = self.previous, unused
@@ -168,7 +168,7 @@
     def _schedule_reconnect(
         self, connection: DiscoveryConnection, cause: str, now_ns: int, backoff: bool
     ) -> None:
-        """Connect again, at once or after a wait that grows until a connection brings an update."""
+        """Reconnect at once, or after a backoff that is reset once a connection has delivered an update."""
         self._log_events.append(
             ("discovery lost", {"address": _format_address(connection.address), "cause": cause})
         )
--- a/swiftchute/platform/discovery_messages.py
+++ b/swiftchute/platform/discovery_messages.py
@@ -1,7 +1,7 @@
-"""The lines of a discovery watch, with their names on the wire. No I/O.
+"""Decodes the lines of a discovery watch and maps the field names of the protocol. No I/O.
 
-A line names the whole endpoint list (`complete`) or only what changed. A member that cannot be used is left
-out and its cause kept; the rest of the line counts.
+A line holds either the complete endpoint list (`complete`) or only the changed members. An invalid member is
+rejected and its cause is kept; the rest of the line is applied.
 """
 
 from typing import Annotated
@@ -11,7 +11,7 @@
 from swiftchute.api.endpoints import EndpointRecord, EndpointState
 from swiftchute.platform.errors import DiscoveryError
 
-MAX_ENDPOINTS = 20_000  # of a list
+MAX_ENDPOINTS = 20_000  # per list
 NS_PER_MS = 1_000_000
 _STATES = {
     "Ready": EndpointState.READY,
@@ -45,12 +45,12 @@
 
 
 class WatchLine(msgspec.Struct):
-    """A line of a watch, decoded."""
+    """A decoded line of a watch."""
 
     revision: int
-    complete: bool  # names the whole list
+    complete: bool  # holds the complete list instead of changes
     endpoints: dict[str, EndpointRecord] = msgspec.field(default_factory=dict)
-    rejected: list[str] = msgspec.field(default_factory=list)  # causes, one for each member that was left out
+    rejected: list[str] = msgspec.field(default_factory=list)  # one cause per rejected member
 
 
 def decode_line(text: bytes, zones: tuple[str, ...]) -> WatchLine:
@@ -61,14 +61,14 @@
         zones: The zones that an endpoint may be in.
 
     Raises:
-        DiscoveryError: The line as a whole cannot be used.
+        DiscoveryError: The line as a whole is invalid.
     """
     try:
         message = _line_decoder.decode(text)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise DiscoveryError(f"not a list: {error}") from None
+        raise DiscoveryError(f"invalid endpoint list: {error}") from None
     if len(message.members) > MAX_ENDPOINTS:
-        raise DiscoveryError(f"{len(message.members)} members; {MAX_ENDPOINTS} at most")
+        raise DiscoveryError(f"endpoint list has {len(message.members)} members; {MAX_ENDPOINTS} at most")
     line = WatchLine(message.revision, message.complete)
     for number, raw in enumerate(message.members, 1):
         try:
@@ -87,9 +87,9 @@
         raise DiscoveryError(f": {error}") from None
     state = _STATES.get(member.phase)
     if state is None:
-        raise DiscoveryError(f", {member.endpoint!r}: phase {member.phase!r} is not known")
+        raise DiscoveryError(f", {member.endpoint!r}: unknown phase {member.phase!r}")
     if member.zone not in zones:
-        raise DiscoveryError(f", {member.endpoint!r}: locality {member.zone!r} is not known")
+        raise DiscoveryError(f", {member.endpoint!r}: unknown locality {member.zone!r}")
     started_ns = int(member.started_ms * NS_PER_MS)
     return EndpointRecord(
         member.endpoint, member.zone, member.kind, member.cell, state, member.weight, started_ns
--- a/swiftchute/platform/discovery_watch.py
+++ b/swiftchute/platform/discovery_watch.py
@@ -1,7 +1,7 @@
-"""One watch connection to discovery: HTTP/1.1 by h11, a JSON list update a line. No I/O, no clock.
+"""One watch connection to discovery: HTTP/1.1 (h11), one JSON list update per line. No I/O, no clock.
 
-The watch goes on from the last revision that is known. Where `receive_data` raises `DiscoveryError` the
-connection is of no more use; the last good list stays.
+The watch resumes after the last known revision. When `receive_data` raises `DiscoveryError`, the connection
+must be closed; the last good list is kept.
 """
 
 from collections.abc import Iterator
@@ -13,30 +13,30 @@
 
 WATCH_PATH = "/catalog/members"
 MAX_LINE_BYTES = 8 << 20
-MAX_DELIVERY_DELAY_NS = 6_000_000_000  # by then discovery has delivered every change, its protocol says
+MAX_DELIVERY_DELAY_NS = 6_000_000_000  # the protocol guarantees delivery of every change within this time
 
 
 class DiscoveryWatch:
-    """The state machine of one connection."""
+    """The protocol state machine of one watch connection."""
 
     def __init__(self, endpoint_list: EndpointList, host: str) -> None:
-        """Start a watch that has not requested anything.
+        """Create a watch that has not sent its request yet.
 
         Args:
             endpoint_list: The list that the watch updates.
-            host: Value of the request's Host header.
+            host: Value of the Host header of the request.
         """
         self.endpoint_list = endpoint_list
         self.host = host
-        self.answered = False  # the head of the answer has arrived
-        self.has_line = False  # a line has arrived, if only an empty one
-        self.has_update = False  # a list or changes have arrived
-        self.lagging: LaggingList | None = None
+        self.answered = False  # the head of the response has arrived
+        self.has_line = False  # a line has arrived, possibly an empty one
+        self.has_update = False  # a list or a change has arrived
+        self.lagging: LaggingList | None = None  # set while discovery lags behind the known revision
         self._http = h11.Connection(h11.CLIENT)
         self._unparsed = bytearray()
 
     def request(self) -> bytes:
-        """Return the bytes of the request."""
+        """Return the encoded request."""
         revision = self.endpoint_list.revision
         after = "" if revision is None else f"&after={revision}"
         request = h11.Request(
@@ -47,14 +47,14 @@
         return (self._http.send(request) or b"") + (self._http.send(h11.EndOfMessage()) or b"")
 
     def receive_data(self, data: bytes, now_ns: int) -> Iterator[ListUpdate]:
-        """Handle bytes, in pieces of any size.
+        """Handle received bytes, split at any place, and yield the resulting list updates.
 
         Args:
-            data: The bytes; none are the end of the connection.
-            now_ns: The present time, nanoseconds.
+            data: The bytes; empty at the end of the connection.
+            now_ns: The current time in nanoseconds.
 
         Raises:
-            DiscoveryError: The answer cannot be used, or has ended.
+            DiscoveryError: The response is invalid or has ended.
         """
         try:
             self._http.receive_data(data)
@@ -64,12 +64,12 @@
                     return
                 if isinstance(event, h11.Response):
                     if event.status_code != 200:
-                        raise DiscoveryError(f"status {event.status_code}")
+                        raise DiscoveryError(f"HTTP status {event.status_code} instead of 200")
                     self.answered = True
                 elif isinstance(event, h11.Data):
                     yield from self._receive_body(bytes(event.data), now_ns)
                 elif isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
-                    raise DiscoveryError("the watch ended")
+                    raise DiscoveryError("discovery ended the watch")
         except h11.RemoteProtocolError as error:
             raise DiscoveryError(f"not HTTP: {error}") from None
 
@@ -83,7 +83,7 @@
                 if line.strip():
                     yield from self._receive_line(line, now_ns)
         if len(self._unparsed) > MAX_LINE_BYTES:
-            raise DiscoveryError(f"a line of more than {MAX_LINE_BYTES} bytes")
+            raise DiscoveryError(f"watch line too long: more than {MAX_LINE_BYTES} bytes")
 
     def _receive_line(self, line: bytes, now_ns: int) -> Iterator[ListUpdate]:
         is_first, self.has_update = not self.has_update, True
@@ -100,7 +100,7 @@
             yield update
 
     def check_lag(self, now_ns: int) -> ListUpdate | None:
-        """Adopt the list of a watch that lags once it has caught up, or has had the time to."""
+        """Adopt a lagging list once it has caught up, or once the maximum delivery delay has passed."""
         lagging = self.lagging
         if lagging is None:
             return None
--- a/swiftchute/platform/egress_ledger.py
+++ b/swiftchute/platform/egress_ledger.py
@@ -1,10 +1,10 @@
-"""What was written to proxies and may still wait in the channel. No I/O; the time comes in with each call.
+"""Accounts for entries written to proxies that may still wait in the egress queue. No I/O, no clock.
 
-The ledger outlives policies and sessions. It counts what was written, not what a policy reserved, in entries:
-a message costs its overhead and its entries. A message is settled once its proxy acknowledges it or a later
-one. What a session that ended had not acknowledged stays in the channel, so it stays counted until a message
-that was written later is acknowledged, as messages leave the channel in the order in which they were written,
-or until the slowest channel would have sent it.
+The ledger outlives policies and sessions. It counts what was written, not what a policy reserved. The unit is
+entries: a message costs its entries plus a fixed overhead. A message is settled once its proxy acknowledges
+it or a later one. Unacknowledged messages of a session that has ended stay in the queue, so they stay counted
+until a message that was written later is acknowledged (messages leave the queue in the order in which they
+were written), or until even the slowest channel would have sent them.
 """
 
 import math
@@ -21,34 +21,34 @@
 
 
 class WrittenMessage(msgspec.Struct, frozen=True, gc=False):
-    """A message that its proxy has not acknowledged."""
+    """A message that the proxy has not acknowledged."""
 
     nonce: int | None
     round_number: int
-    entries: int  # with the overhead of a message
-    sent_by_ns: int  # when even the slowest channel has sent it
+    entries: int  # including the message overhead
+    sent_by_ns: int  # when even the slowest channel will have sent it
 
 
 class UnsettledRound(msgspec.Struct):
-    """What was written in one round to sessions that have ended since."""
+    """Unacknowledged entries written in one round to sessions that have since ended."""
 
     entries: int = 0
     sent_by_ns: int = 0
 
 
 class EgressLedger:
-    """Entries on their way to proxies.
+    """Counts the entries on their way to proxies.
 
     Attributes:
-        in_flight_entries: Written on open sessions and not acknowledged.
-        ended_entries: Not settled, on sessions that have ended.
-        max_total_entries: The largest sum of these since the start.
-        commanded_entries: What the policy commanded since the start, without overheads.
-        written_entries: What was written since the start, without overheads.
+        in_flight_entries: Unacknowledged entries of open sessions.
+        ended_entries: Unsettled entries of sessions that have ended.
+        max_total_entries: The maximum of the sum of these two since the start.
+        commanded_entries: Entries that the policy commanded since the start, without overheads.
+        written_entries: Entries written since the start, without overheads.
     """
 
     def __init__(self, settings: Settings) -> None:
-        """Start with an empty channel."""
+        """Start with an empty egress queue."""
         self._limit_entries = int(settings.egress_queue_limit_entries)
         self._overhead_entries = math.ceil(settings.message_overhead_entries)
         self._slowest_rate_per_s = MIN_CHANNEL_SPEED_RATIO * settings.egress_rate_entries_per_s
@@ -64,22 +64,22 @@
 
     @property
     def total_entries(self) -> int:
-        """Entries that may wait in the channel."""
+        """Entries that may still wait in the egress queue."""
         return self.in_flight_entries + self.ended_entries
 
     @property
     def free_entries(self) -> float:
-        """Entries that one more message may have, so that what waits stays within the limit.
+        """Entries that the next message may have without exceeding the limit of the queue.
 
-        A message that exceeds the whole queue by itself is written once nothing else waits.
+        It is infinite while the queue is empty, so that a message larger than the whole queue can be written.
         """
         if not self.total_entries:
             return math.inf
         return self._limit_entries - self.total_entries - self._overhead_entries
 
     @property
-    def figures(self) -> dict[str, int]:
-        """What is counted, by the names of the log's fields."""
+    def log_fields(self) -> dict[str, int]:
+        """The counters by their names in the log."""
         return {
             "in_flight": self.in_flight_entries,
             "of_ended_sessions": self.ended_entries,
@@ -90,23 +90,23 @@
         }
 
     def begin_round(self, now_ns: int) -> None:
-        """Start a round: what is written from now on is later than all before."""
+        """Start a round, whose messages are queued after all earlier ones, and settle overdue messages."""
         self._round_number += 1
         self._round_started_ns = now_ns
         for number in [number for number, each in self._unsettled.items() if now_ns >= each.sent_by_ns]:
             self._settle(number)
 
     def record_commands(self, entries: Iterable[int]) -> None:
-        """Note the entries to each proxy that the policy commanded in a round."""
+        """Add the entries that the policy commanded in a round, given per proxy."""
         self.commanded_entries += sum(entries)
 
     def record_message(self, session: ProxySession, nonce: int | None, entries: int) -> None:
-        """Note a message that is written.
+        """Record a message that is being written.
 
         Args:
-            session: Where it is written.
-            nonce: Number that the proxy is to acknowledge, if any.
-            entries: Its entries, without the overhead.
+            session: The session that it is written to.
+            nonce: The nonce that the proxy must acknowledge, if any.
+            entries: The entries of the message, without the overhead.
         """
         cost = entries + self._overhead_entries
         self.written_entries += entries
@@ -117,7 +117,7 @@
         self._messages.setdefault(session, deque()).append(message)
 
     def acknowledge(self, session: ProxySession, nonce: int) -> None:
-        """Settle the message of a nonce that the session owed, and all that left the channel before it."""
+        """Settle the message with this pending nonce, and all messages that left the queue before it."""
         messages = self._messages.get(session)
         while messages:
             message = messages.popleft()
@@ -127,7 +127,7 @@
                 return
 
     def end_session(self, session: ProxySession) -> int:
-        """Handle the end of a session; return the entries that it had not acknowledged."""
+        """Handle the end of a session and return the number of its unacknowledged entries."""
         messages = self._messages.pop(session, ())
         for message in messages:
             unsettled = self._unsettled.setdefault(message.round_number, UnsettledRound())
@@ -139,9 +139,9 @@
         return entries
 
     def _settle_before(self, round_number: int) -> None:
-        """Settle the ended sessions' messages of earlier rounds.
+        """Settle the messages of ended sessions from earlier rounds.
 
-        Those of the same round stay: the order in which the channel took them is not known.
+        Messages of the same round stay, because their order in the queue is not known.
         """
         for number in [number for number in self._unsettled if number < round_number]:
             self._settle(number)
--- a/swiftchute/platform/listed_endpoints.py
+++ b/swiftchute/platform/listed_endpoints.py
@@ -1,33 +1,33 @@
-"""What is known of each endpoint from the endpoint lists so far. No I/O.
+"""The history of each endpoint according to the endpoint lists received so far. No I/O.
 
-A proxy that was connected to another instance may still eject endpoints by that instance's command, which
-nobody here knows of. Only an endpoint that was listed as not ready, or that has restarted, can have been
-ejected by anybody: `possibly_ejected` names these.
+A proxy that was connected to another instance may still hold endpoints ejected by that instance, and this
+one does not know which. Only an endpoint that was listed as not ready, or that has restarted, can have been
+ejected by any instance: `possibly_ejected` holds these.
 """
 
 from collections.abc import Iterable
 
 from swiftchute.api.endpoints import EndpointRecord, EndpointState
 
-MAX_REMOVED_ENDPOINTS = 1000  # remembered, as they may come back and late reports name them
+MAX_REMOVED_ENDPOINTS = 1000  # kept because they may return and late reports may name them
 
 
 class ListedEndpoints:
-    """Endpoints of the list with their last start, and those that lately left it."""
+    """The listed endpoints with their last start times, and those removed recently."""
 
     def __init__(self) -> None:
-        """No list has arrived yet."""
-        self.started_ns: dict[str, int] = {}  # of each listed endpoint
-        self.possibly_ejected: set[str] = set()  # of the listed ones
+        """Start without a list."""
+        self.started_ns: dict[str, int] = {}  # by listed endpoint
+        self.possibly_ejected: set[str] = set()  # listed endpoints only
         self.not_ready: set[str] = set()  # draining or removed
-        self.removed: dict[str, None] = {}  # the latest last
+        self.removed: dict[str, None] = {}  # ordered, most recent last
 
     def update(self, records: Iterable[EndpointRecord], snapshot: bool) -> None:
-        """Note a list or changes to it.
+        """Record a complete list or changes to the list.
 
         Args:
-            records: The endpoints named.
-            snapshot: Whether endpoints that are not named are removed.
+            records: The endpoints in the update.
+            snapshot: Whether the list is complete, so that all other endpoints are removed.
         """
         first_list = not self.started_ns
         if snapshot:
@@ -44,7 +44,7 @@
     def _add(self, record: EndpointRecord, first_list: bool) -> None:
         endpoint, ready = record.endpoint, record.state == EndpointState.READY
         previous_start = self.started_ns.get(endpoint)
-        # Nobody can have ejected an endpoint that no list has named before.
+        # No instance can have ejected an endpoint that has never been listed before.
         is_new = previous_start is None and not first_list and endpoint not in self.removed
         restarted = previous_start != record.started_ns and not is_new and bool(record.started_ns)
         if not ready or restarted:
@@ -64,5 +64,5 @@
         if len(self.removed) > MAX_REMOVED_ENDPOINTS:
             oldest = next(iter(self.removed))
             del self.removed[oldest]
-            if oldest not in self.started_ns:  # else it is listed again, and may be draining
+            if oldest not in self.started_ns:  # otherwise it is listed again and may be draining
                 self.not_ready.discard(oldest)
--- a/swiftchute/platform/server.py
+++ b/swiftchute/platform/server.py
@@ -1,7 +1,7 @@
-"""The sockets, timers and signals of one process; its rules are in the state machines that it calls.
+"""The sockets, timers and signals of one instance; all decisions are made by the state machines it calls.
 
-What lies in the sockets when a round is due is read before it: one turn of the event loop polls all
-sockets, so that a round waits for a whole turn after its timer.
+Input that is already waiting in the sockets when a round is due is read before the round runs. One iteration
+of the event loop polls all sockets, so the round is delayed by one full iteration after its timer.
 """
 
 import asyncio
@@ -34,16 +34,16 @@
 
 
 def steady_clock() -> Callable[[], int]:
-    """Return a clock that never goes back: the monotonic clock plus the offset of Unix time at the start.
+    """Return a Unix clock that never goes back: the monotonic clock plus its offset to the Unix time now.
 
-    A wall clock that is stepped later does not move it; `start_times` compares it with others' times.
+    Later steps of the wall clock do not affect it. `start_times` compares it with times of other machines.
     """
     offset = time.time_ns() - time.monotonic_ns()
     return lambda: time.monotonic_ns() + offset
 
 
 class Server:
-    """One running process."""
+    """One running instance."""
 
     event_loop: asyncio.AbstractEventLoop
 
@@ -53,15 +53,15 @@
         environment: Mapping[str, str],
         log: Callable[..., None],
     ) -> None:
-        """Build the state machines; nothing is opened yet.
+        """Create the state machines without opening any socket.
 
         Args:
-            configuration: The configuration that was read.
-            environment: Where it is read from again.
+            configuration: The configuration to start with.
+            environment: The environment variables from which a reload reads the configuration again.
             log: Called with the name and the fields of each event.
 
         Raises:
-            SettingsError: The endpoint list of the configuration cannot be used.
+            SettingsError: The endpoint list in the configuration is invalid.
         """
         self.configuration = configuration
         self.environment = environment
@@ -77,7 +77,7 @@
         self._requested_round: asyncio.TimerHandle | None = None
         self._idle_round: asyncio.TimerHandle | None = None
         self._round_cpu_ns = 0
-        self._all_closed: asyncio.Event | None = None  # exists once the process stops
+        self._all_closed: asyncio.Event | None = None  # None until the process is stopping
         if configuration.known_list is not None:
             try:
                 self.on_list_update(self.endpoint_list.load_cached(configuration.known_list))
@@ -86,7 +86,7 @@
 
     @property
     def stopping(self) -> bool:
-        """Whether the process was ordered to stop."""
+        """Whether the process is stopping."""
         return self._all_closed is not None
 
     def _usable_sockets(self) -> int:
@@ -98,10 +98,10 @@
         """Serve until SIGTERM or SIGINT.
 
         Args:
-            signals: Those that came before the event loop handles them.
+            signals: The signals received before the event loop handles them.
 
         Raises:
-            SettingsError: The address to listen at cannot be used.
+            SettingsError: The listening address cannot be used.
         """
         self.event_loop = asyncio.get_running_loop()
         stop = asyncio.Event()
@@ -133,7 +133,7 @@
         return listener
 
     async def _open_listening_socket(self) -> socket.socket:
-        """Open the socket here: the event loop would pass over an error and serve without any."""
+        """Open the socket here, because the event loop would ignore an error and serve without a socket."""
         host, port = self.configuration.listen
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         waits_s = iter(connection_limits.LISTEN_RETRY_WAITS_S)
@@ -153,7 +153,7 @@
                 return listening
 
     async def _stop(self, listener: asyncio.Server) -> None:
-        """Close all connections: a message that was begun is written as far as its client reads."""
+        """Close all connections; a partly sent message is completed if its client reads it in time."""
         self._all_closed = asyncio.Event()
         listener.close()
         for client in list(self.clients):
@@ -165,23 +165,23 @@
             client.cut_off()
 
     def on_client_closed(self) -> None:
-        """Let the process stop once all clients are gone."""
+        """Let a stopping process end once all client connections are closed."""
         if self._all_closed is not None and not self.clients:
             self._all_closed.set()
 
     def close_sessions(self) -> None:
-        """Close what the session manager decided to close."""
+        """Close the connections of the sessions that the session manager has ended."""
         to_close, self.sessions.sessions_to_close = self.sessions.sessions_to_close, []
         for session in to_close:
             session.transport.close()
 
     def on_input(self) -> None:
-        """Request a round if what was read is of concern to the policy."""
+        """Request a round if the input produced events for the policy."""
         if self.sessions.needs_round:
             self._request_round()
 
     def _request_round(self) -> None:
-        """Run a round as soon as the schedule allows."""
+        """Run a round as soon as the schedule allows it."""
         if self._requested_round is None:
             wait_ns = self._schedule.wait_for_round_ns(self.clock())
             self._requested_round = self.event_loop.call_later(wait_ns / NS_PER_S, self._run_after_reading)
@@ -190,8 +190,8 @@
         self._call_after_reading(self._run_round)
 
     def _call_after_reading(self, callback: Callable[[], None]) -> None:
-        """Call back after the next poll of the sockets: timers run before it, also after a stop."""
-        # What is called from here runs before that poll, what is called from there after it.
+        """Call back after the next poll of the sockets; timers run before it, also after a suspension."""
+        # The outer callback runs before that poll, the inner one after it.
         self.event_loop.call_soon(self.event_loop.call_soon, callback)
 
     def _run_round(self) -> None:
@@ -204,7 +204,7 @@
         try:
             for session, data in self.sessions.run_round(now_ns):
                 session.transport.write(data)
-        finally:  # an error here must not keep the next round from running
+        finally:  # an exception must not prevent the next round
             self._schedule_idle_round()
         self._round_cpu_ns += time.thread_time_ns() - cpu_start_ns
         for event, fields in self.runner.drain_log_events():
@@ -234,7 +234,7 @@
         self.on_input()
 
     def _log_statistics(self) -> None:
-        """Log what was counted since the start, and what is held now."""
+        """Log the counters since the start and the current sizes."""
         self.event_loop.call_later(connection_limits.STATISTICS_INTERVAL_S, self._log_statistics)
         self.log(
             "statistics",
@@ -243,7 +243,7 @@
             proxies=len(self.sessions.sessions_by_proxy),
             pending=len(self.sessions.pending_sessions),
             deferred=len(self.sessions.deferred_proxies),
-            **self.sessions.ledger.figures,
+            **self.sessions.ledger.log_fields,
             endpoints=len(self.runner.endpoint_records),
             reportable=len(self.sessions.reportable_endpoints),
             stale_lines=self.endpoint_list.stale_lines,
@@ -252,18 +252,20 @@
         )
 
     def on_list_update(self, update: ListUpdate) -> None:
-        """Hand an update of the endpoint list to the policy."""
+        """Pass an update of the endpoint list to the policy."""
         for cause in update.rejections_to_log:
             self.log("endpoint rejected", cause=cause, rejected=len(update.rejected))
         if update.changes_list:
-            now_ns, heard_ns = self.clock(), self.discovery.heard_ns
-            records = [self._start_times.adjust(record, now_ns, heard_ns) for record in update.endpoints]
+            now_ns, list_confirmed_ns = self.clock(), self.discovery.list_confirmed_ns
+            records = [
+                self._start_times.adjust(record, now_ns, list_confirmed_ns) for record in update.endpoints
+            ]
             self.sessions.update_list(update.scope, records)
             if not update.is_cached:
                 self._request_round()
 
     def run_discovery_commands(self) -> None:
-        """Carry out what the discovery client asks for."""
+        """Carry out the commands of the discovery client."""
         for command in self.discovery.take_commands(self.clock()):
             if isinstance(command, OpenConnection):
                 command.connection.transport = DiscoveryTransport(self, command.connection)
@@ -273,19 +275,19 @@
             self.log(event, **fields)
 
     def on_discovery_closed(self, connection: DiscoveryConnection, cause: str) -> None:
-        """Handle the end of a connection to discovery, or that it could not be opened."""
+        """Handle a connection to discovery that ended or could not be opened."""
         self.discovery.connection_closed(connection, cause, self.clock())
         self.run_discovery_commands()
 
     def reload(self) -> None:
-        """Read the configuration again; one that cannot be used is refused, and the present one stays."""
+        """Read the configuration again; if it is invalid, keep the current one."""
         try:
             configuration = settings.read(self.environment)
         except SettingsError as error:
             self.log("reload refused", cause=str(error))
             return
         for field in configuration.fields_needing_restart(self.configuration):
-            self.log("setting not reloaded", field=field, cause="a new start is needed")
+            self.log("setting not reloaded", field=field, cause="the change takes effect after a restart")
         host, port = configuration.discovery
         self.log("reloaded", discovery=f"{host}:{port}")
         self.configuration = configuration
--- a/swiftchute/platform/transports.py
+++ b/swiftchute/platform/transports.py
@@ -1,7 +1,7 @@
-"""The sockets of clients and of discovery, as asyncio protocols.
+"""The asyncio protocols of the client connections and of the connections to discovery.
 
-Each hands bytes and the time to its state machine and writes what that has to say. What they need of the
-server is in `TransportOwner`.
+Each passes received bytes and the time to its state machine and writes the output of that. `TransportOwner`
+is the part of the server's interface that they use.
 """
 
 import asyncio
@@ -15,7 +15,7 @@
 
 
 class TransportOwner(Protocol):
-    """The server as its transports see it."""
+    """The server's interface to its transports."""
 
     event_loop: asyncio.AbstractEventLoop
     clock: Callable[[], int]
@@ -25,38 +25,38 @@
 
     @property
     def stopping(self) -> bool:
-        """Whether no more bytes are to be read."""
+        """Whether the process is stopping, so that no more input is handled."""
 
     def close_sessions(self) -> None:
-        """Close what the session manager decided to close."""
+        """Close the connections of the sessions that the session manager has ended."""
 
     def on_input(self) -> None:
-        """Handle that bytes were read or a connection ended."""
+        """Handle the effects of received bytes or of the end of a connection."""
 
     def on_client_closed(self) -> None:
-        """Handle that a client is gone from `clients`."""
+        """Handle the removal of a client from `clients`."""
 
     def on_list_update(self, update: ListUpdate) -> None:
         """Handle an update of the endpoint list."""
 
     def run_discovery_commands(self) -> None:
-        """Carry out what the discovery client asks for."""
+        """Carry out the commands of the discovery client."""
 
     def on_discovery_closed(self, connection: DiscoveryConnection, cause: str) -> None:
-        """Handle the end of a connection to discovery."""
+        """Handle a connection to discovery that ended or could not be opened."""
 
 
 class ClientTransport(asyncio.Protocol):
     """A connection of a proxy or a collector."""
 
     def __init__(self, owner: TransportOwner) -> None:
-        """The connection is not accepted yet."""
+        """Create the protocol of a connection that is not accepted yet."""
         self.owner = owner
 
     def connection_made(self, transport: Any) -> None:
         """Start the session."""
         self.transport = transport
-        if self.owner.stopping:  # accepted before the listener was closed
+        if self.owner.stopping:  # it was accepted before the listener was closed
             transport.abort()
             return
         self.session = self.owner.sessions.open_session(self.owner.clock())
@@ -65,7 +65,7 @@
         self.owner.close_sessions()
 
     def data_received(self, data: bytes) -> None:
-        """Hand bytes to the session."""
+        """Pass bytes to the session."""
         if self.owner.stopping:
             return
         self.session.receive_data(data, self.owner.clock())
@@ -76,7 +76,7 @@
         self.owner.on_input()
 
     def write(self, data: bytes) -> None:
-        """Write a message; a client that does not read is cut off."""
+        """Write a message; abort the connection if too many bytes are unsent."""
         if self.transport.is_closing():
             return
         self.transport.write(data)
@@ -84,20 +84,20 @@
             self.cut_off()
 
     def cut_off(self) -> None:
-        """Reset the connection; what waits for the client is lost."""
+        """Abort the connection; unsent bytes are discarded."""
         if self in self.owner.clients:
             self.owner.sessions.statistics.unsent_overflow += 1
-            self.session.end("does not read", notify=False)
+            self.session.end("client does not read its messages", notify=False)
             self.transport.abort()
 
     def _flush(self) -> None:
-        """Write what the session itself has to say."""
+        """Write the output of the session."""
         if self.session.outgoing:
             outgoing, self.session.outgoing = self.session.outgoing, []
             self.write(b"".join(outgoing))
 
     def close(self) -> None:
-        """Write what the session has to say and close; a client that does not read it is cut off."""
+        """Write the output of the session and close; abort the connection if the client does not read it."""
         if not self.transport.is_closing():
             self._flush()
             self.transport.close()
@@ -115,10 +115,10 @@
 
 
 class DiscoveryTransport(asyncio.Protocol):
-    """A connection to discovery, from the command to open it on."""
+    """A connection to discovery; it exists from the command to open it."""
 
     def __init__(self, owner: TransportOwner, connection: DiscoveryConnection) -> None:
-        """Start to connect."""
+        """Start connecting."""
         self.owner = owner
         self.connection = connection
         self.transport: Any = None
@@ -135,13 +135,13 @@
         """Send the request."""
         self.transport = transport
         request = self.owner.discovery.connection_opened(self.connection)
-        if request is None:  # it was given up at the moment at which it was established
+        if request is None:  # it was closed by the discovery client while it was being established
             transport.abort()
         else:
             transport.write(request)
 
     def data_received(self, data: bytes) -> None:
-        """Hand bytes to the discovery client."""
+        """Pass bytes to the discovery client."""
         now_ns = self.owner.clock()
         for update in self.owner.discovery.receive_data(self.connection, data, now_ns):
             self.owner.on_list_update(update)
@@ -152,7 +152,7 @@
         self.owner.on_discovery_closed(self.connection, _closing_cause(error))
 
     def close(self) -> None:
-        """Reset the connection, or give up opening it."""
+        """Abort the connection, or cancel the attempt to open it."""
         if self.transport is not None:
             self.transport.abort()
         else:
--- a/tests/platform/test_discovery_watch.py
+++ b/tests/platform/test_discovery_watch.py
@@ -133,10 +133,10 @@
 
 def test_a_list_that_lags_is_bounded_and_never_empty(endpoint_list, monkeypatch):
     watch, _ = answered(endpoint_list, line(40, True, member("a")))
-    with pytest.raises(DiscoveryError, match="without a server"):
+    with pytest.raises(DiscoveryError, match="complete list without an endpoint"):
         list(watch.receive_data(chunk(line(41, True)), NOW))
     monkeypatch.setattr(discovery_messages, "MAX_ENDPOINTS", 2)
     watch, _ = answered(endpoint_list, line(40, True, member("a")))
     list(watch.receive_data(chunk(line(40, False, member("x"))), NOW))
-    with pytest.raises(DiscoveryError, match="more than 2 servers"):
+    with pytest.raises(DiscoveryError, match="more than 2 endpoints"):
         list(watch.receive_data(chunk(line(40, False, member("y"))), NOW))
--- a/tests/platform/test_endpoint_list.py
+++ b/tests/platform/test_endpoint_list.py
@@ -68,5 +68,5 @@
     endpoint_list.apply_line(line(42, False, member("c")))
     update = endpoint_list.apply_line(line(43, False, member("d"), member("a", "Terminating")))
     assert states(update) == [("a", "draining")]
-    assert update.rejected == ("'d': more than 3 servers",)
+    assert update.rejected == ("endpoint 'd': the list is full, 3 endpoints at most",)
     assert set(endpoint_list.endpoints) == {"a", "b", "c"}
--- a/tests/platform/test_server.py
+++ b/tests/platform/test_server.py
@@ -125,7 +125,7 @@
     ({"discovery": 7}, "discovery: '7' is not of type str"),
     ({"seed": "xyz"}, "seed: 'xyz'"), ({"limits": {"sockets": 3}}, "limits.sockets: 3"),
     ({"settings": {}}, "settings: classes: missing"), ({"settings": [1]}, "settings: '[1]'"),
-    ({"known": {"revision": 1}}, "known: not a list"), ({"name": None}, "name: missing"),
+    ({"known": {"revision": 1}}, "known: invalid endpoint list"), ({"name": None}, "name: missing"),
 ])  # fmt: skip
 def test_an_unusable_configuration_is_named_in_one_line(tmp_path, change, named):
     platform = PlatformProcess(tmp_path, "127.0.0.1:1", **change)
