--- a/swiftchute/platform/proxy_session.py
+++ b/swiftchute/platform/proxy_session.py
@@ -1,11 +1,11 @@
-"""The state of one client connection at the platform's address. No I/O.
+"""The state of one client connection on the platform's listening address. No I/O.
 
-Bytes and times come in; messages go to a `MessageHandler`, bytes to write collect in `outgoing`, and
-`end_cause` is set once the connection is to be closed after they are written.
+The session takes received bytes and times, passes decoded messages to a `MessageHandler` and collects the
+bytes to write in `outgoing`. Once `end_cause` is set, the server writes these and closes the connection.
 
-A connection is a proxy's once it said `hello` and a collector's once it said `agent`. Until then anything
-that cannot be used ends it with an `error`. Afterwards a malformed message is dropped and counted, and only
-bytes that are not JSON end it.
+A client identifies itself as a proxy by `hello` or as a collector by `agent`. Until then, any invalid input
+ends the session with an `error` message. Afterwards malformed messages are dropped and counted, and only
+bytes that are not JSON, or a message that is too long, end the session.
 """
 
 from collections import deque
@@ -17,39 +17,39 @@
 from swiftchute.platform import wire_messages
 from swiftchute.platform.errors import MalformedMessageError, UnreadableMessageError
 
-# Of a message before the client is known: any number of such connections may each hold one.
+# Limit for messages of clients that are not identified yet: there may be many, each with a buffered message.
 MAX_FIRST_MESSAGE_BYTES = 1 << 13
-MAX_PENDING_NONCES = 256  # acknowledgements that a proxy may owe; past it the oldest counts as lost
+MAX_PENDING_NONCES = 256  # unacknowledged nonces of a proxy; beyond that the oldest counts as lost
 
 
 class MessageHandler(Protocol):
-    """What a session hands its messages to."""
+    """Receives the messages of a session."""
 
     def handle_message(self, session: "ProxySession", message: wire_messages.Message, now_ns: int) -> None:
-        """Handle a message; raises `MalformedMessageError` where it cannot be used."""
+        """Handle a message; raises `MalformedMessageError` if it is invalid."""
 
     def drop_message(self, session: "ProxySession", cause: str) -> None:
-        """Count a malformed message of a client that is known."""
+        """Count a malformed message of an identified client."""
 
 
 class PendingNonce(msgspec.Struct, frozen=True, gc=False):
     """A nonce that the proxy has not acknowledged."""
 
     nonce: int
-    bytes_written: int  # on this session up to and including its message
+    bytes_written: int  # push bytes of this session up to and including the message of the nonce
     sent_at_ns: int
 
 
 class AckResult(Enum):
-    """What an acknowledgement answers."""
+    """Which policy sent the nonce that was acknowledged."""
 
     UNKNOWN_NONCE = "unknown nonce"
-    PREVIOUS_POLICY = "a policy that has crashed since; the present one may use the same number"
-    CURRENT_POLICY = "the present policy"
+    PREVIOUS_POLICY = "nonce of a policy that has crashed; the current policy may use the same number"
+    CURRENT_POLICY = "nonce of the current policy"
 
 
 class ProxySession:
-    """One client connection, a proxy's or a collector's."""
+    """The connection of one client, which is a proxy or a collector."""
 
     __slots__ = (
         "handler", "opened_at_ns", "last_received_ns", "unparsed", "outgoing", "end_cause", "proxy",
@@ -58,11 +58,11 @@
     )  # fmt: skip
 
     def __init__(self, handler: MessageHandler, now_ns: int) -> None:
-        """Start a session whose client has said nothing yet.
+        """Create a session whose client has not sent anything yet.
 
         Args:
             handler: Receives the messages.
-            now_ns: The present time, nanoseconds.
+            now_ns: The current time in nanoseconds.
         """
         self.handler = handler
         self.opened_at_ns = now_ns
@@ -73,31 +73,31 @@
         self.proxy: int | None = None
         self.collector_zone: str | None = None
         self.pending_nonces: deque[PendingNonce] = deque()
-        self.previous_policy_nonces = 0  # of these, the first that were sent by a policy that crashed since
-        self.bytes_written = 0  # of push messages
+        self.previous_policy_nonces = 0  # how many pending nonces, from the oldest, a crashed policy sent
+        self.bytes_written = 0  # push messages only
         self.bytes_acknowledged = 0
         self.last_push_ns = now_ns
-        self.push_times_ns: deque[int] = deque()  # of push messages that may count for the quota
-        self.join_overdue = False
-        self.transport: Any = None  # belongs to the server
+        self.push_times_ns: deque[int] = deque()  # times of the push messages that may count for the quota
+        self.join_overdue = False  # not identified in time at the last check
+        self.transport: Any = None  # set and used by the server only
 
     @property
     def identified(self) -> bool:
-        """Whether it is known to be a proxy's or a collector's."""
+        """Whether the client has identified itself as a proxy or a collector."""
         return self.proxy is not None or self.collector_zone is not None
 
     @property
     def unread_bytes(self) -> int:
-        """Bytes that the proxy has not proved to have read."""
+        """Push bytes that the proxy has not acknowledged."""
         return self.bytes_written - self.bytes_acknowledged
 
     @property
     def oldest_nonce_sent_at_ns(self) -> int | None:
-        """When the oldest nonce that waits for its acknowledgement was sent."""
+        """When the oldest pending nonce was sent, or None if there is none."""
         return self.pending_nonces[0].sent_at_ns if self.pending_nonces else None
 
     def receive_data(self, data: bytes, now_ns: int) -> None:
-        """Handle bytes, in pieces of any size."""
+        """Handle received bytes, split at any place."""
         if self.end_cause is not None:
             return
         self.last_received_ns = now_ns
@@ -140,11 +140,11 @@
             self.end(f"unreadable: {error}" if line.strip() else "an empty line")
 
     def end(self, cause: str, notify: bool = True) -> None:
-        """Ignore what follows; the server closes the connection.
+        """End the session: further input is ignored, and the server closes the connection.
 
         Args:
-            cause: Why, for the client and the log.
-            notify: Whether the client is sent the cause; a collector never is.
+            cause: The cause, for the client and the log.
+            notify: Whether to send the cause to the client; it is never sent to a collector.
         """
         if self.end_cause is None:
             self.end_cause = cause
@@ -152,7 +152,7 @@
                 self.outgoing.append(wire_messages.encode_error(cause))
 
     def record_push(self, message_bytes: int, nonce: int | None, now_ns: int) -> bool:
-        """Note that a push message is written; True if the oldest nonce counts as lost for it."""
+        """Record a push message as written; return whether the oldest pending nonce was discarded as lost."""
         self.bytes_written += message_bytes
         self.last_push_ns = now_ns
         self.push_times_ns.append(now_ns)
@@ -165,11 +165,11 @@
         return nonce_lost
 
     def on_policy_restart(self) -> None:
-        """Note that a new policy counts its nonces from the beginning again."""
+        """Mark all pending nonces as the previous policy's; the new one numbers its nonces from the start."""
         self.previous_policy_nonces = len(self.pending_nonces)
 
     def acknowledge(self, nonce: int) -> AckResult:
-        """Settle a nonce and all before it."""
+        """Settle a nonce and all nonces sent before it."""
         if not any(nonce == pending.nonce for pending in self.pending_nonces):
             return AckResult.UNKNOWN_NONCE
         settled = 0
--- a/swiftchute/platform/push_delivery.py
+++ b/swiftchute/platform/push_delivery.py
@@ -1,10 +1,10 @@
-"""When a push message may be written to which proxy. No I/O.
+"""Decides when a push message may be written to a proxy. No I/O.
 
-A message is written at once, unless its proxy has too much to read, or the egress queue or the proxy's quota
-of messages has no room for it. The rounds of such a proxy are merged into one later message, which the
-encoder makes from what the proxy should hold by then. The limits are those of the protocol and bind whatever
-a policy has reserved. Messages for which the queue has no room go out in the order in which they were
-deferred, and before any later round.
+A message is written at once, unless the proxy has too many unread bytes, its message quota is used up or the
+egress queue has no room. The proxy is then deferred: its rounds are merged into one later message, which the
+encoder builds from what the proxy should hold at that time. These are limits of the protocol and apply
+whatever a policy has reserved. Messages that did not fit into the queue are written in the order in which
+they were deferred, and before those of any later round.
 """
 
 from collections.abc import Iterable, Iterator
@@ -17,14 +17,14 @@
 from swiftchute.platform.push_encoder import PushEncoder
 from swiftchute.platform.statistics import SessionStatistics
 
-MAX_UNREAD_BYTES = 40 * 1024  # that a proxy has not acknowledged, before what follows is merged
-UNREAD_RETRY_NS = 5_000_000_000  # a proxy past that is sent one message so often
+MAX_UNREAD_BYTES = 40 * 1024  # unacknowledged bytes of a proxy, above which its later rounds are merged
+UNREAD_RETRY_NS = 5_000_000_000  # interval at which a proxy above that limit is sent one message anyway
 
 Delivery = tuple[ProxySession, bytes]
 
 
 class PushDelivery:
-    """Writes the rounds of the policy to the proxies."""
+    """Turns the rounds of the policy into messages to the proxies."""
 
     def __init__(
         self,
@@ -34,36 +34,36 @@
         statistics: SessionStatistics,
         ledger: EgressLedger,
     ) -> None:
-        """Start with nothing deferred.
+        """Create a delivery without deferred proxies.
 
         Args:
-            runner: Its assignments are delivered, and its log is written to.
+            runner: Holds the assignments to deliver and the log.
             encoder: Encodes the messages.
-            sessions: The sessions by proxy; belongs to the session manager.
-            statistics: Counters to keep.
-            ledger: Takes what is written.
+            sessions: The sessions by proxy; owned by the session manager.
+            statistics: The counters to update.
+            ledger: Accounts for the messages written.
         """
         self._runner = runner
         self._encoder = encoder
         self._sessions = sessions
         self._statistics = statistics
         self._ledger = ledger
-        self._queue_full = False  # the first deferred message that may be written finds no room
-        self._ejected: set[str] = set()  # endpoints ejected when proxies were last written to
-        self.deferred_nonces: dict[int, int | None] = {}  # by proxy that could not be written to, the latest
+        self._queue_full = False  # the first deferred message that may be written does not fit into the queue
+        self._ejected: set[str] = set()  # ejected endpoints as of the last delivered round
+        self.deferred_nonces: dict[int, int | None] = {}  # latest nonce by deferred proxy
 
     def on_policy_restart(self) -> None:
-        """Note that the assignments are those of a new policy."""
+        """Prepare for the assignments of a new policy."""
         self._ejected = set()
-        # The new policy counts its nonces from the beginning again: an old one could be taken for its own.
+        # The new policy numbers its nonces from the start, so an old nonce could be mistaken for its own.
         self.deferred_nonces = dict.fromkeys(self.deferred_nonces)
 
     def remove_proxy(self, proxy: int) -> None:
-        """Forget what was deferred for a proxy."""
+        """Discard what was deferred for a proxy."""
         self.deferred_nonces.pop(proxy, None)
 
     def deliver_round(self, round_result: RoundResult, now_ns: int) -> Iterator[Delivery]:
-        """Yield the messages of a round; those of proxies that do not read are deferred."""
+        """Yield the messages of a round; those that may not be written now are deferred."""
         ejected = self._runner.assignments.ejected
         newly_ejected: Iterable[str] = ()
         if round_result.ejections_changed:
@@ -89,7 +89,7 @@
                 yield session, data
 
     def deliver_deferred(self, now_ns: int) -> Iterator[Delivery]:
-        """Yield one message for each proxy that was deferred and may be written to again."""
+        """Yield one message for each deferred proxy that may be written to again."""
         for proxy, nonce in list(self.deferred_nonces.items()):
             session = self._sessions[proxy]
             if not self._may_write(session, now_ns):
@@ -116,13 +116,13 @@
             self._runner.log_event("egress queue full", lines=self._ledger.total_entries, cause=cause)
 
     def _may_write(self, session: ProxySession, now_ns: int) -> bool:
-        """Whether a proxy has read enough, or is due to be tried again, and its quota allows a message."""
+        """Whether a proxy has read enough or is due for a retry, and its quota allows a message."""
         has_read = session.unread_bytes < MAX_UNREAD_BYTES
         retry_due = now_ns - session.last_push_ns >= UNREAD_RETRY_NS
         return (has_read or retry_due) and self._quota_allows(session, now_ns)
 
     def _quota_allows(self, session: ProxySession, now_ns: int) -> bool:
-        """Whether the protocol's number of messages to a proxy within the window is not reached."""
+        """Whether the proxy has been sent fewer messages within the window than the protocol allows."""
         settings = self._runner.settings
         times_ns = session.push_times_ns
         while times_ns and now_ns - times_ns[0] > settings.message_quota_window_ns:
@@ -132,10 +132,10 @@
     def _encode(
         self, proxy: int, session: ProxySession, nonce: int | None, newly_ejected: Iterable[str], now_ns: int
     ) -> bytes:
-        """Encode the message to a proxy and count it as written; no bytes if there is nothing to write.
+        """Encode the message to a proxy and record it as written; empty if there is nothing to write.
 
         Raises:
-            EgressQueueFullError: The queue has no room for it now.
+            EgressQueueFullError: The egress queue has no room for the message now.
         """
         try:
             message = self._encoder.encode(proxy, nonce, newly_ejected, self._ledger.free_entries)
--- a/swiftchute/platform/push_difference.py
+++ b/swiftchute/platform/push_difference.py
@@ -1,6 +1,7 @@
-"""The parts of a push message: what differs between two contents of a proxy's tables. Pure functions.
+"""Builds the parts of a push message from the difference between two contents of a proxy's tables.
 
-Operations are named by their index in the settings; `names` holds their names by index.
+All functions are pure. Operations are identified by their index in the settings; `names` holds the
+operation names in that order.
 """
 
 from collections.abc import Sequence
@@ -10,28 +11,28 @@
 from swiftchute.platform.errors import MessageTooLargeError
 from swiftchute.platform.wire_messages import PushPart
 
-MAX_PART_ENTRIES = 2000  # entries of one part; keeps it far below the protocol's size of a message
-MAX_PARTS = 64  # of one message, limit of the protocol
+MAX_PART_ENTRIES = 2000  # keeps a part far below the protocol's limit for the size of a message
+MAX_PARTS = 64  # per message; a limit of the protocol
 
-Admission = tuple[float, int]  # admission rate, 0 to 1, and retry policy
+Admission = tuple[float, int]  # admission rate (0 to 1) and retry policy
 
 
 class TableContent(msgspec.Struct, frozen=True, eq=False):
-    """What an endpoint table holds at one time; compared by identity."""
+    """The content of a table at one time; compared by object identity."""
 
-    identity: tuple[int, int]  # the policy's incarnation, and the table in it
+    identity: tuple[int, int]  # incarnation of the policy and number of the table
     weights: dict[str, float]  # by endpoint
-    admissions: dict[int, Admission]  # by operation, those that were set
+    admissions: dict[int, Admission]  # by operation; only those that were set
 
 
 def table_difference(
     before: dict[int, TableContent], after: dict[int, TableContent], names: Sequence[str]
 ) -> list[PushPart]:
-    """Return the parts that lead from one content to the other.
+    """Return the parts that change a proxy's tables from one content to another.
 
     Args:
-        before: What the proxy holds, by operation.
-        after: What it should hold, by operation.
+        before: The content that the proxy holds, by operation.
+        after: The content that it should hold, by operation.
         names: Names of the operations.
     """
     groups: dict[tuple[TableContent | None, TableContent], list[int]] = {}
@@ -52,7 +53,7 @@
 
 
 def _needs_full(old: TableContent, new: TableContent, operations: list[int]) -> bool:
-    """Whether the proxy must replace the table: it is another one, or an admission is no longer set."""
+    """Whether the proxy must replace the whole table: it is a different one, or an admission was unset."""
     return old.identity != new.identity or any(
         operation in old.admissions and operation not in new.admissions for operation in operations
     )
@@ -70,7 +71,7 @@
     changed = {
         endpoint: weight for endpoint, weight in new.weights.items() if old.weights.get(endpoint) != weight
     }
-    # Removals come last, so that the table is never empty in between.
+    # Removals come last, so that the table is never empty while the changes are applied.
     return changed | dict.fromkeys((endpoint for endpoint in old.weights if endpoint not in new.weights), 0)
 
 
@@ -81,7 +82,7 @@
     full: bool,
     names: Sequence[str],
 ) -> list[PushPart]:
-    """Return one table's parts of a message.
+    """Return the message parts of one table.
 
     Args:
         operations: The operations that use the table.
@@ -121,7 +122,7 @@
 
 
 def operation_names(operations: list[int], names: Sequence[str]) -> list[str] | None:
-    """Names of the operations; None if they are all that there are."""
+    """Return the names of the operations, or None if these are all operations."""
     return None if len(operations) == len(names) else [names[operation] for operation in operations]
 
 
@@ -131,10 +132,10 @@
     """Add ejections and the nonce to the parts of a message; empty if there is nothing to write.
 
     Args:
-        parts: The differences of tables.
+        parts: The parts of the tables.
         eject: Endpoints to eject.
         restore: Endpoints to restore.
-        nonce: Number that the proxy acknowledges, if any.
+        nonce: The nonce that the proxy must acknowledge, if any.
 
     Raises:
         MessageTooLargeError: The message has more than `MAX_PARTS` parts.
@@ -152,5 +153,5 @@
         parts[-1].restore = restore[first : first + MAX_PART_ENTRIES]
     parts[-1].nonce = nonce
     if len(parts) > MAX_PARTS:
-        raise MessageTooLargeError(f"{len(parts)} parts")
+        raise MessageTooLargeError(f"push message has {len(parts)} parts; {MAX_PARTS} at most")
     return parts
--- a/swiftchute/platform/push_encoder.py
+++ b/swiftchute/platform/push_encoder.py
@@ -1,13 +1,13 @@
-"""From the assignments of a round to one `push` message a proxy. No I/O, and nothing waits here.
+"""Encodes the assignments of a round as one `push` message per proxy. No I/O and no queueing.
 
-For each connected proxy the encoder keeps what was last written to it: the content of its table by operation,
-and the endpoints that it ejects. A message is the difference to what the assignments say now, so that a proxy
-to which nothing could be written for a while gets one message, whatever was ordered meanwhile. Proxies of one
-table that hold the same content share the bytes of a round.
+For each connected proxy the encoder keeps what was last written to it: the content of its tables by
+operation, and its ejected endpoints. A message holds the difference between that and the current assignments.
+A proxy that could not be written to for a while therefore gets a single message, however many changes were
+made in the meantime. In one round, proxies of the same table with the same content share the encoded bytes.
 
-A full table leaves ejected endpoints ejected, whichever instance ordered that. What goes first to a proxy
-that holds tables of another instance therefore restores the endpoints of its tables that may have been
-ejected there (see `listed_endpoints`).
+Replacing a table in full does not restore ejected endpoints, whichever instance ejected them. The first
+message to a proxy that holds tables of another instance therefore restores the endpoints in its tables that
+the other instance may have ejected (see `listed_endpoints`).
 """
 
 import math
@@ -24,78 +24,81 @@
 from swiftchute.platform.listed_endpoints import ListedEndpoints
 from swiftchute.platform.push_difference import TableContent
 
-MAX_SHARED_MESSAGES = 64  # encoded messages of a round that several proxies may share
+MAX_SHARED_MESSAGES = 64  # encoded messages that are kept in a round to be shared by several proxies
 
 
 class EncodedPush(NamedTuple):
-    """A push message."""
+    """An encoded push message."""
 
     data: bytes  # empty if there is nothing to write
-    entry_count: int  # as the protocol counts entries
+    entry_count: int  # counted by the rules of the protocol
 
 
 class ProxyContent(msgspec.Struct):
-    """What was last written to a proxy."""
+    """What was last written to a proxy.
 
-    foreign: bool  # it may eject endpoints by another instance's command
+    For a foreign proxy, `ejection_known` holds the endpoints that were ejected or restored by this instance.
+    """
+
+    foreign: bool  # may hold endpoints that another instance ejected
     tables: dict[int, TableContent] = msgspec.field(default_factory=dict)  # by operation
     ejected: set[str] = msgspec.field(default_factory=set)
-    settled: set[str] = msgspec.field(default_factory=set)  # of a foreign one: these are known
+    ejection_known: set[str] = msgspec.field(default_factory=set)  # foreign proxies only
 
 
 class PushEncoder:
     """Encodes the difference between what each proxy holds and what it should hold."""
 
     def __init__(self, settings: Settings, assignments: Assignments) -> None:
-        """Start with nothing written to any proxy."""
+        """Create an encoder that has written nothing to any proxy."""
         self.assignments = assignments
         self.operation_names = [operation.name for operation in settings.operations]
         self.listed = ListedEndpoints()
         self.proxies: dict[Any, ProxyContent] = {}
         self.incarnation = 0  # of the policy
-        self._contents: dict[int, tuple[int, TableContent]] = {}  # by table, with its revision
+        self._contents: dict[int, tuple[int, TableContent]] = {}  # by table, with the table's revision
         self._shared: dict[Any, EncodedPush] = {}
 
     def on_policy_restart(self, assignments: Assignments) -> None:
-        """Serve the assignments of a new policy; its tables are others, even under the same numbers."""
+        """Use the assignments of a new policy; its tables are new ones even if their numbers are the same."""
         self.incarnation += 1
         self.assignments = assignments
         self._contents.clear()
         self._shared.clear()
 
     def add_proxy(self, proxy: Any, fresh: bool) -> None:
-        """Start with nothing written to a proxy.
+        """Add a proxy that nothing was written to yet.
 
         Args:
-            proxy: Its number.
-            fresh: Whether it holds no tables of an earlier session.
+            proxy: The number of the proxy.
+            fresh: Whether the proxy holds no tables from an earlier session.
         """
         self.proxies[proxy] = ProxyContent(foreign=not fresh)
 
     def remove_proxy(self, proxy: Any) -> None:
-        """Forget a proxy whose session is over."""
+        """Remove a proxy whose session has ended."""
         self.proxies.pop(proxy, None)
 
     def update_list(self, records: Iterable[EndpointRecord], snapshot: bool) -> None:
-        """Note the endpoint list, or changes to it, as `ListedEndpoints.update` does."""
+        """Record the endpoint list or changes to it; see `ListedEndpoints.update`."""
         self.listed.update(records, snapshot)
 
     def clear_shared(self) -> None:
-        """Drop the messages that proxies of one round may share."""
+        """Discard the messages that proxies share within a round."""
         self._shared.clear()
 
     def table_content(self, table: int) -> TableContent:
-        """What a table holds now; the same object until the table changes."""
-        ordered = self.assignments.tables[table]
+        """Return the current content of a table; the same object until the table changes."""
+        table_state = self.assignments.tables[table]
         revision, content = self._contents.get(table, (None, None))
-        if content is None or revision != ordered.revision:
+        if content is None or revision != table_state.revision:
             admissions = {
                 operation: self.assignments.admission(table, operation)
                 for operation in range(len(self.operation_names))
-                if operation in ordered.admission or operation in self.assignments.common_admission
+                if operation in table_state.admission or operation in self.assignments.common_admission
             }
-            content = TableContent((self.incarnation, table), dict(ordered.weights), admissions)
-            self._contents[table] = (ordered.revision, content)
+            content = TableContent((self.incarnation, table), dict(table_state.weights), admissions)
+            self._contents[table] = (table_state.revision, content)
         return content
 
     def encode(
@@ -105,16 +108,16 @@
         newly_ejected: Iterable[str] = (),
         max_entries: float = math.inf,
     ) -> EncodedPush:
-        """Encode what leads a proxy from what was written to what it should hold now.
+        """Encode the difference between what was written to a proxy and what it should hold now.
 
         Args:
-            proxy: Its number.
-            nonce: Number that the proxy is to acknowledge, if any.
+            proxy: The number of the proxy.
+            nonce: The nonce that the proxy must acknowledge, if any.
             newly_ejected: Endpoints ejected since the last round, for a proxy that has no table yet.
-            max_entries: Entries that the message may have.
+            max_entries: The maximum number of entries of the message.
 
         Raises:
-            EgressQueueFullError: The message has more entries; it does not count as written.
+            EgressQueueFullError: The message has more entries than that; it is not recorded as written.
             MessageTooLargeError: The difference does not fit into one message.
         """
         written = self.proxies[proxy]
@@ -131,16 +134,18 @@
             if len(self._shared) < MAX_SHARED_MESSAGES:
                 self._shared[key] = message
         if message.entry_count > max_entries:
-            raise EgressQueueFullError(f"{message.entry_count} entries, {max_entries:g} are free")
+            raise EgressQueueFullError(
+                f"message has {message.entry_count} entries; the egress queue has room for {max_entries:g}"
+            )
         self._record_written(written, desired, eject, restore)
         return message
 
     def _ejection_difference(
         self, written: ProxyContent, desired: dict[int, TableContent], newly_ejected: Iterable[str]
     ) -> tuple[list[str], list[str]]:
-        """Endpoints that the proxy must eject, and those that it must restore."""
+        """Return the endpoints that the proxy must eject and those that it must restore."""
         ejected = self.assignments.ejected
-        # What the list says is not ready stays ejected, even where a new policy has ejected nothing.
+        # Endpoints listed as not ready stay ejected, even if a new policy has not ejected them.
         restore = written.ejected - ejected - self.listed.not_ready
         if not desired:
             eject = {endpoint for endpoint in newly_ejected if endpoint in ejected} - written.ejected
@@ -149,7 +154,7 @@
         for content in set(desired.values()):
             named |= content.weights.keys()
         if written.foreign and self.listed.possibly_ejected:
-            restore |= (named & self.listed.possibly_ejected) - ejected - written.settled
+            restore |= (named & self.listed.possibly_ejected) - ejected - written.ejection_known
         return sorted((named & ejected) - written.ejected), sorted(restore)
 
     def _encode(
@@ -172,5 +177,5 @@
         if eject or restore:
             written.ejected = written.ejected.union(eject).difference(restore)
         if written.foreign:
-            settled = written.settled.union(eject, restore)
-            written.settled = settled & (self.listed.started_ns.keys() | written.ejected)
+            ejection_known = written.ejection_known.union(eject, restore)
+            written.ejection_known = ejection_known & (self.listed.started_ns.keys() | written.ejected)
--- a/swiftchute/platform/session_manager.py
+++ b/swiftchute/platform/session_manager.py
@@ -1,8 +1,8 @@
-"""All client connections of this process, between its policy runner and its sockets. No I/O.
+"""Manages all client sessions of this instance, between the policy runner and the sockets. No I/O.
 
-The manager holds the rules that concern more than one connection: which session is a proxy's, how many
-connections may be pending, and when the connection of a silent client is closed. What is to be closed is in
-`sessions_to_close`; `ProxySession` describes how messages that cannot be used are answered.
+The manager applies the rules that concern more than one session: which session belongs to a proxy, how many
+may be pending, and when a silent client is disconnected. The server closes the sessions listed in
+`sessions_to_close`. `ProxySession` describes how invalid messages are handled.
 """
 
 from collections.abc import Callable, Iterable, Iterator, KeysView
@@ -21,32 +21,32 @@
 from swiftchute.platform.statistics import SessionStatistics
 
 NS_PER_S = 1_000_000_000
-JOIN_TIMEOUT_NS = 1 * NS_PER_S  # until a client has said what it is
-IDLE_TIMEOUT_NS = 15 * NS_PER_S  # a proxy that owes an acknowledgement must say something within this time
-MIN_PENDING_SESSIONS = 8  # that may be open, however few descriptors are left
+JOIN_TIMEOUT_NS = 1 * NS_PER_S  # for a client to identify itself
+IDLE_TIMEOUT_NS = 15 * NS_PER_S  # for a proxy with pending acknowledgements to send anything
+MIN_PENDING_SESSIONS = 8  # allowed even if no descriptors are left for them
 RESERVED_SOCKETS = 32  # descriptors kept for files, discovery, listeners and the event loop
 MAX_COLLECTORS_PER_ZONE = 4
-MAX_LOGGED_MALFORMED = 3  # malformed messages that are logged each; after them one of `MALFORMED_LOG_STEP`
+MAX_LOGGED_MALFORMED = 3  # these malformed messages are all logged, then one in `MALFORMED_LOG_STEP`
 MALFORMED_LOG_STEP = 100
 IDENTIFYING_MESSAGES = (wire_messages.ProxyHello, wire_messages.CollectorHello)
 
 
 class SessionManager:
-    """The client connections of one process."""
+    """The client sessions of one instance."""
 
     def __init__(self, runner: PolicyRunner, max_sockets: int) -> None:
-        """Start without connections.
+        """Create a manager without sessions.
 
         Args:
-            runner: Runs the policy; events go to it and assignments come from it.
-            max_sockets: Descriptors that this process may hold.
+            runner: Runs the policy; takes its events and holds its assignments.
+            max_sockets: Number of descriptors that this process may hold.
         """
         self.runner = runner
         self.max_sockets = max_sockets
         self.statistics = SessionStatistics()
         self.sessions_by_proxy: dict[int, ProxySession] = {}
-        self.collectors: dict[ProxySession, None] = {}  # the oldest first
-        self.pending_sessions: dict[ProxySession, None] = {}  # not identified yet, the oldest first
+        self.collectors: dict[ProxySession, None] = {}  # ordered, oldest first
+        self.pending_sessions: dict[ProxySession, None] = {}  # not identified yet; ordered, oldest first
         self.sessions_to_close: list[ProxySession] = []
         self.encoder = PushEncoder(runner.settings, runner.assignments)
         self._proxy_count = runner.settings.proxy_count
@@ -64,11 +64,11 @@
         }
 
     def open_session(self, now_ns: int) -> ProxySession:
-        """Start the session of a connection that was accepted.
+        """Create the session of an accepted connection.
 
-        The limit of pending sessions follows from the descriptors alone: a whole fleet may connect at once,
-        and be read only after all of it was accepted. Past the limit the oldest pending sessions are
-        closed.
+        The number of pending sessions is limited only by the free descriptors, because a whole fleet may
+        connect at once and be read only after all its connections were accepted. Beyond the limit the oldest
+        pending sessions are closed.
         """
         session = ProxySession(self, now_ns)
         self.statistics.opened += 1
@@ -89,7 +89,7 @@
     def session_closed(self, session: ProxySession, cause: str) -> None:
         """Handle the end of a connection, whichever side closed it.
 
-        A proxy's old session that ends after its new one began changes nothing.
+        If the proxy already has a newer session, the end of the old one does not disconnect the proxy.
         """
         self.statistics.rejected += not session.identified and session.end_cause is not None
         self.pending_sessions.pop(session, None)
@@ -107,9 +107,9 @@
         self.runner.log_event("proxy disconnected", proxy=proxy, cause=cause, unacknowledged=entries)
 
     def check_timeouts(self, now_ns: int) -> None:
-        """Close sessions whose clients say nothing for too long.
+        """End the sessions of clients that have been silent for too long.
 
-        Sockets must be read between two calls: bytes may wait there if this process was stopped.
+        The sockets must be read between two calls: if this process was suspended, bytes may be waiting there.
         """
         self._check_pending_sessions(now_ns)
         for proxy, session in list(self.sessions_by_proxy.items()):
@@ -118,7 +118,7 @@
                 continue
             if now_ns - max(sent_at_ns, session.last_received_ns) > IDLE_TIMEOUT_NS:
                 self.statistics.idle_timeout += 1
-                session.end("nothing heard", notify=False)
+                session.end("idle timeout", notify=False)
                 self.sessions_to_close.append(session)
                 self._disconnect_proxy(proxy, "silent")
 
@@ -129,10 +129,10 @@
             if session.join_overdue:
                 self.statistics.join_timeout += 1
                 self._reject(session, "no joining within 1 s")
-            session.join_overdue = True  # closed at the next check, unless its bytes are read before
+            session.join_overdue = True  # ended at the next check unless it identifies itself before
 
     def drop_message(self, session: ProxySession, cause: str) -> None:
-        """Count a malformed message of a known client; some are logged."""
+        """Count a malformed message of an identified client; only some are logged."""
         self.statistics.malformed += 1
         count = self.statistics.malformed
         if count <= MAX_LOGGED_MALFORMED or not count % MALFORMED_LOG_STEP:
@@ -144,22 +144,22 @@
             self.runner.log_event("message dropped", cause=cause, dropped=count, **sender)
 
     def handle_message(self, session: ProxySession, message: wire_messages.Message, now_ns: int) -> None:
-        """Handle a message of a session; raises `MalformedMessageError` where it cannot be used."""
+        """Handle a message of a session; raises `MalformedMessageError` if it is invalid."""
         if not session.identified and not isinstance(message, IDENTIFYING_MESSAGES):
             raise MalformedMessageError("a report before joining")
         self._handlers[type(message)](session, message, now_ns)
 
     def _on_proxy_hello(self, session: ProxySession, message: wire_messages.ProxyHello, now_ns: int) -> None:
         if session.identified:
-            raise MalformedMessageError("a second joining")
+            raise MalformedMessageError("hello or agent: this connection has already identified itself")
         proxy = message.proxy
         if proxy >= self._proxy_count:
             raise MalformedMessageError(f"proxy {proxy}: numbers end at {self._proxy_count - 1}")
         self._reports.check_zone(message.zone)
         previous = self.sessions_by_proxy.get(proxy)
-        if previous is not None:  # its end was not seen yet
+        if previous is not None:  # the end of the previous connection was not noticed yet
             self.statistics.replaced += 1
-            previous.end("replaced by a new stream", notify=False)
+            previous.end("replaced by a newer connection of the proxy", notify=False)
             self.sessions_to_close.append(previous)
             self._disconnect_proxy(proxy, "replaced")
         self.pending_sessions.pop(session, None)
@@ -174,14 +174,14 @@
         self, session: ProxySession, message: wire_messages.CollectorHello, now_ns: int
     ) -> None:
         if session.identified:
-            raise MalformedMessageError("a second joining")
+            raise MalformedMessageError("hello or agent: this connection has already identified itself")
         self._reports.check_zone(message.zone)
         same_zone = [other for other in self.collectors if other.collector_zone == message.zone]
         if len(same_zone) >= MAX_COLLECTORS_PER_ZONE:
-            oldest = same_zone[0]  # a collector that reconnects leaves its dead connection behind
+            oldest = same_zone[0]  # probably the dead connection of a collector that has reconnected
             self.collectors.pop(oldest)
             self.statistics.collectors_closed += 1
-            oldest.end("too many collectors of the zone")
+            oldest.end(f"more than {MAX_COLLECTORS_PER_ZONE} collectors in zone {message.zone!r}")
             self.sessions_to_close.append(oldest)
         self.pending_sessions.pop(session, None)
         session.collector_zone = message.zone
@@ -191,11 +191,11 @@
         self, session: ProxySession, message: wire_messages.Acknowledgement, now_ns: int
     ) -> None:
         if message.proxy != session.proxy:
-            raise MalformedMessageError("an answer of another proxy")
+            raise MalformedMessageError(f"ack: proxy {message.proxy} does not own this connection")
         latency_ns = load_reports.acknowledgement_latency_ns(message.latency_ms)
         result = session.acknowledge(message.nonce)
         if result is AckResult.UNKNOWN_NONCE:
-            raise MalformedMessageError(f"mark {message.nonce} was not asked for")
+            raise MalformedMessageError(f"ack: mark {message.nonce} is not a pending nonce")
         self.statistics.acks += 1
         self.ledger.acknowledge(session, message.nonce)
         if result is AckResult.CURRENT_POLICY:
@@ -205,10 +205,10 @@
         self, session: ProxySession, message: wire_messages.EndpointOutcomes, now_ns: int
     ) -> None:
         if session.collector_zone is None:
-            raise MalformedMessageError("a report of outcomes on a proxy's stream")
+            raise MalformedMessageError("outcomes: sent on a proxy's connection, not on a collector's")
         self._reports.check_zone(message.zone)
         if not self._is_reportable(message.endpoint):
-            raise MalformedMessageError(f"server {message.endpoint!r} was not listed")
+            raise MalformedMessageError(f"outcomes: server {message.endpoint!r} is not in the endpoint list")
         report = self._reports.endpoint_report(message)
         self.statistics.reports += 1
         self.runner.enqueue(report)
@@ -217,15 +217,15 @@
         self, session: ProxySession, message: wire_messages.ProxyDemand, now_ns: int
     ) -> None:
         if message.proxy != session.proxy and session.collector_zone is None:
-            raise MalformedMessageError("usage of another proxy")
+            raise MalformedMessageError(f"demand: proxy {message.proxy} does not own this connection")
         if message.proxy not in self.sessions_by_proxy:
-            raise MalformedMessageError(f"proxy {message.proxy} has not joined")
+            raise MalformedMessageError(f"demand: proxy {message.proxy} is not connected")
         report = self._reports.demand_report(message)
         self.statistics.reports += 1
         self.runner.enqueue(report)
 
     def update_list(self, scope: ListScope, records: Iterable[EndpointRecord]) -> None:
-        """Hand on an update of the endpoint list."""
+        """Pass an update of the endpoint list to the encoder and the policy."""
         endpoints = list(records)
         self.encoder.update_list(endpoints, scope in (ListScope.SNAPSHOT, ListScope.CACHED))
         self.runner.on_endpoint_list(scope, endpoints)
@@ -235,34 +235,34 @@
 
     @property
     def reportable_endpoints(self) -> set[str]:
-        """Endpoints that reports may name: those listed, and those lately removed."""
+        """Endpoints that reports may name: the listed ones and those removed recently."""
         return self.runner.endpoint_records.keys() | self.encoder.listed.removed.keys()
 
     @property
     def deferred_proxies(self) -> KeysView[int]:
-        """Proxies that could not be written to yet."""
+        """Proxies with a deferred push message."""
         return self._delivery.deferred_nonces.keys()
 
     @property
     def next_round_at_ns(self) -> int:
-        """When the next round is due at the latest."""
+        """The latest time at which the next round must run."""
         return self.runner.next_deadline_ns
 
     @property
     def needs_round(self) -> bool:
-        """Whether events wait and the policy runs; after a crash it waits until the next round is due."""
+        """Whether events are pending and the policy runs; after a crash they wait until a round is due."""
         return bool(self.runner.pending_events) and self.runner.policy is not None
 
     def run_round(self, now_ns: int) -> Iterator[Delivery]:
-        """Run the policy if an event arrived, and yield what is to be written now, message by message."""
+        """Run a round of the policy and yield the messages to write now."""
         self.ledger.begin_round(now_ns)
         self.runner.queued_entries = self.ledger.total_entries
         result = self.runner.run_round(now_ns)
-        if self.runner.assignments is not self.encoder.assignments:  # those of a new policy, after a crash
+        if self.runner.assignments is not self.encoder.assignments:  # the policy was restarted after a crash
             self._on_policy_restart()
         self.encoder.clear_shared()
         if result is not None:
-            # The watch is always open here: a request to subscribe is answered at once.
+            # The discovery watch is always open, so a request to subscribe is answered at once.
             if result.fetch_list or result.subscribe is not None:
                 self._answer_list_request(result.fetch_list)
             yield from self._delivery.deliver_round(result, now_ns)
@@ -276,7 +276,7 @@
             session.on_policy_restart()
 
     def _answer_list_request(self, whole: bool) -> None:
-        """Send the policy the whole list, or that nothing changed."""
+        """Send the policy the complete list, or an update without changes."""
         if whole:
             records = self.runner.endpoint_records
             self.runner.on_endpoint_list(ListScope.SNAPSHOT, [records[name] for name in sorted(records)])
--- a/tests/platform/test_push_encoder.py
+++ b/tests/platform/test_push_encoder.py
@@ -320,7 +320,7 @@
     for k in range(700):
         world.assignments.set_weight(2, f"s{k}", 1.0)
     world.assignments.assign_table(1, 2, 0)
-    with pytest.raises(MessageTooLargeError, match="70 parts"):
+    with pytest.raises(MessageTooLargeError, match="70 parts; 64 at most"):
         world.encoder.encode(1, 3)
 
 
