--- a/swiftchute/platform/__init__.py
+++ b/swiftchute/platform/__init__.py
@@ -1,5 +1,5 @@
-"""The frontend of the users' platform: JSON lines with proxies and collectors, HTTP/1.1 with discovery.
+"""The frontend for the users' platform: JSON lines to proxies and collectors, HTTP/1.1 to discovery.
 
-It translates between the sockets and the policy runner, and decides nothing about endpoints, weights or
-admission.
+It translates between the sockets and the policy runner. All decisions about endpoints, weights and admission
+are made by the policy.
 """
--- a/swiftchute/platform/__main__.py
+++ b/swiftchute/platform/__main__.py
@@ -1,17 +1,17 @@
-"""`python -m swiftchute.platform`: one process in the foreground, configured by `GW_CONFIG` and `GW_*`."""
+"""`python -m swiftchute.platform`: one instance in the foreground, configured by `GW_CONFIG` and `GW_*`."""
 
 import os
 import sys
 
 from swiftchute.platform.signals import StartupSignals
 
-EXIT_SETTINGS = 2  # the configuration cannot be used
+EXIT_SETTINGS = 2  # exit code for an invalid configuration
 
 
 def main() -> int:
     """Serve until SIGTERM and return the exit code."""
     signals = StartupSignals()
-    import uvloop  # these imports take most of the start: signals must be handled before
+    import uvloop  # these imports take most of the start-up time: signals must be handled before them
 
     from swiftchute.platform import settings
     from swiftchute.platform.errors import SettingsError
@@ -29,10 +29,10 @@
 
 
 def run() -> None:
-    """Serve, and end the process."""
+    """Serve, then end the process with the exit code."""
     code = main()
-    # The interpreter removes signal handlers before it is done: a second SIGTERM there would kill the
-    # process.
+    # The interpreter removes signal handlers before it has shut down: a second SIGTERM in between would kill
+    # the process.
     os._exit(code)
 
 
--- a/swiftchute/platform/errors.py
+++ b/swiftchute/platform/errors.py
@@ -4,28 +4,28 @@
 
 
 class PlatformError(SwiftchuteError):
-    """Base class of all errors that this package raises on purpose."""
+    """Base class of all errors raised by this package."""
 
 
 class SettingsError(PlatformError):
-    """A configuration that cannot be used; the text names file, field and cause."""
+    """The configuration is invalid; the text names file, field and cause."""
 
 
 class DiscoveryError(PlatformError):
-    """Discovery's answer cannot be read or believed; the text names the cause."""
+    """The response of discovery is invalid or implausible; the text names the cause."""
 
 
 class UnreadableMessageError(PlatformError):
-    """The bytes are not a JSON object."""
+    """A line is not a JSON object."""
 
 
 class MalformedMessageError(PlatformError):
-    """An object that is not a message: its kind is unknown, or a field is missing or out of range."""
+    """A JSON object is not a valid message: its type is unknown, or a field is missing or out of range."""
 
 
 class EgressQueueFullError(PlatformError):
-    """A message has more entries than the egress queue can take now."""
+    """A push message has more entries than the egress queue has room for now."""
 
 
 class MessageTooLargeError(PlatformError):
-    """A message would need more parts than the protocol allows."""
+    """A push message would need more parts than the protocol allows."""
--- a/swiftchute/platform/load_reports.py
+++ b/swiftchute/platform/load_reports.py
@@ -1,4 +1,4 @@
-"""Reports of proxies and collectors, checked and turned into events for the policy. No I/O."""
+"""Validates the reports of proxies and collectors and converts them to policy events. No I/O."""
 
 import math
 
@@ -8,34 +8,36 @@
 from swiftchute.platform.wire_messages import LOAD_FIGURES, EndpointOutcomes, ProxyDemand
 
 NS_PER_MS, NS_PER_S = 1_000_000, 1_000_000_000
-MAX_WINDOW_NS = 600 * NS_PER_S  # a report of a longer window is malformed
-MIN_MAX_LATENCY_NS = 10 * NS_PER_S  # a mean up to this is accepted, however short the timeouts are
+MAX_WINDOW_NS = 600 * NS_PER_S  # a report with a longer window is malformed
+MIN_MAX_LATENCY_NS = 10 * NS_PER_S  # a mean latency up to this is accepted, however short the timeouts are
 
 
 class ReportReader:
-    """Checks reports against the settings."""
+    """Validates reports against the settings."""
 
     def __init__(self, settings: Settings) -> None:
-        """Accept the zones and operations of the settings, and means up to twice the longest timeout."""
+        """Accept zones and operations of the settings, and mean latencies up to twice the longest timeout."""
         self._operations = {operation.name for operation in settings.operations}
         self._zones = set(settings.zones)
         longest_timeout_ns = max(operation.timeout_ns for operation in settings.operations)
         self._max_latency_ns = max(2 * longest_timeout_ns, MIN_MAX_LATENCY_NS)
 
     def check_zone(self, zone: str) -> None:
-        """Raise `MalformedMessageError` for a zone that the settings do not name."""
+        """Raise `MalformedMessageError` if the zone is not in the settings."""
         if zone not in self._zones:
             raise MalformedMessageError(f"zone {zone!r} is not known")
 
     def endpoint_report(self, message: EndpointOutcomes) -> EndpointLoadReport:
-        """Return the event of a report on an endpoint; raises `MalformedMessageError`."""
+        """Convert a report on an endpoint to an event; raises `MalformedMessageError`."""
         successes = message.attempts - message.failures
         mean_ms = message.mean_latency_ms
         if successes and mean_ms is None or mean_ms is not None and not self._is_plausible_mean(mean_ms):
-            raise MalformedMessageError(f"mean_ms {mean_ms}")
+            raise MalformedMessageError(f"outcomes: mean_ms {mean_ms} is missing or out of range")
         window_ns = _window_ns(message)
         if successes < 0:
-            raise MalformedMessageError(f"{message.failures} of {message.attempts} failed")
+            raise MalformedMessageError(
+                f"outcomes: failed {message.failures} is more than tries {message.attempts}"
+            )
         return EndpointLoadReport(
             message.zone,
             message.endpoint,
@@ -47,9 +49,9 @@
         )
 
     def demand_report(self, message: ProxyDemand) -> DemandReport:
-        """Return the event of a report on a proxy's demand; raises `MalformedMessageError`."""
+        """Convert a report on a proxy's demand to an event; raises `MalformedMessageError`."""
         if message.operation not in self._operations:
-            raise MalformedMessageError(f"class {message.operation!r} is not known")
+            raise MalformedMessageError(f"demand: unknown class {message.operation!r}")
         window_ns = _window_ns(message)
         return DemandReport(message.proxy, message.operation, message.requests, message.failures, window_ns)
 
@@ -60,7 +62,9 @@
 def _window_ns(message: EndpointOutcomes | ProxyDemand) -> int:
     window_ns = message.window_ms * NS_PER_MS
     if not 0 < window_ns <= MAX_WINDOW_NS:
-        raise MalformedMessageError(f"span_ms {message.window_ms:g}")
+        raise MalformedMessageError(
+            f"span_ms {message.window_ms:g} is not above 0 and at most {MAX_WINDOW_NS // NS_PER_MS}"
+        )
     return int(window_ns)
 
 
@@ -68,12 +72,12 @@
     if load is None:
         return None
     if not all(math.isfinite(value) and value >= 0 for value in load.values()):
-        raise MalformedMessageError("a load figure below 0")
+        raise MalformedMessageError("outcomes: a value in load is negative or not finite")
     return {LOAD_FIGURES.get(name, name): value for name, value in load.items()} or None
 
 
 def acknowledgement_latency_ns(latency_ms: float) -> int:
-    """Check how long a proxy took to acknowledge; raises `MalformedMessageError`."""
+    """Convert an acknowledgement latency to nanoseconds; raises `MalformedMessageError`."""
     if latency_ms * NS_PER_MS > MAX_WINDOW_NS:
-        raise MalformedMessageError(f"took_ms {latency_ms:g}")
+        raise MalformedMessageError(f"ack: took_ms {latency_ms:g} is more than {MAX_WINDOW_NS // NS_PER_MS}")
     return int(latency_ms * NS_PER_MS)
--- a/swiftchute/platform/logging.py
+++ b/swiftchute/platform/logging.py
@@ -1,4 +1,4 @@
-"""The log: events as JSON, one a line, on standard error."""
+"""The event log: one JSON object per line on standard error."""
 
 import sys
 import time
@@ -6,25 +6,25 @@
 
 import msgspec
 
-MAX_LINES_PER_S = 50  # lines beyond are counted, and the count stands in the next line
+MAX_LINES_PER_S = 50  # lines above this rate are dropped; the next line states how many
 MAX_LINE_BYTES = 4000
 
 
 class EventLog:
-    """Writes events; a stream that cannot be written to (its reader is gone) stops nothing."""
+    """Writes events; write errors, for example after the reader has gone, are ignored."""
 
     def __init__(self, name: str, stream: TextIO = sys.stderr) -> None:
-        """Write to a stream.
+        """Create a log that writes to a stream.
 
         Args:
-            name: Name of this process; stands in each line.
-            stream: Where lines are written.
+            name: Name of this instance, which is part of each line.
+            stream: The stream to write to.
         """
         self._name = name
         self._stream = stream
-        self._second = 0  # Unix time in which `_written` lines were written
+        self._second = 0  # Unix time of the second that `_written` counts
         self._written = 0
-        self._lost = 0  # lines that were not written since the last one
+        self._lost = 0  # lines not written since the last one that was
 
     def __call__(self, event: str, **fields: Any) -> None:
         """Write an event with its fields."""
--- a/swiftchute/platform/settings.py
+++ b/swiftchute/platform/settings.py
@@ -1,6 +1,6 @@
-"""The configuration: the JSON file that `GW_CONFIG` names, with `GW_*` for what it leaves out.
+"""Reads the configuration: the JSON file named by `GW_CONFIG`, with `GW_*` variables for omitted fields.
 
-Reading that file is the only I/O. `settings` in it is checked and mapped by `settings_schema`.
+Reading that file is the only I/O. Its `settings` object is validated and converted by `settings_schema`.
 """
 
 import ipaddress
@@ -17,26 +17,26 @@
 MAX_FILE_BYTES = 16 << 20
 MIN_SOCKETS = 64
 DEFAULT_SOCKETS = 1024
-MAX_SHOWN_CHARACTERS = 64  # of a value in an error
-MAX_CAUSE_CHARACTERS = 200  # of the JSON decoder's cause in an error
+MAX_SHOWN_CHARACTERS = 64  # limit for a value in an error text
+MAX_CAUSE_CHARACTERS = 200  # limit for the JSON decoder's message in an error text
 VARIABLES = (("name", "GW_NAME"), ("listen", "GW_LISTEN"), ("discovery", "GW_DISCOVERY"))
 
 Address = tuple[str, int]
 
 
 class Configuration(msgspec.Struct, frozen=True):
-    """The configuration, read and checked."""
+    """The validated configuration."""
 
     name: str
     listen: Address
     discovery: Address
     seed: int
     max_sockets: int
-    known_list: bytes | None  # an endpoint list in discovery's form
+    known_list: bytes | None  # an endpoint list in the format of a discovery line
     settings: Settings
 
     def fields_needing_restart(self, running: "Configuration") -> list[str]:
-        """Names of the fields in which it differs from the running one and that a reload cannot change."""
+        """Return the names of changed fields that a reload cannot apply."""
         return [
             field
             for field in ("name", "listen", "settings")
@@ -45,17 +45,17 @@
 
 
 def read(environment: Mapping[str, str]) -> Configuration:
-    """Read and check the configuration.
+    """Read and validate the configuration.
 
     Args:
-        environment: Variables of the process.
+        environment: The environment variables.
 
     Raises:
-        SettingsError: The configuration cannot be used; the text names file, field and cause.
+        SettingsError: The configuration is invalid; the text names file, field and cause.
     """
     path = environment.get("GW_CONFIG", "")
     if not path:
-        raise SettingsError("GW_CONFIG: not set; it names the configuration file")
+        raise SettingsError("GW_CONFIG: not set; it must name the configuration file")
     data = _decode_file(path, _read_file(path))
     for field, variable in VARIABLES:
         if field not in data and environment.get(variable):
@@ -77,28 +77,28 @@
 def _decode_file(path: str, text: bytes) -> dict[str, Any]:
     try:
         data = json.loads(text)
-        json.dumps(data, ensure_ascii=False).encode()  # half a surrogate pair can be escaped, but not written
+        json.dumps(data, ensure_ascii=False).encode()  # fails on an escaped lone surrogate
     except (ValueError, RecursionError) as error:
         raise SettingsError(f"{path}: not JSON: {str(error)[:MAX_CAUSE_CHARACTERS]}") from None
     if not isinstance(data, dict):
-        raise SettingsError(f"{path}: not an object")
+        raise SettingsError(f"{path}: not a JSON object")
     return data
 
 
 def from_object(path: str, data: dict[str, Any]) -> Configuration:
-    """Check the object that the file holds.
+    """Validate the decoded configuration file.
 
     Args:
-        path: The file, for errors.
-        data: The object.
+        path: Path of the file, for error texts.
+        data: The decoded object.
 
     Raises:
-        SettingsError: A field is missing or cannot be used.
+        SettingsError: A field is missing or invalid.
     """
     limits = _field(path, data, "limits", dict, {})
     max_sockets = _field(path, limits, "sockets", int, DEFAULT_SOCKETS, "limits.")
     if max_sockets < MIN_SOCKETS:
-        raise SettingsError(f"{path}: limits.sockets: {max_sockets}; {MIN_SOCKETS} at least")
+        raise SettingsError(f"{path}: limits.sockets: {max_sockets} is less than {MIN_SOCKETS}")
     known = data.get("known")
     return Configuration(
         seed=_seed(path, data.get("seed", "0")),
@@ -112,11 +112,11 @@
 
 
 def _seed(path: str, value: Any) -> int:
-    """A number, or the hexadecimal digits of one."""
+    """Convert the seed, which is a number or a string of hexadecimal digits."""
     try:
         return int(value, 16) if isinstance(value, str) else int(value)
     except (TypeError, ValueError, OverflowError):
-        raise SettingsError(f"{path}: seed: {str(value)[:MAX_SHOWN_CHARACTERS]!r} is no number") from None
+        raise SettingsError(f"{path}: seed: {str(value)[:MAX_SHOWN_CHARACTERS]!r} is not a number") from None
 
 
 def _field(
@@ -136,12 +136,14 @@
     host, _, port = text.rpartition(":")
     host = host.strip("[]")
     if not _is_ip_address(host) or not _is_port(port):
-        raise SettingsError(f"{path}: {name}: {text[:MAX_SHOWN_CHARACTERS]!r} is not address:port")
+        raise SettingsError(
+            f"{path}: {name}: {text[:MAX_SHOWN_CHARACTERS]!r} is not of the form IP-address:port"
+        )
     return host, int(port)
 
 
 def _is_ip_address(host: str) -> bool:
-    """Whether the host needs no lookup, as nothing here may wait for one."""
+    """Whether the host is an IP address; names are refused because a DNS lookup would block the process."""
     try:
         ipaddress.ip_address(host)
     except ValueError:
--- a/swiftchute/platform/settings_schema.py
+++ b/swiftchute/platform/settings_schema.py
@@ -1,6 +1,7 @@
-"""The `settings` object of the configuration file: its names on the wire, checked field by field and mapped.
+"""Schema of the `settings` object in the configuration file, by the field names of the file.
 
-Times are microseconds. Fields that this program does not use are not looked at.
+Each field is validated and the object is converted to `Settings`. Times are in microseconds. Unknown fields
+are ignored.
 """
 
 import re
@@ -40,7 +41,7 @@
 
 
 class _Permissions(msgspec.Struct):
-    """What the policy may do."""
+    """Actions that the policy is permitted to take."""
 
     probes: bool | None
     peer_messages: bool | None
@@ -54,7 +55,7 @@
 
 
 class _Rules(msgspec.Struct):
-    """How endpoints start and end."""
+    """Rules for the start, the draining and the removal of endpoints."""
 
     drain_grace_us: Amount
     start_capacity: Amount
@@ -92,14 +93,14 @@
 
 
 class _Prices(msgspec.Struct):
-    """What the policy pays for."""
+    """Costs that the policy takes into account."""
 
     cross_zone: Amount | None = None
     probe: Amount | None = None
 
 
 class _Settings(msgspec.Struct):
-    """The whole object."""
+    """The `settings` object."""
 
     classes: Annotated[list[_Operation], msgspec.Meta(min_length=1, max_length=MAX_OPERATIONS)]
     dcs: Annotated[list[Text], msgspec.Meta(min_length=1, max_length=MAX_ZONES)]
@@ -116,14 +117,14 @@
 
 
 def read_settings(path: str, data: dict[str, Any]) -> Settings:
-    """Check the object and map it to the settings of the policy.
+    """Validate the object and convert it to the settings of the policy.
 
     Args:
-        path: The configuration file, for errors.
+        path: Path of the configuration file, for error texts.
         data: The object.
 
     Raises:
-        SettingsError: A field is missing or cannot be used.
+        SettingsError: A field is missing or invalid.
     """
     data = data | {"prices": data.get("prices") or {}}
     try:
@@ -133,9 +134,9 @@
     operations = [operation.name for operation in checked.classes]
     for field, names in (("classes", operations), ("dcs", checked.dcs)):
         if len(set(names)) < len(names):
-            raise SettingsError(f"{path}: settings: {field}: a name stands twice")
+            raise SettingsError(f"{path}: settings: {field}: duplicate name")
     settings = codec.decode_settings(data)
-    # Counts are whole numbers, and what the policy divides by is not 0.
+    # Counts must be integers, and values that the policy divides by must not be 0.
     return replace(
         settings,
         max_warmup_ns=max(settings.max_warmup_ns, 1),
@@ -146,7 +147,7 @@
 
 
 def _describe(error: msgspec.ValidationError) -> str:
-    """Field and cause of a validation error."""
+    """Return the field and the cause of a validation error as one text."""
     cause, _, field = str(error).partition(" - at `$.")
     field = field.rstrip("`")
     missing = re.fullmatch(r"Object missing required field `(\w+)`", cause)
--- a/swiftchute/platform/signals.py
+++ b/swiftchute/platform/signals.py
@@ -1,7 +1,7 @@
-"""Signals that come before the event loop handles them.
+"""Handles signals that arrive before the event loop handles them.
 
-Until then SIGTERM and SIGINT end the process with exit code 0, as nothing is open yet. SIGHUP is
-remembered: by itself it would kill the process.
+Until then SIGTERM and SIGINT end the process with exit code 0, because nothing is open yet. SIGHUP is
+recorded for later; without a handler it would kill the process.
 """
 
 import os
@@ -10,11 +10,11 @@
 
 
 class StartupSignals:
-    """Signal handlers for the time of the start; to be created before anything that takes time."""
+    """Signal handlers for the start of the process; create it before anything that takes time."""
 
     def __init__(self) -> None:
         """Install the handlers."""
-        self.reload = False  # whether SIGHUP has come
+        self.reload = False  # whether SIGHUP was received
         for number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(number, self._stop)
         signal.signal(signal.SIGHUP, self._reload)
--- a/swiftchute/platform/wire_messages.py
+++ b/swiftchute/platform/wire_messages.py
@@ -1,8 +1,8 @@
-"""The messages at the platform's address, one JSON object a line, and their names on the wire. No I/O.
+"""The messages on the platform's listening address, one JSON object per line, and their wire names. No I/O.
 
-Messages that arrive are decoded and checked by `decode`, which raises `UnreadableMessageError` for bytes that
-are not a JSON object and `MalformedMessageError` for an object that is not a message. Messages to write are
-encoded by `encode_error` and `encode_push`.
+`decode` decodes and validates received messages; it raises `UnreadableMessageError` for a line that is not a
+JSON object and `MalformedMessageError` for an object that is not a valid message. `encode_error` and
+`encode_push` encode the messages to write.
 """
 
 import json
@@ -12,8 +12,8 @@
 
 from swiftchute.platform.errors import MalformedMessageError, UnreadableMessageError
 
-MAX_MESSAGE_BYTES = 1 << 20  # limit of the protocol
-MAX_CAUSE_CHARACTERS = 200  # of a cause that is sent to the client
+MAX_MESSAGE_BYTES = 1 << 20  # a limit of the protocol
+MAX_CAUSE_CHARACTERS = 200  # limit for a cause that is sent to the client
 
 Count = Annotated[int, msgspec.Meta(ge=0, le=1_000_000_000)]
 Amount = Annotated[float, msgspec.Meta(ge=0, le=1e12)]
@@ -21,30 +21,30 @@
 
 
 class _Message(msgspec.Struct, tag_field="msg", frozen=True, gc=False):
-    """Base class of messages that arrive; fields that this program does not know are ignored."""
+    """Base class of the received messages; unknown fields are ignored."""
 
 
 class LivenessProbe(_Message, tag="probe", frozen=True):
-    """Asks for a sign of life."""
+    """A client checks that this instance is alive."""
 
 
 class CollectorHello(_Message, tag="agent", frozen=True):
-    """A collector of load reports states its zone."""
+    """A collector of load reports identifies itself with its zone."""
 
     zone: Name
 
 
 class ProxyHello(_Message, tag="hello", frozen=True):
-    """A proxy connects."""
+    """A proxy identifies itself."""
 
     proxy: Count
     zone: Name
     request_rate: Amount = msgspec.field(name="weight")  # requests per second
-    fresh: bool  # the proxy holds no tables of an earlier session
+    fresh: bool  # the proxy holds no tables from an earlier session
 
 
 class Acknowledgement(_Message, tag="ack", frozen=True):
-    """A proxy has applied all messages up to the one with this nonce."""
+    """A proxy has applied all push messages up to the one with this nonce."""
 
     proxy: Count
     nonce: Count = msgspec.field(name="mark")
@@ -52,7 +52,7 @@
 
 
 class EndpointOutcomes(_Message, tag="outcomes", frozen=True):
-    """Attempts that the proxies of a zone made at an endpoint within a window."""
+    """The attempts of a zone's proxies at an endpoint within a window."""
 
     zone: Name
     endpoint: Name = msgspec.field(name="server")
@@ -60,11 +60,11 @@
     failures: Count = msgspec.field(name="failed")
     window_ms: Amount = msgspec.field(name="span_ms")
     mean_latency_ms: Amount | None = msgspec.field(name="mean_ms", default=None)
-    load: dict[str, float] | None = None  # figures that the endpoint reports of itself
+    load: dict[str, float] | None = None  # load figures reported by the endpoint itself
 
 
 class ProxyDemand(_Message, tag="demand", frozen=True):
-    """Requests for an operation that arrived at a proxy within a window."""
+    """The requests for an operation that a proxy received within a window."""
 
     proxy: Count
     operation: Name = msgspec.field(name="class")
@@ -75,7 +75,7 @@
 
 Message = LivenessProbe | CollectorHello | ProxyHello | Acknowledgement | EndpointOutcomes | ProxyDemand
 
-# Names of an endpoint's load figures: on the wire, and in `EndpointLoadReport`.
+# Maps the names of an endpoint's load figures on the wire to those in `EndpointLoadReport`.
 LOAD_FIGURES = {
     "inflight": "in_hand", "queue": "queued", "util": "busy",
     "latency_ms": "service_ms", "qps": "served_rate", "eps": "error_rate",
@@ -85,10 +85,10 @@
 
 
 class PushPart(msgspec.Struct, tag_field="msg", tag="push", omit_defaults=True):
-    """One part of a push message; fields are encoded in this order, those without a value are left out."""
+    """One part of a push message; fields are encoded in this order, and defaults are omitted."""
 
     operations: list[str] | None = msgspec.field(name="routes", default=None)  # None: all operations
-    full: bool = False  # replaces the table
+    full: bool = False  # the weights replace the table
     weights: list[list[Any]] | None = msgspec.field(name="endpoints", default=None)  # [endpoint, weight]
     admission_rate: float | None = msgspec.field(name="admit", default=None)
     retry_policy: int | None = msgspec.field(name="policy", default=None)
@@ -99,7 +99,7 @@
 
     @property
     def entry_count(self) -> int:
-        """Entries of this part as the protocol counts them."""
+        """Entries of this part, counted by the rules of the protocol."""
         return (
             len(self.weights or ()) + len(self.eject or ()) + len(self.restore or ())
             + (self.admission_rate is not None) + self.full + (self.nonce is not None)
@@ -115,21 +115,21 @@
 
     Raises:
         UnreadableMessageError: The line is not a JSON object.
-        MalformedMessageError: The object is not a message.
+        MalformedMessageError: The object is not a valid message.
     """
     try:
         return _decoder.decode(line)
     except msgspec.ValidationError as error:
         raise MalformedMessageError(str(error)[:MAX_CAUSE_CHARACTERS]) from None
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        # NaN and Infinity are not JSON, yet a careless reporter writes them among good messages.
+        # NaN and Infinity are not JSON, but some clients send them among valid messages.
         if (b"NaN" in line or b"Infinity" in line) and _is_lenient_message(line):
             raise MalformedMessageError("a figure that is not finite") from None
         raise UnreadableMessageError(str(error)[:MAX_CAUSE_CHARACTERS]) from None
 
 
 def _is_lenient_message(line: bytes) -> bool:
-    """Whether a decoder that accepts NaN and Infinity finds a message."""
+    """Whether a decoder that accepts NaN and Infinity can decode the line as a message."""
     try:
         return "msg" in json.loads(line)
     except (ValueError, TypeError, RecursionError):
@@ -137,12 +137,12 @@
 
 
 def encode_error(cause: str) -> bytes:
-    """Encode the last message to a client whose connection is closed, with the cause."""
+    """Encode the error message that is sent to a client before its connection is closed."""
     return _encoder.encode({"msg": "error", "cause": cause[:MAX_CAUSE_CHARACTERS]}) + b"\n"
 
 
 def encode_push(parts: list[PushPart]) -> bytes:
-    """Encode the parts of one push message, one a line."""
+    """Encode the parts of one push message, one per line."""
     for part in parts[:-1]:
         part.continued = True
     return b"".join(_encoder.encode(part) + b"\n" for part in parts)
--- a/tests/platform/test_server.py
+++ b/tests/platform/test_server.py
@@ -121,7 +121,7 @@
 
 
 @pytest.mark.parametrize("change, named", [
-    ({"listen": "nowhere"}, "listen: 'nowhere' is not address:port"),
+    ({"listen": "nowhere"}, "listen: 'nowhere' is not of the form IP-address:port"),
     ({"discovery": 7}, "discovery: '7' is not of type str"),
     ({"seed": "xyz"}, "seed: 'xyz'"), ({"limits": {"sockets": 3}}, "limits.sockets: 3"),
     ({"settings": {}}, "settings: classes: missing"), ({"settings": [1]}, "settings: '[1]'"),
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -166,10 +166,11 @@
 
 
 @pytest.mark.parametrize("change, cause", [
-    ({"seed": float("inf")}, "seed: 'inf' is no number"), ({"listen": "planner:80"}, "listen: 'planner:80'"),
+    ({"seed": float("inf")}, "seed: 'inf' is not a number"),
+    ({"listen": "planner:80"}, "listen: 'planner:80'"),
     ({"listen": "127.0.0.1:" + "9" * 5000}, "listen: "), ({"discovery": "127.0.0.1:0"}, "discovery: "),
     ({"discovery": "127.0.0.1:٨٠"}, "discovery: "), ({"limits": {"sockets": True}}, "limits.sockets: "),
-    ({"name": "\ud800"}, "not JSON: "), ({"limits": {"sockets": 63}}, "limits.sockets: 63; 64 at least"),
+    ({"name": "\ud800"}, "not JSON: "), ({"limits": {"sockets": 63}}, "limits.sockets: 63 is less than 64"),
 ])  # fmt: skip
 def test_unusable_fields_beside_the_settings_are_named(tmp_path_factory, change, cause):
     with pytest.raises(SettingsError) as refused:
@@ -181,7 +182,7 @@
     for field in ("classes", "dcs"):
         made = wire_settings()
         made[field] = [made[field][0]] * 2
-        with pytest.raises(SettingsError, match=f"settings: {field}: a name stands twice"):
+        with pytest.raises(SettingsError, match=f"settings: {field}: duplicate name"):
             read(tmp_path_factory, configuration(made))
 
 
