--- a/tests/platform/test_discovery_watch.py
+++ b/tests/platform/test_discovery_watch.py
@@ -1,4 +1,4 @@
-"""A discovery watch without sockets: pieces, cuts, answers that cannot be used, discovery that lags."""
+"""A discovery watch without sockets: split and truncated input, invalid responses, lagging discovery."""
 
 import pytest
 
@@ -27,16 +27,16 @@
     return [(record.endpoint, record.state) for record in update.endpoints]
 
 
-def requested(endpoint_list):
-    """A watch that has sent its request."""
+def watch_with_request(endpoint_list):
+    """Return a watch that has sent its request."""
     watch = DiscoveryWatch(endpoint_list, "h")
     watch.request()
     return watch
 
 
-def answered(endpoint_list, *lines, now=NOW):
-    """A watch that was sent these lines, and what they changed."""
-    watch = requested(endpoint_list)
+def watch_with_lines(endpoint_list, *lines, now=NOW):
+    """Return a watch that has received these lines, and the resulting updates."""
+    watch = watch_with_request(endpoint_list)
     return watch, list(watch.receive_data(HEAD + b"".join(chunk(text) for text in lines), now))
 
 
@@ -47,12 +47,12 @@
     assert b"GET /catalog/members?watch=1 HTTP" in DiscoveryWatch(EndpointList(("east",)), "h").request()
 
 
-def test_bytes_may_be_split_at_every_place():
-    for place in range(1, len(STREAM)):
+def test_input_may_be_split_at_any_byte():
+    for split_at in range(1, len(STREAM)):
         endpoint_list = EndpointList(("east", "west"))
         endpoint_list.load_cached(line(41, True, member("a"), member("b")))
-        watch = requested(endpoint_list)
-        pieces = (STREAM[:place], STREAM[place:])
+        watch = watch_with_request(endpoint_list)
+        pieces = (STREAM[:split_at], STREAM[split_at:])
         updates = [update for piece in pieces for update in watch.receive_data(piece, NOW)]
         assert [states(update) for update in updates] == [
             [("c", "ready")], [("a", "draining"), ("b", "gone")], [("d", "ready")],
@@ -61,10 +61,10 @@
         assert set(endpoint_list.endpoints) == {"a", "c", "d"}
 
 
-def test_a_cut_in_the_middle_of_a_chunk_loses_nothing(endpoint_list):
-    for place in range(len(HEAD) + 5, len(STREAM), 7):
-        watch = requested(endpoint_list)
-        list(watch.receive_data(STREAM[:place], NOW))
+def test_a_connection_lost_within_a_chunk_loses_no_update(endpoint_list):
+    for split_at in range(len(HEAD) + 5, len(STREAM), 7):
+        watch = watch_with_request(endpoint_list)
+        list(watch.receive_data(STREAM[:split_at], NOW))
         with pytest.raises(DiscoveryError):
             list(watch.receive_data(b"", NOW))
     assert endpoint_list.revision in (42, 43, 44)
@@ -82,23 +82,23 @@
     HEAD + chunk(b'{"revision":50,"complete":true,"members":[]}\n'), HEAD + b"0\r\n\r\n",
     HEAD + chunk(b'{"revision":50,"complete":true,"members":{}}\n'),
 ])  # fmt: skip
-def test_an_answer_that_cannot_be_used_ends_the_watch_and_the_list_stays(endpoint_list, answer):
-    watch = requested(endpoint_list)
+def test_an_invalid_response_ends_the_watch_and_keeps_the_list(endpoint_list, answer):
+    watch = watch_with_request(endpoint_list)
     with pytest.raises(DiscoveryError):
         list(watch.receive_data(answer, NOW))
     assert set(endpoint_list.endpoints) == {"a", "b"}
     assert endpoint_list.revision == 41
 
 
-def test_a_line_without_an_end_is_bounded(endpoint_list, monkeypatch):
+def test_a_line_without_a_newline_is_bounded(endpoint_list, monkeypatch):
     monkeypatch.setattr(module, "MAX_LINE_BYTES", 100)
-    watch = requested(endpoint_list)
+    watch = watch_with_request(endpoint_list)
     with pytest.raises(DiscoveryError, match="more than 100 bytes"):
         list(watch.receive_data(HEAD + chunk(b"x" * 101), NOW))
 
 
-def test_discovery_that_starts_over_is_believed_once_it_cannot_be_late(endpoint_list):
-    watch, updates = answered(endpoint_list, line(7, True, member("z")), line(8, False, member("y")))
+def test_a_restarted_discovery_is_adopted_after_the_maximum_delivery_delay(endpoint_list):
+    watch, updates = watch_with_lines(endpoint_list, line(7, True, member("z")), line(8, False, member("y")))
     assert updates == []
     assert set(endpoint_list.endpoints) == {"a", "b"}
     assert watch.check_lag(NOW + 6 * S - 1) is None
@@ -111,15 +111,15 @@
     assert [states(update) for update in later] == [[("y", "gone")]]
 
 
-def test_discovery_that_lags_is_believed_in_endings_alone_until_it_has_caught_up(endpoint_list):
+def test_only_drains_and_removals_of_a_lagging_discovery_are_applied_until_it_has_caught_up(endpoint_list):
     endpoint_list.apply_line(line(42, False, member("a", "Terminating"), member("c")))
     endpoint_list.apply_line(line(43, False, member("b", up_since_ms=9000)))
-    # it knows nothing of a's drain, of c, and of b's restart; that d is there it may have to take back
-    watch, updates = answered(endpoint_list, line(40, True, member("a"), member("b"), member("d")))
+    # This discovery does not know yet that a drains, c exists and b restarted; d may be removed again.
+    watch, updates = watch_with_lines(endpoint_list, line(40, True, member("a"), member("b"), member("d")))
     assert updates == []
     data = chunk(line(41, False, member("b", "Terminating"), member("c", "Terminating"), member("d", "Gone")))
     (update,) = watch.receive_data(data, NOW + S)
-    assert states(update) == [("c", "draining")]  # b drained before it restarted
+    assert states(update) == [("c", "draining")]  # the drain of b was before its restart
     assert {name: record.state for name, record in endpoint_list.endpoints.items()} == {
         "a": "draining", "b": "ready", "c": "draining",
     }  # fmt: skip
@@ -131,12 +131,12 @@
     assert watch.lagging is None
 
 
-def test_a_list_that_lags_is_bounded_and_never_empty(endpoint_list, monkeypatch):
-    watch, _ = answered(endpoint_list, line(40, True, member("a")))
+def test_a_lagging_list_is_bounded_and_never_empty(endpoint_list, monkeypatch):
+    watch, _ = watch_with_lines(endpoint_list, line(40, True, member("a")))
     with pytest.raises(DiscoveryError, match="complete list without an endpoint"):
         list(watch.receive_data(chunk(line(41, True)), NOW))
     monkeypatch.setattr(discovery_messages, "MAX_ENDPOINTS", 2)
-    watch, _ = answered(endpoint_list, line(40, True, member("a")))
+    watch, _ = watch_with_lines(endpoint_list, line(40, True, member("a")))
     list(watch.receive_data(chunk(line(40, False, member("x"))), NOW))
     with pytest.raises(DiscoveryError, match="more than 2 endpoints"):
         list(watch.receive_data(chunk(line(40, False, member("y"))), NOW))
--- a/tests/platform/test_endpoint_list.py
+++ b/tests/platform/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The last good endpoint list: updates, stale lines, entries that cannot be used, bounds."""
+"""The last good endpoint list: updates, stale lines, invalid members, bounds."""
 
 import pytest
 
@@ -20,7 +20,7 @@
     return [(record.endpoint, record.state) for record in update.endpoints]
 
 
-def test_the_list_of_the_configuration_is_the_cached_one():
+def test_the_list_in_the_configuration_is_the_cached_one():
     endpoint_list = EndpointList(("east", "west"))
     update = endpoint_list.load_cached(
         line(41, True, member("a", up_since_ms=1_796_000_000_123), member("b", "Terminating"))
@@ -31,7 +31,7 @@
     assert states(update) == [("a", "ready"), ("b", "draining")]
 
 
-def test_lines_older_than_what_is_known_change_nothing(endpoint_list):
+def test_lines_of_an_older_revision_change_nothing(endpoint_list):
     assert endpoint_list.apply_line(line(40, False, member("a", "Gone"))) is None
     assert endpoint_list.apply_line(line(40, True, member("z"))) is None
     assert set(endpoint_list.endpoints) == {"a", "b"}
@@ -39,7 +39,7 @@
     assert endpoint_list.revision == 41
 
 
-def test_an_entry_that_cannot_be_used_holds_up_no_other(endpoint_list):
+def test_an_invalid_member_does_not_affect_the_others(endpoint_list):
     members = (member("a", "Terminating"), member("b", "Odd"), member("c", locality="moon"),
                member("d", size=-1), {"id": 7}, member("e"))  # fmt: skip
     update = endpoint_list.apply_line(line(42, False, *members))
@@ -56,7 +56,7 @@
     assert update.endpoints[0][4:] == ("ready", 1.5, 5000 * NS_PER_MS)
 
 
-def test_ten_thousand_endpoints_in_turn_leave_nothing(endpoint_list):
+def test_ten_thousand_endpoints_added_and_removed_leave_no_trace(endpoint_list):
     for k in range(10_000):
         endpoint_list.apply_line(line(50 + 2 * k, False, member(f"s{k}")))
         endpoint_list.apply_line(line(51 + 2 * k, False, member(f"s{k}", "Gone")))
--- a/tests/platform/test_logging.py
+++ b/tests/platform/test_logging.py
@@ -1,4 +1,4 @@
-"""The log: one JSON object a line, so many a second, and a reader that is gone stops nothing."""
+"""The event log: one JSON object per line, a limited rate, and write errors that are ignored."""
 
 import io
 import json
@@ -36,7 +36,7 @@
     assert rows(stream) == [{"at": 1000.25, "planner": "n0", "event": "serving", "address": "127.0.0.1:1"}]
 
 
-def test_lines_beyond_the_limit_are_counted_in_the_next_second(clock):
+def test_lines_above_the_limit_are_dropped_and_counted_in_the_next_second(clock):
     stream = io.StringIO()
     log = EventLog("n0", stream)
     for number in range(MAX_LINES_PER_S + 7):
@@ -49,7 +49,7 @@
     assert "lines_lost" not in rows(stream)[-1]
 
 
-def test_a_reader_that_is_gone_stops_nothing(clock):
+def test_a_closed_stream_does_not_stop_the_process(clock):
     stream = io.StringIO()
     log = EventLog("n0", stream)
     stream.close()
--- a/tests/platform/test_process_signals.py
+++ b/tests/platform/test_process_signals.py
@@ -1,4 +1,4 @@
-"""Signals raised at a marked place of a process, and a process that runs out of descriptors."""
+"""Signals raised at a chosen point of a process, and a process that runs out of descriptors."""
 
 import asyncio
 import contextlib
@@ -26,12 +26,12 @@
 
 S = 1_000_000_000
 
-LAUNCH = """
+LAUNCHER = """
 import importlib, os, signal, sys
-place, times, *numbers = sys.argv[1].split(",")
+point, times, *numbers = sys.argv[1].split(",")
 numbers, left = [int(n) for n in numbers], [int(times)]
 
-def shot():
+def raise_signals():
     if left[0]:
         left[0] -= 1
         for number in numbers:
@@ -39,26 +39,26 @@
 
 class Finder:
     def find_spec(self, name, path=None, target=None):
-        if name == place:
-            shot()
+        if name == point:
+            raise_signals()
 
 sys.meta_path.insert(0, Finder())
-if ":" in place:
-    module, path = place.split(":")
-    at = importlib.import_module(module)
-    *way, last = path.split(".")
-    for step in way:
-        at = getattr(at, step)
-    old = getattr(at, last)
-    def marked(*arguments, **named):
-        shot()
-        return old(*arguments, **named)
-    setattr(at, last, marked)
+if ":" in point:
+    module, path = point.split(":")
+    owner = importlib.import_module(module)
+    *attributes, function = path.split(".")
+    for attribute in attributes:
+        owner = getattr(owner, attribute)
+    original = getattr(owner, function)
+    def signal_and_call(*arguments, **named):
+        raise_signals()
+        return original(*arguments, **named)
+    setattr(owner, function, signal_and_call)
 from swiftchute.platform.__main__ import run
 run()
 """
 
-PLACES = {
+POINTS = {
     "an import of the start": "uvloop,1",
     "the configuration is read": "swiftchute.platform.settings:read,1",
     "before the loop's handlers": "swiftchute.platform.server:Server.__init__,1",
@@ -69,10 +69,10 @@
 
 
 class LaunchedProcess:
-    """A planner behind the launcher."""
+    """An instance started by the launcher script."""
 
-    def __init__(self, tmp_path, marked, **more):
-        self.port, self.discovery = free_port(), socket.create_server(("127.0.0.1", 0))  # it never answers
+    def __init__(self, tmp_path, trigger, **more):
+        self.port, self.discovery = free_port(), socket.create_server(("127.0.0.1", 0))  # never responds
         file = tmp_path / "config.json"
         file.write_text(json.dumps({
             "name": "n0", "listen": f"127.0.0.1:{self.port}",
@@ -81,18 +81,18 @@
             "known": {"revision": 41, "complete": True, "members": MEMBERS},
         }))  # fmt: skip
         self.process = subprocess.Popen(
-            [sys.executable, "-c", LAUNCH, marked], cwd=ROOT, stderr=subprocess.PIPE,
+            [sys.executable, "-c", LAUNCHER, trigger], cwd=ROOT, stderr=subprocess.PIPE,
             env=os.environ | {"GW_CONFIG": str(file)}, **more,
         )  # fmt: skip
 
     def event(self, name):
         until = time.monotonic() + TIMEOUT_S
-        for line in self.process.stderr:  # a line of figures comes every 10 s
+        for line in self.process.stderr:  # a statistics line comes every 10 s
             row = json.loads(line)
             if row["event"] == name:
                 return row
             assert time.monotonic() < until
-        raise AssertionError(f"the planner ended with {self.process.wait(TIMEOUT_S)}")
+        raise AssertionError(f"no event {name!r}: the process ended with {self.process.wait(TIMEOUT_S)}")
 
     def probe(self):
         with socket.create_connection(("127.0.0.1", self.port), TIMEOUT_S) as client:
@@ -111,14 +111,14 @@
 
 @pytest.fixture
 def launch(tmp_path):
-    made = []
+    launched = []
 
     def launch(*arguments, **more):
-        made.append(LaunchedProcess(tmp_path, *arguments, **more))
-        return made[-1]
+        launched.append(LaunchedProcess(tmp_path, *arguments, **more))
+        return launched[-1]
 
     yield launch
-    for platform in made:
+    for platform in launched:
         if platform.process.poll() is None:
             platform.process.kill()
             platform.process.wait(TIMEOUT_S)
@@ -126,23 +126,23 @@
         platform.discovery.close()
 
 
-@pytest.mark.parametrize("place", PLACES)
-def test_sigterm_at_any_place_of_the_start_exits_with_code_0(launch, place):
-    platform = launch(f"{PLACES[place]},{int(signal.SIGTERM)}")
+@pytest.mark.parametrize("point", POINTS)
+def test_sigterm_at_any_point_of_the_start_exits_with_code_0(launch, point):
+    platform = launch(f"{POINTS[point]},{int(signal.SIGTERM)}")
     assert platform.process.wait(TIMEOUT_S) == 0
     assert b"Traceback" not in platform.process.stderr.read()
 
 
-@pytest.mark.parametrize("place", PLACES)
-def test_sighup_at_any_place_of_the_start_reloads_and_goes_on(launch, place):
-    platform = launch(f"{PLACES[place]},{int(signal.SIGHUP)}")
+@pytest.mark.parametrize("point", POINTS)
+def test_sighup_at_any_point_of_the_start_reloads_and_continues(launch, point):
+    platform = launch(f"{POINTS[point]},{int(signal.SIGHUP)}")
     platform.event("reloaded")
     assert platform.probe() == '{"msg":"alive"}\n'
     assert platform.end() == 0
 
 
-def test_signals_that_cross_a_reload(launch):
-    """SIGHUP comes again while the file is read for the first one."""
+def test_sighup_during_a_reload_reloads_again(launch):
+    """A second SIGHUP arrives while the file is being read for the first one."""
     platform = launch(f"swiftchute.platform.settings:read,3,{int(signal.SIGHUP)}")
     for _ in range(2):
         platform.event("reloaded")
@@ -150,27 +150,27 @@
     assert platform.end() == 0
 
 
-@pytest.mark.parametrize("place", ["_stop", "on_client_closed", "os:_exit"])
-def test_signals_repeated_at_the_end_change_nothing(launch, place):
+@pytest.mark.parametrize("point", ["_stop", "on_client_closed", "os:_exit"])
+def test_repeated_signals_while_stopping_change_nothing(launch, point):
     many = ",".join(str(int(n)) for n in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM))
-    place = place if ":" in place else f"swiftchute.platform.server:Server.{place}"
-    platform = launch(f"{place},9,{many}")
+    point = point if ":" in point else f"swiftchute.platform.server:Server.{point}"
+    platform = launch(f"{point},9,{many}")
     platform.event("serving")
     assert platform.end() == 0
 
 
-def test_accepting_goes_on_after_descriptors_ran_out(launch):
-    def few():
+def test_connections_are_accepted_again_after_descriptors_ran_out(launch):
+    def limit_descriptors():
         resource.setrlimit(resource.RLIMIT_NOFILE, (40, 40))
 
-    platform = launch("none,0", preexec_fn=few)
+    platform = launch("none,0", preexec_fn=limit_descriptors)
     platform.event("serving")
-    replies, crowd = (
+    replies, clients = (
         [],
         [socket.create_connection(("127.0.0.1", platform.port), TIMEOUT_S) for _ in range(200)],
     )
     try:
-        for client in crowd:  # each is answered or let go, none waits for good
+        for client in clients:  # each one is answered or disconnected, none waits forever
             client.settimeout(TIMEOUT_S)
             with contextlib.suppress(ConnectionError):
                 client.sendall(b'{"msg":"probe"}\n')
@@ -178,16 +178,16 @@
         assert b'{"msg":"alive"}\n' in replies
         assert platform.process.poll() is None
     finally:
-        for client in crowd:
+        for client in clients:
             client.close()
     reply = ""
-    while not reply:  # until it has seen the ends of the crowd
+    while not reply:  # until the process has noticed that the other clients disconnected
         assert platform.process.poll() is None
         with contextlib.suppress(ConnectionError):
             reply = platform.probe()
     assert reply == '{"msg":"alive"}\n'
     platform.process.send_signal(signal.SIGTERM)
-    assert platform.event("stopped")["evicted"] > 0  # they were let go by rule, not by the want itself
+    assert platform.event("stopped")["evicted"] > 0  # by the limit on pending sessions
     assert platform.end() == 0
 
 
@@ -195,14 +195,14 @@
 
 
 @pytest.mark.parametrize("stopped_s", [1.5, 3.0])
-def test_reports_that_wait_while_the_process_is_stopped_keep_their_streams(tmp_path, stopped_s):
+def test_proxies_that_report_while_the_process_is_suspended_stay_connected(tmp_path, stopped_s):
     async def scenario():
         process = PlatformProcess(tmp_path, (await Discovery().start()).address, prelude=SHORT_SILENCE)
         try:
             await process.event("serving")
             proxies = [await Client().open_proxy(process.port, proxy) for proxy in range(20)]
             for proxy in proxies:
-                await proxy.receive_table()  # it owes the acknowledgement of its table
+                await proxy.receive_table()  # the acknowledgement of the table stays pending
             process.process.send_signal(signal.SIGSTOP)
             for _ in range(int(stopped_s / 0.25)):
                 for number, proxy in enumerate(proxies):
--- a/tests/platform/test_races.py
+++ b/tests/platform/test_races.py
@@ -1,6 +1,7 @@
-"""Races on real sockets: one side is held, or a signal raised, at the line in question.
+"""Races on real sockets: a test holds one side, or raises a signal, at a chosen line of the code.
 
-It is released when the state that the test needs is seen. The server runs in this process on uvloop.
+The held side is released once the state that the test needs is observed. The server runs in this process on
+uvloop.
 """
 
 import asyncio
@@ -31,7 +32,7 @@
 
 
 class ScriptedDiscovery(Discovery):
-    """A discovery that answers only what the test says, byte by byte if it likes."""
+    """A discovery server that sends only what the test writes, one byte at a time."""
 
     answers = False
 
@@ -63,13 +64,13 @@
                 await self.came.wait()
 
     async def wait_closed(self):
-        """What the process had requested when it closed the connection."""
+        """Wait until the process closes the connection, and return the bytes that it sent before."""
         async with asyncio.timeout(TIMEOUT_S):
             return await self.closed
 
 
 class AnsweringDiscovery(ScriptedDiscovery):
-    """A discovery that begins its answer at once."""
+    """A discovery server that starts its response at once."""
 
     answers = True
 
@@ -83,7 +84,7 @@
     """A server in this process, with its log and a clock that can be advanced."""
 
     def __init__(self, tmp_path, discovery, members=MEMBERS, **more):
-        self.events, self.came, self.port, self.ahead = [], asyncio.Event(), free_port(), 0
+        self.events, self.came, self.port, self.clock_offset_ns = [], asyncio.Event(), free_port(), 0
         self.file = tmp_path / "config.json"
         known = {"revision": 41, "complete": True, "members": members}
         self.config = wire_configuration(self.port, discovery, seed="8c1f", known=known, **more)
@@ -91,7 +92,7 @@
         environment = {"GW_CONFIG": str(self.file)}
         self.server = Server(settings.read(environment), environment, self.log)
         clock = self.server.clock
-        self.server.clock = lambda: clock() + self.ahead
+        self.server.clock = lambda: clock() + self.clock_offset_ns
 
     def write(self, **changes):
         self.config |= changes
@@ -102,7 +103,7 @@
         self.came.set()
 
     async def event(self, name):
-        """Wait for an event that has not been waited for."""
+        """Wait for an event and remove it from `events`."""
         async with asyncio.timeout(TIMEOUT_S):
             while name not in [event for event, _ in self.events]:
                 self.came.clear()
@@ -110,15 +111,15 @@
         place = [event for event, _ in self.events].index(name)
         return self.events.pop(place)[1]
 
-    def move(self, discovery):
-        """A new configuration names another discovery, and SIGHUP comes."""
+    def change_discovery(self, discovery):
+        """Change the address of discovery in the configuration file and raise SIGHUP."""
         self.write(discovery=discovery)
         signal.raise_signal(signal.SIGHUP)
 
 
 @pytest.fixture
-def play(tmp_path):
-    """Run a day against a planner in this process; the planner is stopped by SIGTERM whatever happens."""
+def run_scenario(tmp_path):
+    """Return a function that runs a scenario with a server in this process, which SIGTERM always stops."""
 
     def run(scenario, **more):
         async def whole():
@@ -143,27 +144,27 @@
     return run
 
 
-def test_a_second_reload_while_the_first_new_discovery_has_not_answered(play):
+def test_a_second_change_of_the_address_before_the_first_new_discovery_has_responded(run_scenario):
     async def scenario(world, old):
         proxy = await Client().open_proxy(world.port, 0)
         await proxy.receive_table()
         await old.wait_watched()
         middle, new = await ScriptedDiscovery().start(), await ScriptedDiscovery().start()
-        world.move(middle.address)
-        await middle.wait_watched()  # it came up, and is never answered
-        world.move(new.address)
+        world.change_discovery(middle.address)
+        await middle.wait_watched()  # connected, but without a response
+        world.change_discovery(new.address)
         await new.wait_watched()
         assert await middle.wait_closed() != b""
-        old.send(42, MEMBERS[0] | {"phase": "Terminating"})  # the first one counts all the time
+        old.send(42, MEMBERS[0] | {"phase": "Terminating"})  # the first connection stays in use
         await proxy.receive_removal("e0")
         await new.write(HEAD + changes(43, MEMBERS[1] | {"phase": "Terminating"}))
         await proxy.receive_removal("e1")
         assert await old.wait_closed() != b""
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_connection_given_up_at_the_moment_at_which_it_is_established(play, monkeypatch):
+def test_a_connection_that_goes_out_of_use_while_it_is_established_is_closed(run_scenario, monkeypatch):
     made = transports.DiscoveryTransport.connection_made
 
     async def scenario(world, old):
@@ -172,30 +173,30 @@
         port, address = int(middle.address.rpartition(":")[2]), int(new.address.rpartition(":")[2])
 
         def held(self, transport):
-            if self.connection.address[1] == port:  # between the connection and its first line
+            if self.connection.address[1] == port:  # the address changes while this connection is established
                 world.server.discovery.set_address(("127.0.0.1", address), world.server.clock())
             made(self, transport)
             world.server.run_discovery_commands()
 
         monkeypatch.setattr(transports.DiscoveryTransport, "connection_made", held)
-        world.move(middle.address)
+        world.change_discovery(middle.address)
         await middle.wait_watched()
-        assert await middle.wait_closed() == b""  # nobody's: it is ended and asks nothing
+        assert await middle.wait_closed() == b""  # no longer in use: it is closed without a request
         await new.wait_requested()
         assert new.targets == ["/catalog/members?watch=1&after=41"]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_the_old_discovery_counts_until_the_new_one_has_brought_a_line_byte_by_byte(play):
+def test_the_old_discovery_stays_in_use_until_the_new_one_has_sent_a_line(run_scenario):
     async def scenario(world, old):
         proxy = await Client().open_proxy(world.port, 0)
         await proxy.receive_table()
         await old.wait_watched()
         new = await ScriptedDiscovery().start()
-        world.move(new.address)
+        world.change_discovery(new.address)
         await new.wait_watched()
-        await new.write(HEAD + b"1\r\n")  # an answer that has begun is no list yet
+        await new.write(HEAD + b"1\r\n")  # the response has started, but without a complete line
         old.send(42, MEMBERS[0] | {"phase": "Terminating"})
         await proxy.receive_removal("e0")
         await new.write(b"\n\r\n")
@@ -203,32 +204,32 @@
         await new.write(changes(43, MEMBERS[1] | {"phase": "Terminating"}))
         await proxy.receive_removal("e1")
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_silent_connection_is_replaced_and_counts_until_the_new_one_answers(play):
+def test_a_silent_connection_is_replaced_and_stays_in_use_until_the_new_one_responds(run_scenario):
     async def scenario(world, old):
         proxy = await Client().open_proxy(world.port, 0)
         await proxy.receive_table()
         await old.wait_watched()
         old.came.clear()
-        world.ahead += SILENCE_TIMEOUT_NS + S  # nothing came for so long
+        world.clock_offset_ns += SILENCE_TIMEOUT_NS + S  # the connection has been silent for too long
         await old.wait_watched()
         assert (await world.event("discovery lost"))["cause"].startswith("silent for")
         assert len(old.targets) == 2
         old.send(42, MEMBERS[0] | {"phase": "Terminating"})
         await proxy.receive_removal("e0")
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_proxy_killed_after_its_accept_or_its_hello_leaves_nothing(play):
+def test_a_proxy_killed_after_its_accept_or_its_hello_leaves_no_state(run_scenario):
     async def scenario(world, old):
-        linger = bytes([1, 0, 0, 0, 0, 0, 0, 0])  # ended by a reset
+        linger = bytes([1, 0, 0, 0, 0, 0, 0, 0])  # close() sends a reset
         hello = b'{"msg":"hello","proxy":9,"zone":"east","weight":1.0,"fresh":true}\n'
         for data in (b"", hello[:11], hello):
             for _ in range(20):
-                with socket.create_connection(("127.0.0.1", world.port)) as killed:  # the loop does not run
+                with socket.create_connection(("127.0.0.1", world.port)) as killed:  # the loop is blocked
                     killed.sendall(data)
                     killed.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
         proxy = await Client().open_proxy(world.port, 9)
@@ -239,70 +240,70 @@
         assert set(world.server.sessions.sessions_by_proxy) == {9}
         assert not world.server.sessions.pending_sessions
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-WIDE = wire_settings()
-WIDE["specifics"]["initial_set"] = 1000  # one table of them all
-LONG = [MEMBERS[0] | {"id": f"{'long-name-of-a-server-' * 8}{k}"} for k in range(700)]
+SETTINGS_WITH_ONE_TABLE = wire_settings()
+SETTINGS_WITH_ONE_TABLE["specifics"]["initial_set"] = 1000  # one table with all endpoints
+LONG_MEMBERS = [MEMBERS[0] | {"id": f"{'long-name-of-a-server-' * 8}{k}"} for k in range(700)]
 
 
-async def slow_proxy(world, proxy):
-    """A proxy that reads nothing, with a message to it half sent."""
-    with socket.socket() as plain:
-        plain.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        plain.connect(("127.0.0.1", world.port))
-        plain.setblocking(False)
+async def connect_slow_proxy(world, proxy):
+    """Return the socket of a proxy that does not read, once a message to it is partly sent."""
+    with socket.socket() as client_socket:
+        client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        client_socket.connect(("127.0.0.1", world.port))
+        client_socket.setblocking(False)
         hello = {"msg": "hello", "proxy": proxy, "zone": "east", "weight": 1.0, "fresh": True}
-        plain.send(json.dumps(hello).encode() + b"\n")
-        plain = plain.dup()
+        client_socket.send(json.dumps(hello).encode() + b"\n")
+        client_socket = client_socket.dup()
     async with asyncio.timeout(TIMEOUT_S):
         while not any(c.transport.get_write_buffer_size() for c in world.server.clients):
             for client in world.server.clients:
                 accepted = client.transport.get_extra_info("socket")
                 accepted.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             await asyncio.sleep(0)
-    return plain
+    return client_socket
 
 
-def test_a_message_half_sent_when_sigterm_comes_is_written_completely(play, monkeypatch):
-    monkeypatch.setattr(connection_limits, "STOP_TIMEOUT_S", TIMEOUT_S)  # the test reads slowly
+def test_a_message_that_is_partly_sent_at_sigterm_is_completed(run_scenario, monkeypatch):
+    monkeypatch.setattr(connection_limits, "STOP_TIMEOUT_S", TIMEOUT_S)  # the test reads after the stop
 
     async def scenario(world, old):
-        plain = await slow_proxy(world, 0)
+        client_socket = await connect_slow_proxy(world, 0)
         signal.raise_signal(signal.SIGTERM)
         async with asyncio.timeout(TIMEOUT_S):
             while not world.server.stopping:
                 await asyncio.sleep(0)
-        reader, _ = await asyncio.open_connection(sock=plain, limit=1 << 20)
+        reader, _ = await asyncio.open_connection(sock=client_socket, limit=1 << 20)
         data = await asyncio.wait_for(reader.read(), TIMEOUT_S)
         assert data.endswith(b"\n")
-        assert len(json.loads(data.splitlines()[0])["endpoints"]) == len(LONG)
+        assert len(json.loads(data.splitlines()[0])["endpoints"]) == len(LONG_MEMBERS)
 
-    play(scenario, members=LONG, settings=WIDE)
+    run_scenario(scenario, members=LONG_MEMBERS, settings=SETTINGS_WITH_ONE_TABLE)
 
 
-def test_a_client_that_does_not_read_the_last_message_to_it_is_cut_off(play, monkeypatch):
+def test_a_connection_is_aborted_if_the_client_does_not_read_its_last_message(run_scenario, monkeypatch):
     monkeypatch.setattr(transports, "CLOSE_TIMEOUT_S", 0.01)
 
     async def scenario(world, old):
-        plain = await slow_proxy(world, 0)
+        client_socket = await connect_slow_proxy(world, 0)
         (stuck,) = world.server.clients
-        await Client().open_proxy(world.port, 0)  # its new stream
+        await Client().open_proxy(world.port, 0)  # a new connection of the same proxy
         async with asyncio.timeout(TIMEOUT_S):
             while stuck in world.server.clients:
                 await asyncio.sleep(0)
         assert world.server.sessions.statistics.unsent_overflow == 1
-        plain.close()
+        client_socket.close()
 
-    play(scenario, members=LONG, settings=WIDE)
+    run_scenario(scenario, members=LONG_MEMBERS, settings=SETTINGS_WITH_ONE_TABLE)
 
 
-def test_connections_accepted_between_the_listeners_close_and_the_end(play, monkeypatch):
+def test_connections_accepted_by_the_kernel_during_the_stop_are_closed(run_scenario, monkeypatch):
     stop, late = Server._stop, []
 
     async def held(self, server):
-        for _ in range(5):  # accepted by the kernel, with bytes to read, not seen by the loop
+        for _ in range(5):  # accepted by the kernel with bytes to read, but not by the event loop
             late.append(socket.create_connection(self.configuration.listen))
             late[-1].sendall(b'{"msg":"probe"}\n')
         self.event_loop.call_soon(lambda: None)
@@ -319,7 +320,7 @@
         await proxy.wait_closed()
         assert len(late) == 5
 
-    play(scenario)
+    run_scenario(scenario)
     for client in late:
         client.settimeout(TIMEOUT_S)
         with contextlib.suppress(ConnectionError):
--- a/tests/platform/test_round_schedule.py
+++ b/tests/platform/test_round_schedule.py
@@ -1,4 +1,4 @@
-"""When rounds run: kept apart, at once after a pause, and not later than they are due."""
+"""Rounds keep the minimum interval, run at once after a pause, and run no later than they are due."""
 
 from swiftchute.platform.round_schedule import MIN_ROUND_INTERVAL_NS, RoundSchedule
 
@@ -14,7 +14,7 @@
     assert schedule.wait_for_round_ns(NOW + MIN_ROUND_INTERVAL_NS + 1) == 0
 
 
-def test_a_round_that_nobody_requests_waits_until_it_is_due_and_at_least_the_interval():
+def test_a_round_without_a_request_waits_until_it_is_due_and_at_least_the_interval():
     schedule = RoundSchedule()
     assert schedule.wait_without_request_ns(NOW + 10**9, NOW) == 10**9
     assert schedule.wait_without_request_ns(NOW - 10**9, NOW) == MIN_ROUND_INTERVAL_NS
--- a/tests/platform/test_server.py
+++ b/tests/platform/test_server.py
@@ -1,4 +1,4 @@
-"""The platform's process: its sockets, signals and configuration, with a stand-in discovery."""
+"""The platform's process with a fake discovery server: sockets, signals and configuration."""
 
 import asyncio
 import os
@@ -12,7 +12,7 @@
 
 
 def with_process(scenario):
-    """Run a scenario with a process that is ended whatever happens."""
+    """Run a scenario with a process that is always ended."""
 
     def run(tmp_path):
         async def play():
@@ -34,7 +34,7 @@
 
 
 @with_process
-async def test_proxies_are_served_and_learn_that_an_endpoint_drains(platform, discovery):
+async def test_proxies_are_served_and_notified_of_a_draining_endpoint(platform, discovery):
     probe = await Client().open(platform.port, {"msg": "probe"})
     assert await probe.receive() == {"msg": "alive"}
     proxies = [await Client().open_proxy(platform.port, p, ("east", "west")[p % 2]) for p in range(6)]
@@ -68,7 +68,7 @@
 
 
 @with_process
-async def test_sighup_moves_to_the_new_discovery_and_a_bad_file_changes_nothing(platform, discovery):
+async def test_sighup_changes_the_discovery_address_and_an_invalid_file_changes_nothing(platform, discovery):
     proxy = await Client().open_proxy(platform.port, 0)
     await proxy.receive_table()
     await discovery.wait_watched()
@@ -80,7 +80,7 @@
     new = await Discovery().start()
     platform.configuration["discovery"] = new.address
     platform.write()
-    discovery.send(45, MEMBERS[1] | {"phase": "Terminating"})  # a change while the address changes
+    discovery.send(45, MEMBERS[1] | {"phase": "Terminating"})  # a change sent just before the address changes
     platform.process.send_signal(signal.SIGHUP)
     await new.wait_watched()
     new.send(46, MEMBERS[0] | {"phase": "Terminating"})
@@ -101,7 +101,7 @@
 
 
 @with_process
-async def test_unknown_clients_are_closed_while_proxies_are_served(platform, discovery):
+async def test_unidentified_clients_are_disconnected_while_proxies_are_served(platform, discovery):
     silent = [await Client().open(platform.port) for _ in range(300)]
     proxy = await Client().open_proxy(platform.port, 7)
     assert await proxy.receive_table()
@@ -127,7 +127,7 @@
     ({"settings": {}}, "settings: classes: missing"), ({"settings": [1]}, "settings: '[1]'"),
     ({"known": {"revision": 1}}, "known: invalid endpoint list"), ({"name": None}, "name: missing"),
 ])  # fmt: skip
-def test_an_unusable_configuration_is_named_in_one_line(tmp_path, change, named):
+def test_an_invalid_configuration_is_reported_in_one_line(tmp_path, change, named):
     platform = PlatformProcess(tmp_path, "127.0.0.1:1", **change)
     _, errors = platform.process.communicate(timeout=TIMEOUT_S)
     assert platform.process.returncode == 2
@@ -136,9 +136,9 @@
     assert named in line
 
 
-def test_a_missing_configuration_is_named_in_one_line(tmp_path):
+def test_a_missing_configuration_is_reported_in_one_line(tmp_path):
     for path, named in (("", "GW_CONFIG: not set"), (str(tmp_path / "none.json"), "No such file")):
-        made = subprocess.run(
+        result = subprocess.run(
             [sys.executable, "-m", "swiftchute.platform"],
             cwd=ROOT,
             capture_output=True,
@@ -146,17 +146,17 @@
             timeout=TIMEOUT_S,
             check=False,
         )
-        assert made.returncode == 2
-        assert named in made.stderr.decode()
-        assert made.stderr.count(b"\n") == 1
+        assert result.returncode == 2
+        assert named in result.stderr.decode()
+        assert result.stderr.count(b"\n") == 1
 
 
-def test_modules_that_the_process_does_not_use_are_not_imported():
+def test_unused_modules_are_not_imported():
     program = "import sys, swiftchute.platform.__main__; print(*sorted(sys.modules))"
-    made = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-c", program], cwd=ROOT, capture_output=True, check=True, timeout=TIMEOUT_S
     )
-    loaded = {name.split(".")[0] for name in made.stdout.decode().split()}
+    loaded = {name.split(".")[0] for name in result.stdout.decode().split()}
     assert (
         loaded & {"grpclib", "google", "httpx", "hcl2", "dns", "structlog", "click", "numpy", "h2"} == set()
     )
@@ -176,7 +176,7 @@
 
 
 @pytest.mark.parametrize("error", ["ENOBUFS", "ENFILE", "EMFILE", "ENOMEM", "EADDRNOTAVAIL"])
-def test_a_socket_that_cannot_be_opened_for_a_moment_at_the_start_is_opened_later(tmp_path, error):
+def test_opening_the_listening_socket_is_retried_after_a_transient_error(tmp_path, error):
     async def scenario():
         discovery = await Discovery().start()
         prelude = f"exec({SOCKETS_FAIL.format(times=4, error=error)!r})"
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -1,4 +1,4 @@
-"""Configurations drawn from their documented form: legal ones serve, others are refused by field."""
+"""Generated configurations: valid ones serve, invalid ones are refused with the name of the field."""
 
 import copy
 import json
@@ -31,7 +31,7 @@
 
 @st.composite
 def configurations(draw):
-    """The `settings` of a configuration."""
+    """Draw a valid `settings` object."""
     made = wire_settings(draw(st.integers(1, 60)))
     made["classes"] = draw(st.lists(CLASSES, min_size=1, max_size=5, unique_by=lambda c: c["name"]))
     made["dcs"] = draw(st.lists(NAMES, min_size=1, max_size=4, unique=True))
@@ -123,7 +123,7 @@
     assert served == {(p, name) for p in range(configured.settings.proxy_count) for name in names}
 
 
-PLACES = [
+INVALID_VALUES = [
     ("classes", []), ("classes", None), ("classes.0.name", ""), ("classes.0.name", 7),
     ("classes.0.slo_us", 0), ("classes.0.slo_us", "1s"),
     ("classes.0.deadline_us", -1), ("classes.0.deadline_us", None),
@@ -138,8 +138,8 @@
 ]  # fmt: skip
 
 
-@pytest.mark.parametrize("place, value", PLACES)
-def test_illegal_settings_are_refused_by_field(tmp_path_factory, place, value):
+@pytest.mark.parametrize("place, value", INVALID_VALUES)
+def test_invalid_settings_are_refused_with_the_name_of_the_field(tmp_path_factory, place, value):
     made = copy.deepcopy(wire_settings())
     made["prices"] = {"cross_zone": 0.05}
     *way, last = place.split(".")
@@ -158,7 +158,7 @@
 def test_a_missing_field_is_named(tmp_path_factory, section):
     for field in wire_settings()[section]:
         if field == "fields":
-            continue  # the figures of load reports may be left out
+            continue  # `stats.fields` is optional
         made = wire_settings()
         del made[section][field]
         with pytest.raises(SettingsError, match=rf"settings: {section}\.{field}: missing$"):
@@ -172,7 +172,7 @@
     ({"discovery": "127.0.0.1:٨٠"}, "discovery: "), ({"limits": {"sockets": True}}, "limits.sockets: "),
     ({"name": "\ud800"}, "not JSON: "), ({"limits": {"sockets": 63}}, "limits.sockets: 63 is less than 64"),
 ])  # fmt: skip
-def test_unusable_fields_beside_the_settings_are_named(tmp_path_factory, change, cause):
+def test_invalid_fields_outside_the_settings_are_named(tmp_path_factory, change, cause):
     with pytest.raises(SettingsError) as refused:
         read(tmp_path_factory, configuration(wire_settings()) | change)
     assert f"config.json: {cause}" in str(refused.value)
@@ -187,7 +187,7 @@
 
 
 class Run:
-    """A session manager of these settings; its proxies and reports are the same each time."""
+    """A session manager with these settings; its proxies and reports are the same in each run."""
 
     def __init__(self, made):
         configured = module.from_object("config.json", configuration(made))
@@ -225,8 +225,8 @@
                          mean_ms=100.0 + 90 * k, span_ms=500.0)  # fmt: skip
 
 
-def test_two_policies_of_other_settings_in_one_process_decide_as_they_do_alone():
-    """Names are the same in both, what they mean is not."""
+def test_two_policies_with_different_settings_in_one_process_do_not_affect_each_other():
+    """The two settings use the same names with different meanings."""
     one, other = wire_settings(8), wire_settings(8)
     other["classes"] = [other["classes"][1] | {"slo_us": 2 * 10**5, "semantics": "single_shot"},
                         other["classes"][0]]  # fmt: skip
--- a/tests/platform/test_start_times.py
+++ b/tests/platform/test_start_times.py
@@ -1,4 +1,4 @@
-"""Ages of endpoints are spans of real time, whatever the wall clock does."""
+"""The ages of endpoints are independent of steps of the wall clock."""
 
 import asyncio
 import time
@@ -13,42 +13,42 @@
 
 S = 1_000_000_000
 NOW = 1_700_000_000 * S
-HEARD = NOW - S
+LIST_CONFIRMED = NOW - S
 HOUR = 3600 * S
 WARMUP_S = 9
 
 
-def started(times, started_ns, now=NOW, heard=HEARD, name="a"):
+def started(times, started_ns, now=NOW, list_confirmed=LIST_CONFIRMED, name="a"):
     record = EndpointRecord(name, "east", "", 0, "ready", 1.0, started_ns)
-    return times.adjust(record, now, heard).started_ns
+    return times.adjust(record, now, list_confirmed).started_ns
 
 
 @pytest.mark.parametrize(
     "listed, expected",
     [
-        (0, 0),  # long ago, as the protocol has it
+        (0, 0),  # 0 means long ago in the protocol
         (NOW - 3 * S, NOW - 3 * S),
-        (NOW - HOUR, HEARD - MAX_DELIVERY_DELAY_NS),
+        (NOW - HOUR, LIST_CONFIRMED - MAX_DELIVERY_DELAY_NS),
         (NOW + HOUR, NOW),
     ],
 )
-def test_what_is_learnt_live_is_at_most_as_old_as_its_news_and_never_of_the_future(listed, expected):
+def test_a_start_time_from_a_watch_is_never_in_the_future_nor_older_than_its_update(listed, expected):
     assert started(StartTimes(MAX_DELIVERY_DELAY_NS), listed) == expected
 
 
-def test_of_the_first_list_the_wall_clock_alone_tells():
-    assert started(StartTimes(MAX_DELIVERY_DELAY_NS), NOW - HOUR, heard=None) == NOW - HOUR
-    assert started(StartTimes(MAX_DELIVERY_DELAY_NS), NOW + HOUR, heard=None) == NOW
+def test_start_times_of_the_first_list_depend_on_the_wall_clock_alone():
+    assert started(StartTimes(MAX_DELIVERY_DELAY_NS), NOW - HOUR, list_confirmed=None) == NOW - HOUR
+    assert started(StartTimes(MAX_DELIVERY_DELAY_NS), NOW + HOUR, list_confirmed=None) == NOW
 
 
-def test_a_start_that_is_known_stays_until_the_endpoint_restarts():
+def test_a_known_start_time_stays_until_the_endpoint_restarts():
     times = StartTimes(MAX_DELIVERY_DELAY_NS)
     first = started(times, NOW + HOUR)
-    assert started(times, NOW + HOUR, now=NOW + 60 * S, heard=NOW + 59 * S) == first
-    assert started(times, NOW + HOUR + 1, now=NOW + 60 * S, heard=NOW + 59 * S) == NOW + 60 * S
+    assert started(times, NOW + HOUR, now=NOW + 60 * S, list_confirmed=NOW + 59 * S) == first
+    assert started(times, NOW + HOUR + 1, now=NOW + 60 * S, list_confirmed=NOW + 59 * S) == NOW + 60 * S
 
 
-def test_remembered_starts_are_bounded(monkeypatch):
+def test_the_number_of_remembered_start_times_is_bounded(monkeypatch):
     monkeypatch.setattr(start_times, "MAX_REMEMBERED_STARTS", 3)
     times = StartTimes(MAX_DELIVERY_DELAY_NS)
     for k in range(5):
@@ -57,8 +57,8 @@
 
 
 @pytest.mark.parametrize("step_s", [0, 3600, -3600])
-def test_a_stepped_wall_clock_neither_skips_nor_stretches_the_warm_up_of_an_endpoint(tmp_path, step_s):
-    """It comes into the table once it is warm, as nothing is known yet of what the others carry."""
+def test_a_step_of_the_wall_clock_does_not_change_the_warm_up_of_an_endpoint(tmp_path, step_s):
+    """The endpoint enters the table only once it is warm, because the load of the others is not known yet."""
     settings = wire_settings()
     settings["rules"]["warm_within_us"] = WARMUP_S * 10**6
     prelude = f"import time; real = time.time_ns; time.time_ns = lambda: real() + {step_s} * 10**9"
