--- a/tests/platform/test_egress_backlog.py
+++ b/tests/platform/test_egress_backlog.py
@@ -1,4 +1,4 @@
-"""The egress queue stays within its limit, as seen from outside the process."""
+"""The egress queue stays within its limit, measured outside the process by a model of the channel."""
 
 import asyncio
 import contextlib
@@ -20,7 +20,7 @@
 
 PROXIES = 200
 TABLE_ENTRIES = 20
-LIMIT = 2 * PROXIES * (TABLE_ENTRIES + 10)  # what cannot be put off fits twice
+LIMIT = 2 * PROXIES * (TABLE_ENTRIES + 10)  # twice what cannot be deferred: a full table for each proxy
 RATE_PER_S = LIMIT / 6
 MEMBERS = [
     {"id": f"{zone[0]}{k}", "host_port": f"10.0.0.{k}:80", "locality": zone, "flavor": "m", "cell": 0,
@@ -30,7 +30,7 @@
 
 
 def slow_channel_settings():
-    """Settings of a channel that needs some seconds for what it may hold."""
+    """Return settings with a channel that needs several seconds to send a full egress queue."""
     settings = wire_settings(PROXIES)
     settings["specifics"] |= {
         "egress_per_s": RATE_PER_S, "queue_cap": LIMIT, "initial_set": TABLE_ENTRIES, "update_cap": 30,
@@ -39,21 +39,21 @@
 
 
 class Fleet:
-    """Proxies on real sockets, whose messages pass a channel that is slower than the process writes."""
+    """Proxies on real sockets behind a channel that is slower than the process writes."""
 
     def __init__(self, port):
         self.port, self.clients, self.readers = port, {}, {}
         self.channel = Channel(RATE_PER_S, LIMIT, overhead=10, quota=30)
 
     async def connect(self, proxies):
-        """Open the streams of some proxies, which hold no tables."""
+        """Connect some proxies, which hold no tables."""
         for proxy in proxies:
             client = await Client().open_proxy(self.port, proxy, fresh=True)
             self.clients[proxy] = client
             self.readers[proxy] = asyncio.create_task(self._read(client))
 
     def kill(self, proxies):
-        """Reset the streams of some proxies."""
+        """Abort the connections of some proxies."""
         for proxy in proxies:
             self.clients.pop(proxy).writer.transport.abort()
             self.readers.pop(proxy).cancel()
@@ -64,7 +64,7 @@
                 self.channel.receive(client, line, time.monotonic_ns())
 
     async def run(self, seconds):
-        """Let the channel send, and acknowledge what arrives on streams that are open."""
+        """Let the channel send, and acknowledge the messages that arrive on open connections."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             await asyncio.sleep(0.02)
@@ -82,7 +82,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_proxies_killed_while_their_messages_wait_leave_the_egress_queue_within_its_limit(tmp_path, seed):
+def test_the_egress_queue_stays_within_its_limit_when_proxies_are_killed(tmp_path, seed):
     async def scenario():
         discovery = await Discovery().start()
         process = PlatformProcess(
@@ -116,7 +116,7 @@
 
 
 class ScriptedFleet:
-    """The session manager with the real policy and no sockets, behind the model of the channel."""
+    """A session manager with the real policy, without sockets, in front of a model of the channel."""
 
     def __init__(self, **facts):
         operations = (operation("read"), operation("write"))
@@ -134,13 +134,13 @@
         policy = Reconciler(settings, seed)
         reconcile = policy.reconcile
 
-        def crash_when_told(now, events, commands):
+        def crash_on_demand(now, events, commands):
             reconcile(now, events, commands)
             if self.crashes:
                 self.crashes -= 1
                 raise RuntimeError("crash of the test")
 
-        policy.reconcile = crash_when_told
+        policy.reconcile = crash_on_demand
         return policy
 
     def list_endpoints(self, scope, state="ready", started_s=0, names=None):
@@ -161,7 +161,7 @@
             self.manager.session_closed(self.sessions.pop(proxy), cause)
 
     def run(self, seconds):
-        """Rounds of 20 ms; what leaves the channel is acknowledged where its stream is open."""
+        """Run a round every 20 ms; messages that leave the channel are acknowledged on open connections."""
         for _ in range(int(seconds * 50)):
             self.now += S // 50
             for message in self.channel.leave(self.now):
@@ -174,7 +174,7 @@
                     self.channel.receive(session, line, self.now)
 
     def check(self):
-        """The limits held, and in the end every proxy holds what it should."""
+        """Check that the limits were kept and that every proxy finally holds the tables it should."""
         assert self.channel.messages > PROXIES
         assert self.channel.over_limit == []
         assert self.channel.over_quota == []
@@ -197,8 +197,8 @@
     fleet.run(30)
 
 
-def streams_ended_here(fleet, draw):
-    """Half of the streams are closed by this process each second and come again."""
+def connections_ended_by_the_manager(fleet, draw):
+    """This process closes half of the connections twice a second, and the proxies reconnect."""
     fleet.list_endpoints("held")
     fleet.connect(range(PROXIES))
     for _ in range(6):
@@ -209,8 +209,8 @@
     fleet.run(20)
 
 
-def restarted_during_a_release(fleet, draw):
-    """All proxies come from another instance, and every endpoint may be ejected there."""
+def restart_during_a_release(fleet, draw):
+    """All proxies come from another instance, which may have ejected any endpoint."""
     fleet.list_endpoints("held", started_s=900)
     fleet.connect(range(PROXIES), fresh=False)
     for k in range(TABLE_ENTRIES):
@@ -220,7 +220,7 @@
 
 
 def mixed_faults(fleet, draw):
-    """Faults of all kinds, one after the other and at once, on a channel that is slow for a while."""
+    """Faults of all kinds, one after another or combined, on a channel that is slow for a while."""
     fleet.list_endpoints("held", started_s=draw.choice((0, 900)))
     fleet.connect(range(PROXIES), fresh=draw.random() < 0.5)
     fleet.channel.rate_per_s = RATE_PER_S / draw.choice((1, 2, 4))
@@ -252,9 +252,9 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize(
-    "fault", [mixed_faults, crashing_policy, streams_ended_here, restarted_during_a_release]
+    "fault", [mixed_faults, crashing_policy, connections_ended_by_the_manager, restart_during_a_release]
 )
-def test_the_egress_queue_and_the_message_quota_hold_whatever_the_policy_believes(fault, seed):
+def test_the_egress_queue_and_the_message_quota_stay_within_their_limits_under_faults(fault, seed):
     fleet = ScriptedFleet()
     fault(fleet, random.Random(seed))
     fleet.check()
--- a/tests/platform/test_push_delivery.py
+++ b/tests/platform/test_push_delivery.py
@@ -1,4 +1,4 @@
-"""What proxies are sent while they read nothing, and around a crash of the policy."""
+"""Push messages to slow proxies, within the limits of the protocol, and around a crash of the policy."""
 
 import json
 
@@ -21,11 +21,11 @@
 
 @pytest.fixture
 def world_without_limits():
-    """A world in which neither the quota of messages nor the egress queue holds back what is tested."""
+    """Return a world whose message quota and egress queue do not defer any message."""
     return World(message_quota=0, egress_queue_limit_entries=1e9)
 
 
-def test_a_proxy_that_reads_nothing_gets_one_message_of_what_it_should_hold(world_without_limits):
+def test_the_rounds_of_a_proxy_that_reads_nothing_are_merged_into_one_message(world_without_limits):
     world = world_without_limits
     slow, quick = world.assigned(1, 2)
     written = {1: b"", 2: b""}
@@ -51,7 +51,7 @@
     assert dict(message["endpoints"]) == {f"s{k}": 1.0 + 999 % 7 for k in range(20)}
 
 
-def test_a_proxy_that_acknowledges_nothing_is_retried_now_and_then(world):
+def test_a_proxy_that_acknowledges_nothing_is_retried_at_intervals(world):
     (slow,) = world.assigned(1)
     slow.bytes_written += push_delivery.MAX_UNREAD_BYTES
     assert world.round(("set_weight", 1, "a", 2.0), ("request_ack", 6, False)) == []
@@ -76,7 +76,7 @@
 
 
 def crash(world):
-    """The policy crashes and a new one starts."""
+    """Let the policy crash and restart."""
     world.round(("set_weight", 1, "a", float("nan")))
     assert "policy crashed" in [event for event, _ in world.manager.runner.drain_log_events()]
     world.now += S
@@ -84,7 +84,7 @@
 
 
 def test_a_restarted_policy_restores_only_what_is_listed_as_ready(world):
-    """A proxy without a table here holds tables of others: what drains has to stay ejected there."""
+    """A proxy without a table may hold another instance's tables, so draining endpoints must stay ejected."""
     world.open(HELLO)
     world.manager.update_list("changes", [EndpointRecord("b", "east", "", 0, "draining", 1.0, 0)])
     ((_, data),) = world.round(
@@ -99,12 +99,12 @@
     assert json.loads(data)["restore"] == ["b"]
 
 
-def test_an_acknowledgement_for_a_crashed_policy_is_none_for_the_next_one(world):
+def test_an_acknowledgement_for_a_crashed_policy_is_not_passed_to_the_next_one(world):
     (session,) = world.assigned(1)
     world.round(("set_weight", 1, "a", 2.0), ("request_ack", 1, False))
     crash(world)
     world.round(("set_weight", 1, "b", 1.0), ("assign_table", 1, 1, 0), ("request_ack", 1, False))
-    world.send(session, ACK | {"mark": 1})  # two are owed: it answers the first
+    world.send(session, ACK | {"mark": 1})  # two are pending: it settles the first
     assert world.events(PushAcknowledged) == []
     assert world.manager.statistics.acks == 2
     world.send(session, ACK | {"mark": 1})
@@ -113,9 +113,9 @@
     assert world.manager.statistics.malformed == 0
 
 
-def test_what_arrives_while_the_policy_waits_for_its_restart_is_kept_or_void(world):
+def test_state_that_changes_while_the_policy_waits_for_its_restart_is_passed_to_the_new_one(world):
     stays, goes = world.assigned(1, 2)
-    for _ in range(6):  # it fails again and again, and so waits
+    for _ in range(6):  # repeated crashes delay the restart of the policy
         world.round(("set_weight", 1, "a", float("nan")), wait=0.01)
         list(world.manager.run_round(world.now))
     assert world.manager.runner.policy is None
@@ -141,7 +141,7 @@
 def test_limits_that_take_effect_are_counted(world_without_limits):
     world = world_without_limits
     (session,) = world.assigned(1)
-    for k in range(300):  # it reads and acknowledges nothing: small messages, many nonces
+    for k in range(300):  # nothing is acknowledged: many nonces, little data
         session.record_push(0, 0, world.now)
         world.round(("set_weight", 1, "a", 2.0 + k), ("request_ack", 10 + k, False))
         session.bytes_acknowledged = session.bytes_written
@@ -152,8 +152,11 @@
     assert world.manager.statistics.collectors_closed == 2
 
 
-def test_what_exceeds_the_egress_queue_waits_in_order_until_there_is_room():
-    """Whatever the policy commands: the limit of 60 takes three messages of 5 + 2 + 3 + 10 entries."""
+def test_messages_that_exceed_the_egress_queue_are_deferred_in_order_until_it_has_room():
+    """The limit of 60 entries fits three messages, whatever the policy commands.
+
+    Each costs 20 entries: 13 weights, `full`, the nonce and an overhead of 5.
+    """
     world = World(egress_queue_limit_entries=60)
     sessions = [world.open(HELLO | {"proxy": proxy}) for proxy in range(8)]
     weights = [("set_weight", 1, f"s{k}", 1.0) for k in range(13)]
@@ -164,7 +167,7 @@
     assert world.round(("set_weight", 1, "s0", 2.0), ("request_ack", 6, False)) == []
     for answering, mark, expected in (
         ((0, 1, 2), 5, [3, 4, 5]),
-        ((3, 4, 5), 6, [6, 7, 0, 1]),  # the last two are sent the change alone
+        ((3, 4, 5), 6, [6, 7, 0, 1]),  # the last two receive only the change
         ((6, 7), 6, [2]),
     ):
         for proxy in answering:
--- a/tests/platform/test_session_manager.py
+++ b/tests/platform/test_session_manager.py
@@ -1,4 +1,4 @@
-"""Client sessions without sockets: connections, malformed input, slow proxies, events of the policy."""
+"""Client sessions without sockets: connecting, malformed input, timeouts, limits, events for the policy."""
 
 import pytest
 
@@ -22,11 +22,11 @@
     return World()
 
 
-def test_bytes_may_be_split_at_every_place():
+def test_input_may_be_split_at_any_byte():
     whole = b"".join(text(m) for m in ({"msg": "probe"}, HELLO, DEMAND, DEMAND | {"class": "write"}, DEMAND))
     expected = World()
     expected.send(expected.open(), whole)
-    assert len(expected.manager.runner.pending_events) == 5  # the list, the joining and three sums
+    assert len(expected.manager.runner.pending_events) == 5  # list, proxy connected, three reports
     for place in range(1, len(whole)):
         world = World()
         session = world.open()
@@ -50,9 +50,9 @@
     assert world.events(EndpointLoadReport) == [("east", "a", 9, 2, 41_500_000, 1000 * MS, load)]
     world.send(agent, OUTCOMES | {"tries": 2, "mean_ms": 0.0, "load": None})
     assert world.events(EndpointLoadReport)[1] == ("east", "a", 2, 2, 0, 1000 * MS, None)
-    world.send(agent, DEMAND)  # usage may come by any collector
+    world.send(agent, DEMAND)  # any collector may report demand
     assert len(world.events(DemandReport)) == 2
-    # what came in one span may fail in the next: seen from a calm day, "1 of 0 failed"
+    # A request may fail in the window after the one it arrived in, so a report of "1 of 0 failed" is valid.
     world.send(session, DEMAND | {"tries": 0, "failed": 1})
     assert world.events(DemandReport)[2] == (1, "read", 0, 1, 500 * MS)
     world.round(("set_weight", 1, "a", 1.0), ("assign_table", 1, 1, 0), ("request_ack", 5, False))
@@ -71,13 +71,13 @@
     b"x" * (MAX_FIRST_MESSAGE_BYTES + 1),
     b'{"msg":"hello","proxy":1,"zone":"east","weight":NaN,"fresh":true}\n',
 ])  # fmt: skip
-def test_an_unknown_client_that_cannot_be_used_gets_an_error_and_is_closed(world, message):
+def test_invalid_input_of_an_unidentified_client_gets_an_error_and_ends_the_session(world, message):
     session = world.open(message)
     assert session.end_cause
     (word,) = errors(session)
     assert word["msg"] == "error"
     assert word["cause"]
-    world.send(session, HELLO)  # nothing more is handled
+    world.send(session, HELLO)  # further messages are ignored
     assert not world.manager.sessions_by_proxy
     assert world.events(ProxyConnected) == []
 
@@ -100,9 +100,9 @@
 
 
 @pytest.mark.parametrize("malformed", MALFORMED)
-def test_a_malformed_message_of_a_proxy_is_dropped_and_the_rest_handled(world, malformed):
+def test_a_malformed_message_of_a_proxy_is_dropped_and_later_ones_are_handled(world, malformed):
     (session,) = world.assigned(1)
-    world.round(("set_weight", 1, "a", 2.0), ("request_ack", 5, False))  # an acknowledgement is owed
+    world.round(("set_weight", 1, "a", 2.0), ("request_ack", 5, False))  # an acknowledgement is pending
     before = list(world.manager.runner.pending_events)
     world.send(session, malformed)
     assert world.manager.runner.pending_events == before
@@ -123,7 +123,7 @@
     )),
     DEMAND, ACK, HELLO, AGENT,
 ])  # fmt: skip
-def test_a_malformed_message_of_a_collector_is_dropped_and_nothing_written(world, malformed):
+def test_a_malformed_message_of_a_collector_is_dropped_without_a_reply(world, malformed):
     agent = world.open(AGENT)
     before = list(world.manager.runner.pending_events)
     world.send(agent, malformed)
@@ -134,7 +134,7 @@
     assert not agent.outgoing
 
 
-def test_a_known_client_that_sends_no_json_is_closed(world):
+def test_an_identified_client_that_sends_no_json_is_disconnected(world):
     session, agent = world.open(HELLO), world.open(AGENT)
     for connection in (session, agent):
         world.send(connection, b"\x00\x01garbage\n")
@@ -146,7 +146,7 @@
     assert not agent.outgoing  # nothing is ever written to a collector
 
 
-def test_a_message_of_any_size_up_to_the_limit(world):
+def test_messages_up_to_the_size_limit_are_accepted(world):
     session = world.open(HELLO)
     padded = text(DEMAND)[:-2] + b" " * ((1 << 20) - len(text(DEMAND))) + b"}\n"
     for first in range(0, len(padded), 10_000):
@@ -158,7 +158,7 @@
     assert not session.unparsed
 
 
-def test_the_new_session_of_a_proxy_comes_before_the_old_one_ends(world):
+def test_a_new_session_of_a_proxy_replaces_one_that_has_not_ended(world):
     old = world.open(HELLO)
     new = world.open(HELLO | {"fresh": False, "weight": 3.0})
     joins = [
@@ -175,10 +175,10 @@
     assert world.manager.sessions_by_proxy == {1: new}
     world.round(("set_weight", 1, "a", 1.0), ("assign_table", 1, 1, 0))
     world.manager.session_closed(new, "the connection ended")
-    assert len(world.events(ProxyDisconnected)) == 1  # of the round since; the policy was told of the first
+    assert len(world.events(ProxyDisconnected)) == 1  # the first one was delivered in the round
 
 
-def test_the_old_session_of_a_proxy_ends_before_the_new_one_comes(world):
+def test_a_new_session_of_a_proxy_may_start_after_the_old_one_ended(world):
     world.manager.session_closed(world.open(HELLO), "the connection ended")
     world.open(HELLO)
     joins = [
@@ -198,10 +198,10 @@
     assert world.manager.statistics.malformed == 1
 
 
-def test_silent_unknown_clients_are_closed_after_one_more_reading(world):
+def test_silent_unidentified_clients_are_disconnected_at_the_second_check(world):
     silent, half, slow = world.open(), world.open(b'{"msg":"hel'), world.open({"msg": "probe"})
     proxy = world.open(HELLO)
-    world.now += 5 * S  # this process stood still: what lies in the sockets is read first
+    world.now += 5 * S  # the process was suspended: bytes waiting in the sockets are read first
     world.manager.check_timeouts(world.now)
     assert not world.manager.sessions_to_close
     world.send(slow, HELLO | {"proxy": 2})
@@ -213,7 +213,7 @@
     assert set(world.manager.sessions_by_proxy) == {1, 2}
 
 
-def test_hundreds_of_unknown_clients_take_nothing_from_proxies():
+def test_hundreds_of_unidentified_clients_do_not_affect_proxies():
     world = World(sockets=256)
     proxies = [world.open(HELLO | {"proxy": p}) for p in range(150)]
     unknown = [world.open(b"{") for _ in range(500)]
@@ -233,7 +233,7 @@
     assert len(world.manager.collectors) == session_manager.MAX_COLLECTORS_PER_ZONE
 
 
-def test_a_proxy_that_owes_an_acknowledgement_and_says_nothing_is_disconnected(world):
+def test_a_silent_proxy_with_a_pending_acknowledgement_is_disconnected(world):
     quiet, talks, clear = world.assigned(1, 2, 3)
     world.round(("set_weight", 1, "a", 2.0), ("request_ack", 6, False))
     world.send(clear, ACK | {"proxy": 3, "mark": 6})
@@ -246,7 +246,7 @@
     assert world.events(ProxyDisconnected) == [(1,)]
 
 
-def test_a_hello_in_the_same_read_as_the_end_leaves_nothing(world):
+def test_a_connection_that_ends_right_after_its_hello_leaves_no_state(world):
     session = world.open(text(HELLO) + text(DEMAND) + b'{"msg":"ack","pro')
     world.manager.session_closed(session, "the connection ended")
     assert [type(event) for event in world.manager.runner.pending_events] == [
@@ -264,7 +264,7 @@
     assert not world.manager.runner.assignments.proxies
 
 
-def test_a_client_killed_right_after_its_accept_leaves_nothing(world):
+def test_a_client_killed_right_after_its_accept_leaves_no_state(world):
     for _ in range(1000):
         world.manager.session_closed(world.open(), "the connection broke")
     assert not world.manager.pending_sessions
@@ -272,14 +272,14 @@
 
 
 @pytest.mark.parametrize("first", ["old end", "new acknowledgement"])
-def test_the_old_sessions_late_end_and_an_acknowledgement_on_the_new_one_in_both_orders(world, first):
+def test_the_late_end_of_an_old_session_and_an_acknowledgement_on_the_new_one_in_both_orders(world, first):
     (old,) = world.assigned(1)
     world.round(("set_weight", 1, "a", 2.0), ("request_ack", 6, False))
     new = world.open(HELLO | {"fresh": False})
     world.round(("assign_table", 1, 1, 0), ("request_ack", 7, False))
     if first == "old end":
         world.manager.session_closed(old, "the connection broke")
-    world.send(old, ACK | {"mark": 6})  # its bytes lay in the socket
+    world.send(old, ACK | {"mark": 6})  # its bytes were waiting in the socket
     world.send(new, ACK | {"mark": 7})
     if first != "old end":
         world.manager.session_closed(old, "the connection broke")
@@ -291,7 +291,7 @@
 
 def test_a_whole_fleet_that_connects_at_once_is_read_before_any_is_evicted():
     world = World(sockets=1024)
-    sessions = [world.open() for _ in range(900)]  # accepted one after the other, none read yet
+    sessions = [world.open() for _ in range(900)]  # all accepted, none read yet
     assert not world.manager.sessions_to_close
     world.send(sessions[0], {"msg": "probe"})
     assert errors(sessions[0]) == [{"msg": "alive"}]
@@ -300,7 +300,7 @@
     assert len(world.manager.sessions_by_proxy) == 400
 
 
-def test_state_is_bounded_over_many_endpoints_and_sessions(world):
+def test_state_stays_bounded_over_many_endpoints_and_sessions(world):
     for k in range(10_000):
         name = f"s{k}"
         world.manager.update_list("changes", [EndpointRecord(name, "east", "", 0, "ready", 1.0, 0)])
