--- a/swiftchute/platform/discovery_client.py
+++ b/swiftchute/platform/discovery_client.py
@@ -38,7 +38,7 @@
     watch: DiscoveryWatch
     last_activity_ns: int  # when it was opened or last received bytes
     overdue: bool = False  # silent for longer than the timeout at the last check
-    transport: Any = None  # set and used by the server only
+    transport: Any = None  # owned by the server
 
 
 class OpenConnection(msgspec.Struct, frozen=True):
@@ -133,10 +133,10 @@
         connection = self.current
         if connection is not None and self._is_silent(connection, now_ns):
             if connection.overdue:
-                answered = connection.watch.answered
+                has_response = connection.watch.has_response
                 silent_s = (now_ns - connection.last_activity_ns) / NS_PER_S
-                cause = f"{'silent' if answered else 'no response'} for {silent_s:.1f} s"
-                self._schedule_reconnect(connection, cause, now_ns, backoff=not answered)
+                cause = f"{'silent' if has_response else 'no response'} for {silent_s:.1f} s"
+                self._schedule_reconnect(connection, cause, now_ns, backoff=not has_response)
                 self._replace_current()
             connection.overdue = True
         for in_use in (self.previous, self.current):
@@ -149,13 +149,13 @@
 
     @staticmethod
     def _is_silent(connection: DiscoveryConnection, now_ns: int) -> bool:
-        timeout_ns = SILENCE_TIMEOUT_NS if connection.watch.answered else RESPONSE_TIMEOUT_NS
+        timeout_ns = SILENCE_TIMEOUT_NS if connection.watch.has_response else RESPONSE_TIMEOUT_NS
         return now_ns - connection.last_activity_ns > timeout_ns
 
     def _replace_current(self) -> None:
         """Make room for a new connection; the current one becomes the previous one if it got a response."""
         unused, self.current = self.current, None
-        if unused is not None and unused.watch.answered:
+        if unused is not None and unused.watch.has_response:
             unused, self.previous = self.previous, unused
         if unused is not None:
             self._to_close.append(unused)
--- a/swiftchute/platform/discovery_watch.py
+++ b/swiftchute/platform/discovery_watch.py
@@ -28,7 +28,7 @@
         """
         self.endpoint_list = endpoint_list
         self.host = host
-        self.answered = False  # the head of the response has arrived
+        self.has_response = False  # the head of the response has arrived
         self.has_line = False  # a line has arrived, possibly an empty one
         self.has_update = False  # a list or a change has arrived
         self.lagging: LaggingList | None = None  # set while discovery lags behind the known revision
@@ -65,7 +65,7 @@
                 if isinstance(event, h11.Response):
                     if event.status_code != 200:
                         raise DiscoveryError(f"HTTP status {event.status_code} instead of 200")
-                    self.answered = True
+                    self.has_response = True
                 elif isinstance(event, h11.Data):
                     yield from self._receive_body(bytes(event.data), now_ns)
                 elif isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
--- a/swiftchute/platform/load_reports.py
+++ b/swiftchute/platform/load_reports.py
@@ -12,7 +12,7 @@
 MIN_MAX_LATENCY_NS = 10 * NS_PER_S  # a mean latency up to this is accepted, however short the timeouts are
 
 
-class ReportReader:
+class ReportValidator:
     """Validates reports against the settings."""
 
     def __init__(self, settings: Settings) -> None:
--- a/swiftchute/platform/proxy_session.py
+++ b/swiftchute/platform/proxy_session.py
@@ -79,7 +79,7 @@
         self.last_push_ns = now_ns
         self.push_times_ns: deque[int] = deque()  # times of the push messages that may count for the quota
         self.join_overdue = False  # not identified in time at the last check
-        self.transport: Any = None  # set and used by the server only
+        self.transport: Any = None  # owned by the server
 
     @property
     def identified(self) -> bool:
--- a/swiftchute/platform/session_manager.py
+++ b/swiftchute/platform/session_manager.py
@@ -14,7 +14,7 @@
 from swiftchute.platform import load_reports, wire_messages
 from swiftchute.platform.egress_ledger import EgressLedger
 from swiftchute.platform.errors import MalformedMessageError
-from swiftchute.platform.load_reports import ReportReader
+from swiftchute.platform.load_reports import ReportValidator
 from swiftchute.platform.proxy_session import AckResult, ProxySession
 from swiftchute.platform.push_delivery import Delivery, PushDelivery
 from swiftchute.platform.push_encoder import PushEncoder
@@ -50,7 +50,7 @@
         self.sessions_to_close: list[ProxySession] = []
         self.encoder = PushEncoder(runner.settings, runner.assignments)
         self._proxy_count = runner.settings.proxy_count
-        self._reports = ReportReader(runner.settings)
+        self._report_validator = ReportValidator(runner.settings)
         self.ledger = EgressLedger(runner.settings)
         self._delivery = PushDelivery(
             runner, self.encoder, self.sessions_by_proxy, self.statistics, self.ledger
@@ -155,7 +155,7 @@
         proxy = message.proxy
         if proxy >= self._proxy_count:
             raise MalformedMessageError(f"proxy {proxy}: numbers end at {self._proxy_count - 1}")
-        self._reports.check_zone(message.zone)
+        self._report_validator.check_zone(message.zone)
         previous = self.sessions_by_proxy.get(proxy)
         if previous is not None:  # the end of the previous connection was not noticed yet
             self.statistics.replaced += 1
@@ -175,7 +175,7 @@
     ) -> None:
         if session.identified:
             raise MalformedMessageError("hello or agent: this connection has already identified itself")
-        self._reports.check_zone(message.zone)
+        self._report_validator.check_zone(message.zone)
         same_zone = [other for other in self.collectors if other.collector_zone == message.zone]
         if len(same_zone) >= MAX_COLLECTORS_PER_ZONE:
             oldest = same_zone[0]  # probably the dead connection of a collector that has reconnected
@@ -206,10 +206,10 @@
     ) -> None:
         if session.collector_zone is None:
             raise MalformedMessageError("outcomes: sent on a proxy's connection, not on a collector's")
-        self._reports.check_zone(message.zone)
+        self._report_validator.check_zone(message.zone)
         if not self._is_reportable(message.endpoint):
             raise MalformedMessageError(f"outcomes: server {message.endpoint!r} is not in the endpoint list")
-        report = self._reports.endpoint_report(message)
+        report = self._report_validator.endpoint_report(message)
         self.statistics.reports += 1
         self.runner.enqueue(report)
 
@@ -220,7 +220,7 @@
             raise MalformedMessageError(f"demand: proxy {message.proxy} does not own this connection")
         if message.proxy not in self.sessions_by_proxy:
             raise MalformedMessageError(f"demand: proxy {message.proxy} is not connected")
-        report = self._reports.demand_report(message)
+        report = self._report_validator.demand_report(message)
         self.statistics.reports += 1
         self.runner.enqueue(report)
 
--- a/swiftchute/platform/transports.py
+++ b/swiftchute/platform/transports.py
@@ -81,9 +81,9 @@
             return
         self.transport.write(data)
         if self.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
-            self.cut_off()
+            self.abort()
 
-    def cut_off(self) -> None:
+    def abort(self) -> None:
         """Abort the connection; unsent bytes are discarded."""
         if self in self.owner.clients:
             self.owner.sessions.statistics.unsent_overflow += 1
@@ -102,7 +102,7 @@
             self._flush()
             self.transport.close()
             if self.transport.get_write_buffer_size():
-                self.owner.event_loop.call_later(CLOSE_TIMEOUT_S, self.cut_off)
+                self.owner.event_loop.call_later(CLOSE_TIMEOUT_S, self.abort)
 
     def connection_lost(self, error: Exception | None) -> None:
         """End the session."""
--- a/swiftchute/platform/wire_messages.py
+++ b/swiftchute/platform/wire_messages.py
@@ -123,12 +123,12 @@
         raise MalformedMessageError(str(error)[:MAX_CAUSE_CHARACTERS]) from None
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         # NaN and Infinity are not JSON, but some clients send them among valid messages.
-        if (b"NaN" in line or b"Infinity" in line) and _is_lenient_message(line):
+        if (b"NaN" in line or b"Infinity" in line) and _is_message_with_non_finite_numbers(line):
             raise MalformedMessageError("a figure that is not finite") from None
         raise UnreadableMessageError(str(error)[:MAX_CAUSE_CHARACTERS]) from None
 
 
-def _is_lenient_message(line: bytes) -> bool:
+def _is_message_with_non_finite_numbers(line: bytes) -> bool:
     """Whether a decoder that accepts NaN and Infinity can decode the line as a message."""
     try:
         return "msg" in json.loads(line)
