--- a/swiftchute/platform/server.py
+++ b/swiftchute/platform/server.py
@@ -162,7 +162,7 @@
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self._all_closed.wait(), connection_limits.STOP_TIMEOUT_S)
         for client in list(self.clients):
-            client.abort()
+            client.abort_connection()
 
     def on_client_closed(self) -> None:
         """Let a stopping process end once all client connections are closed."""
--- a/swiftchute/platform/transports.py
+++ b/swiftchute/platform/transports.py
@@ -81,9 +81,9 @@
             return
         self.transport.write(data)
         if self.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
-            self.abort()
+            self.abort_connection()
 
-    def abort(self) -> None:
+    def abort_connection(self) -> None:
         """Abort the connection; unsent bytes are discarded."""
         if self in self.owner.clients:
             self.owner.sessions.statistics.unsent_overflow += 1
@@ -102,7 +102,7 @@
             self._flush()
             self.transport.close()
             if self.transport.get_write_buffer_size():
-                self.owner.event_loop.call_later(CLOSE_TIMEOUT_S, self.abort)
+                self.owner.event_loop.call_later(CLOSE_TIMEOUT_S, self.abort_connection)
 
     def connection_lost(self, error: Exception | None) -> None:
         """End the session."""
