--- a/swiftchute/safety/__init__.py
+++ b/swiftchute/safety/__init__.py
@@ -1,1 +1,1 @@
-"""Validates tables before they are published, and corrects those that break a rule. No I/O, no clock."""
+"""Validates tables before they are published and corrects those that break a rule. No I/O, no clock."""
--- a/swiftchute/safety/capacity.py
+++ b/swiftchute/safety/capacity.py
@@ -1,13 +1,13 @@
-"""Capacity of endpoints: how much of it one that warms up has, and how many requests it may be sent."""
+"""Capacity of endpoints: how much of it an endpoint has while it warms up, and what rate it may be sent."""
 
 from swiftchute.api.settings import Settings
 from swiftchute.safety.proposal import EndpointStatus, Observations, SafetyRules
 
 
 def capacity_fraction(status: EndpointStatus, settings: Settings, now_ns: int) -> float:
-    """Return the part of its full capacity that an endpoint has at least.
+    """Return the fraction of its full capacity that an endpoint has at the least.
 
-    It grows evenly from the fraction at a start to 1, within the longest time of a slow start.
+    It grows linearly from the fraction right after a start to 1, over the longest duration of a slow start.
     """
     if not status.started_ns:
         return 1.0
@@ -17,17 +17,17 @@
 
 
 def slow_start_multiple(status: EndpointStatus, settings: Settings, rules: SafetyRules, now_ns: int) -> float:
-    """Return how many times its full rate an endpoint may be sent now: the planned part of the limit."""
+    """Return the multiple of its full rate that tables may plan for an endpoint now."""
     return (
         rules.slow_start_fraction * settings.overload_multiple * capacity_fraction(status, settings, now_ns)
     )
 
 
 def full_rate(status: EndpointStatus, observations: Observations) -> float | None:
-    """Return the successful requests per second that this controller may count on from a warm endpoint.
+    """Return the successful requests per second that this controller may expect of a warm endpoint.
 
-    What its own proxies got in that zone is its own by use; where they sent little, it has as much of the
-    kind's full rate as it has of all proxies.
+    The peak rate that its own proxies reached in that zone counts in full. Where they sent little, it gets a
+    share of the kind's peak rate that equals its share of all proxies.
 
     Returns:
         The rate; None if the rate of the endpoint's kind is unknown.
--- a/swiftchute/safety/errors.py
+++ b/swiftchute/safety/errors.py
@@ -8,4 +8,4 @@
 
 
 class InputFileError(SafetyError):
-    """A file that cannot be read or has other content than expected; the text names file, field and cause."""
+    """A file that cannot be read or has unexpected content; the text names file, field and cause."""
--- a/swiftchute/safety/order_backoff.py
+++ b/swiftchute/safety/order_backoff.py
@@ -1,7 +1,7 @@
-"""Backoff of tables whose orders break a rule again and again. No I/O, no clock.
+"""Exponential backoff of tables whose orders are rejected repeatedly. No I/O, no clock.
 
 A policy whose order is rejected proposes much the same in the next round. After a few rejected orders in a
-row a table waits, longer each time: what is ordered meanwhile is not validated until the wait is over.
+row a table backs off, longer each time; orders for it are not validated until the wait is over.
 """
 
 from collections.abc import Container, Iterable
@@ -11,20 +11,20 @@
 from swiftchute.safety.violation_log import LogEvent
 
 NS_PER_S = 1_000_000_000
-FIRST_WAIT_NS = NS_PER_S // 4  # bound of the first wait
-MAX_WAIT_NS = 8 * NS_PER_S  # bound of every wait
-MIN_JITTER_FACTOR = 0.5  # a wait is at least this part of its bound
-# A rejected order adds two points and an accepted one takes one away: one good order among bad ones ends
-# nothing, as a policy may oscillate.
+FIRST_WAIT_NS = NS_PER_S // 4  # upper bound of the first wait
+MAX_WAIT_NS = 8 * NS_PER_S  # upper bound of any wait
+MIN_JITTER_FACTOR = 0.5  # a wait is at least this fraction of its upper bound
+# A rejected order adds two points and an accepted one removes one: as a policy may oscillate, an accepted
+# order among rejected ones must not end the backoff.
 REJECTED_POINTS = 2
 ACCEPTED_POINTS = 1
-FREE_POINTS = 10  # five rejected orders in a row, past which a table waits
-MAX_POINTS = FREE_POINTS + 32
+POINTS_BEFORE_WAIT = 10  # five rejected orders in a row; a table with more points waits
+MAX_POINTS = POINTS_BEFORE_WAIT + 32
 
 
 @dataclass(slots=True)
 class TableBackoff:
-    """How a table is doing: its points, until when it waits, and whether that was logged."""
+    """Backoff of one table: its points, until when it waits, and whether the wait was logged."""
 
     points: int = 0
     until_ns: int = 0
@@ -32,25 +32,25 @@
 
 
 class OrderBackoff:
-    """The tables that have rejected orders behind them."""
+    """Backoff of all tables with recently rejected orders."""
 
     def __init__(self, random: Random, events: list[LogEvent]) -> None:
         """Start without a table.
 
         Args:
             random: Source of the jitter; each wait draws from it once.
-            events: Log records; appended to here.
+            events: Log records; appended to in place.
         """
         self._random = random
         self._events = events
         self._tables: dict[int, TableBackoff] = {}
 
     def waiting(self, now_ns: int) -> set[int]:
-        """Return the tables that wait."""
+        """Return the tables whose wait is not over."""
         return {number for number, backoff in self._tables.items() if now_ns < backoff.until_ns}
 
     def remaining_ns(self, number: int, now_ns: int) -> int | None:
-        """Return for how long a table waits still; None if it has no rejected order behind it."""
+        """Return how much longer a table waits; None if it has no recently rejected orders."""
         backoff = self._tables.get(number)
         return max(backoff.until_ns - now_ns, 0) if backoff else None
 
@@ -79,12 +79,12 @@
     def _record_rejected(self, number: int, now_ns: int) -> None:
         backoff = self._tables.setdefault(number, TableBackoff())
         backoff.points = min(backoff.points + REJECTED_POINTS, MAX_POINTS)
-        if backoff.points <= FREE_POINTS:
+        if backoff.points <= POINTS_BEFORE_WAIT:
             return
-        doublings = (backoff.points - FREE_POINTS - 1) // REJECTED_POINTS
-        bound_ns = min(FIRST_WAIT_NS << doublings, MAX_WAIT_NS)
-        backoff.until_ns = now_ns + int(bound_ns * self._random.uniform(MIN_JITTER_FACTOR, 1.0))
+        doublings = (backoff.points - POINTS_BEFORE_WAIT - 1) // REJECTED_POINTS
+        max_wait_ns = min(FIRST_WAIT_NS << doublings, MAX_WAIT_NS)
+        backoff.until_ns = now_ns + int(max_wait_ns * self._random.uniform(MIN_JITTER_FACTOR, 1.0))
         if not backoff.is_logged:
             backoff.is_logged = True
-            fields = {"table": number, "on": True, "seconds": round(bound_ns / NS_PER_S, 2)}
+            fields = {"table": number, "on": True, "seconds": round(max_wait_ns / NS_PER_S, 2)}
             self._events.append(LogEvent("table waits", fields))
--- a/swiftchute/safety/proposal.py
+++ b/swiftchute/safety/proposal.py
@@ -1,4 +1,4 @@
-"""What the validator is asked, and what it answers: types only."""
+"""Types of the validator's input and output."""
 
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, field
@@ -9,7 +9,7 @@
 
 
 class Rule(StrEnum):
-    """The rules on tables; their values are the names of settings and log records."""
+    """The rules on tables; the values are the names used in settings and log records."""
 
     BAD_WEIGHT = "bad weight"
     CLOSED_ENDPOINT = "barred server"
@@ -21,10 +21,10 @@
     ZONE_OVERLOAD = "overfull pool"
     LARGE_STEP = "large step"
     QUOTA_USED = "full channel"
-    # exceptions: no table is safe, the least harmful one is published
+    # exceptions: no safe table exists, so the least harmful one is published
     NO_OPEN_ENDPOINT = "no open server"
     ONLY_WARMING_UP = "only cold servers"
-    # never corrected, only reported
+    # only reported, never corrected
     STALE_LIST = "late list"
 
 
@@ -38,9 +38,9 @@
 class Outcome(StrEnum):
     """What was done about a violation."""
 
-    CORRECTED = "mended"  # the table was changed so that it keeps the rule
-    WARNED = "warned"  # the table was left as it is
-    PUBLISHED = "sent"  # an exception: no table is safe, the least harmful one is published
+    CORRECTED = "mended"  # the table was changed to comply with the rule
+    WARNED = "warned"  # the table was left unchanged
+    PUBLISHED = "sent"  # an exception: no safe table exists, so the least harmful one is published
 
 
 @dataclass(frozen=True)
@@ -49,15 +49,15 @@
 
     Attributes:
         warn_only: Names of rules whose violations are reported and not corrected.
-        max_endpoint_share: Greatest part of a table that one endpoint may have beside others.
-        stale_fraction: Part of a table's endpoints that may differ from the endpoint list.
-        slow_start_fraction: Part of the slow-start limit that tables may plan for, as requests come in
-            bursts and endpoints differ in speed.
-        max_zone_load_multiple: How many times the rate that a zone was seen to answer it may be sent.
-        max_step_fraction: Part of all requests by which the load of a zone may grow within the window.
+        max_endpoint_share: Largest share of a table that one endpoint may have beside others.
+        stale_fraction: Fraction of a table's endpoints whose real state may differ from the endpoint list.
+        slow_start_fraction: Fraction of the slow-start limit that tables may use; the rest is headroom, as
+            requests come in bursts and endpoints differ in speed.
+        max_zone_load_multiple: Multiple of a zone's observed peak rate that it may be sent.
+        max_step_fraction: Fraction of all requests by which the load of a zone may grow within the window.
         step_window_ns: Length of that window, nanoseconds.
-        max_quota_fraction: Part of the message quota past which a table is not changed, so that drains
-            still get through.
+        max_quota_fraction: Used fraction of the message quota from which on a table is not changed, so that
+            messages are left for drains.
     """
 
     warn_only: frozenset[str] = frozenset()
@@ -71,7 +71,7 @@
 
     @classmethod
     def from_config(cls, section: Mapping[str, Any]) -> Self:
-        """Make the rules from the `guard` section of a settings file, by its keys."""
+        """Make the rules from the `guard` section of a settings file."""
         return cls(
             warn_only=frozenset(section["warn"]),
             max_endpoint_share=section["line_part"],
@@ -86,12 +86,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointStatus:
-    """What the endpoint list says of an endpoint.
+    """What the endpoint list says about an endpoint.
 
     Attributes:
         zone: Its zone.
         state: Whether it is ready, draining or removed.
-        started_ns: Time of its last start; 0 if that is long ago.
+        started_ns: Time of its last start; 0 if it started so long ago that it is warm.
         weight: Its capacity relative to other endpoints.
         kind: Its type; endpoints of one kind and weight have the same capacity.
     """
@@ -104,11 +104,11 @@
 
 
 class PendingShare(NamedTuple):
-    """Proxies of a table that may still apply earlier tables, and what they may send by these.
+    """Proxies of a table that may still apply earlier tables, and what they may send according to those.
 
     Attributes:
-        rate_fraction: Part of the table's requests that comes to these proxies.
-        share_by_endpoint: Greatest part of these requests that an endpoint may get, by endpoint.
+        rate_fraction: Fraction of the table's requests that arrives at these proxies.
+        share_by_endpoint: Largest share of these requests that each endpoint may get.
     """
 
     rate_fraction: float
@@ -117,16 +117,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Proposal:
-    """A table that is to be published.
+    """A table proposed for publication.
 
     Attributes:
         weights: Weight by endpoint.
-        admission_rate: Part of the requests that is admitted, 0 to 1.
-        proxy_zones: Zones of the proxies that the table is assigned to; none: it is not assigned.
-        zone_local: Whether it serves an operation that must not leave its zone.
-        request_rate: Requests per second that come to these proxies; None if unknown.
-        pending: What these proxies may still send by earlier tables until they acknowledge this one.
-        quota_used: Part of the message quota that is used up for these proxies.
+        admission_rate: Fraction of the requests that is admitted, 0 to 1.
+        proxy_zones: Zones of the proxies that the table is assigned to; empty if it is not assigned.
+        zone_local: Whether it serves an operation whose requests must not leave their zone.
+        request_rate: Requests per second that arrive at these proxies; None if unknown.
+        pending: What these proxies may send according to earlier tables until they acknowledge this one.
+        quota_used: Fraction of the message quota that is used up for these proxies.
     """
 
     weights: Mapping[str, float]
@@ -140,16 +140,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Observations:
-    """What is known besides tables and the endpoint list.
+    """What was observed, apart from tables and the endpoint list.
 
     Attributes:
-        peak_rate_by_kind: Successful requests per second that a warm endpoint of weight 1 was seen to
-            answer, by kind; a kind that is missing is unknown.
-        peak_rate_by_zone_and_kind: The same in one zone alone, by zone and kind.
-        responding: Endpoints that answered lately.
-        failing_zones: Zones whose endpoints fail most of what they get.
-        proxy_fraction: Part of all proxies that is connected to this controller; the others send to the same
-            endpoints by tables of other controllers, or by those they have.
+        peak_rate_by_kind: Highest observed rate of successful requests per second of a warm endpoint of
+            weight 1, by kind; unknown for a kind that is missing.
+        peak_rate_by_zone_and_kind: The same within a single zone, by zone and kind.
+        responding: Endpoints that answered a request lately.
+        failing_zones: Zones whose endpoints fail most of their requests.
+        proxy_fraction: Fraction of all proxies that is connected to this controller; the others send to the
+            same endpoints, by tables of other controllers or by the last ones they got.
         weights_at_window_start: Weights by table at the start of the step window.
     """
 
@@ -169,8 +169,8 @@
         rule: The rule.
         table: Number of the table.
         endpoints: The endpoints concerned, sorted.
-        value: The figure that the rule limits.
-        limit: Its limit.
+        value: The quantity that the rule limits.
+        limit: The limit that the value exceeds.
         outcome: What was done about it.
     """
 
@@ -183,7 +183,7 @@
 
 
 class AllowedTable(NamedTuple):
-    """What may be published of a table: weight by endpoint, and the admission rate."""
+    """The content of a table that may be published: weight by endpoint, and the admission rate."""
 
     weights: dict[str, float]
     admission_rate: float
--- a/swiftchute/safety/publish_gate.py
+++ b/swiftchute/safety/publish_gate.py
@@ -1,13 +1,13 @@
-"""Stands between a controller's tables and every frontend, and remembers what it held back.
+"""The safety gate: validates a controller's tables before any frontend publishes them.
 
     gate = PublishGate(settings, rules, enforce=True)
     changed = gate.review(proposed, ordered, statuses, observations, now_ns, list_revision)
     weights, admission_rate = gate.allowed[number]
     gate.take_events()                                            # log records since the last call
 
-A violation is logged once by rule and table, with its figures, and counted from then on; it is logged again
-when it ends. A table held back for longer than the drain grace raises an alarm. A table whose orders are
-rejected again and again waits, longer each time; only drains leave it meanwhile. No I/O, no clock.
+A violation is logged when it begins, once for each rule and table, and when it ends; in between it is only
+counted. A table held back for longer than the drain grace raises an alarm. A table whose orders are rejected
+repeatedly backs off; until it is due again, only draining endpoints are removed from it. No I/O, no clock.
 """
 
 import random
@@ -34,22 +34,22 @@
 from swiftchute.safety.violation_log import LogEvent, ViolationLog
 
 NS_PER_S = 1_000_000_000
-# A table that nobody ordered to change is changed only after this time: most of what an endpoint list brings
-# is ordered by then.
+# A table that should change without an order of the policy is changed only after this delay: by then the
+# policy has ordered most of the changes that follow from an endpoint list.
 UNORDERED_DELAY_NS = NS_PER_S // 3
-MIN_UNORDERED_CHANGE = 0.1  # part by which an unordered weight must change: limits of slow start always rise
-QUEUE_DELAY_DIVISOR = 4  # queued messages may delay a drain by this part of the drain grace
+MIN_UNORDERED_CHANGE = 0.1  # fraction an unordered weight must change by, as slow-start limits rise steadily
+QUEUE_DELAY_DIVISOR = 4  # queued messages may delay a drain by drain grace / divisor
 
 
 class PublishGate:
-    """Keeps what may be published, by table, and the standing violations.
+    """Keeps what may be published for each table, and the violations that persist.
 
     Attributes:
         enforce: Whether tables are corrected; otherwise they are published as proposed.
-        allowed: What may be published, by table.
-        held_tables: Tables that were ordered to change and held back in the last review.
+        allowed: Content that may be published, by table.
+        held_tables: Tables whose ordered changes the last review held back.
         violations: Violations of the last review.
-        counts: Reviews by rule in which it was broken, and under "waited" those that were skipped.
+        counts: Number of violations by rule; under "waited", the number of skipped reviews.
         list_revision: Revision of the endpoint list in the last review.
     """
 
@@ -60,7 +60,7 @@
             settings: Limits of slow start, and the drain grace.
             rules: Limits of the rules.
             enforce: Whether tables are corrected; otherwise violations are logged and counted only.
-            seed: Seed of the jitter of waits.
+            seed: Seed of the backoff's jitter.
         """
         self.enforce = enforce
         self.allowed: dict[int, AllowedTable] = {}
@@ -75,10 +75,10 @@
         self._violation_log = ViolationLog(enforce, settings.drain_grace_ns, self.counts, self._events)
         self._backoff = OrderBackoff(random.Random(seed), self._events)
         self._step_window = StepWindow(rules.step_window_ns)
-        self._unordered_since: dict[int, int] = {}  # tables that should change without an order
+        self._unordered_since: dict[int, int] = {}  # when a table first should change without an order
 
     def warm_check(self, statuses: Mapping[str, EndpointStatus], now_ns: int) -> Callable[[str], bool]:
-        """Return a function that says whether a listed endpoint is ready and has its full capacity."""
+        """Return a predicate that tells whether a listed endpoint is ready and at full capacity."""
         return lambda endpoint: (
             statuses[endpoint].state == EndpointState.READY
             and capacity_fraction(statuses[endpoint], self._settings, now_ns) >= 1
@@ -86,12 +86,12 @@
 
     @property
     def max_queue_delay_ns(self) -> int:
-        """For how long a drain may wait for messages that are queued already."""
+        """Longest time that a drain may wait behind messages already in the queue."""
         return self._settings.drain_grace_ns // QUEUE_DELAY_DIVISOR
 
     @property
     def due(self) -> int | None:
-        """When a table that should change without an order is changed; None if there is none."""
+        """When the next unordered change of a table is due; None if there is none."""
         if not self._unordered_since:
             return None
         return min(self._unordered_since.values()) + UNORDERED_DELAY_NS
@@ -110,41 +110,43 @@
 
         Args:
             proposed: Proposed tables by number.
-            ordered: Tables that were ordered to change.
+            ordered: Numbers of the tables whose change the policy or an operator ordered.
             statuses: What the endpoint list says, by endpoint.
-            observations: What is known besides.
+            observations: What was observed of the traffic.
             now_ns: Time of the review.
             list_revision: Revision of the endpoint list.
-            urgent: Those of the ordered tables that never wait, as staff ordered them.
+            urgent: Ordered tables that never back off, as an operator ordered them.
 
         Returns:
-            The tables that nobody ordered to change and that are to be published anew.
+            The tables that changed without an order and must be published again.
         """
         waiting = self._waiting(proposed, urgent, now_ns)
         self.held_tables = waiting & set(ordered)
         if ordered and waiting.issuperset(ordered) and list_revision == self.list_revision:
             self.counts["waited"] = self.counts.get("waited", 0) + 1
-            return []  # bounds the work: nothing that may change now is new
+            return []  # bounds the work: all ordered tables wait, and the list is unchanged
         self.list_revision = list_revision
         over_quota = self._over_quota(proposed)
         if self.enforce and Rule.QUOTA_USED not in self._rules.warn_only:
             waiting |= over_quota.keys() - set(urgent)
             self.held_tables = waiting & set(ordered)
-        asked = {
+        to_validate = {
             number: replace(table, weights=self.allowed[number].weights) if number in waiting else table
             for number, table in proposed.items()
         }
-        tables = self._validate(asked, statuses, observations, now_ns)
+        tables = self._validate(to_validate, statuses, observations, now_ns)
         self._report_over_quota(over_quota, ordered)
         self._violation_log.record(self.violations, now_ns)
         if self.enforce:
             self._backoff.record(set(ordered) - waiting, self._corrected_tables(), now_ns)
         else:
-            tables = {n: AllowedTable(dict(asked[n].weights), asked[n].admission_rate) for n in tables}
+            tables = {
+                n: AllowedTable(dict(to_validate[n].weights), to_validate[n].admission_rate) for n in tables
+            }
         return self._update_allowed(tables, set(ordered), waiting, now_ns)
 
     def _waiting(self, proposed: Mapping[int, Proposal], urgent: Collection[int], now_ns: int) -> set[int]:
-        """Return the published tables that wait after rejected orders; urgent ones wait no longer."""
+        """Return the published tables that back off; ends the backoff of urgent ones."""
         for number in urgent:
             self._backoff.reset(number)
         return {
@@ -162,15 +164,15 @@
     ) -> dict[int, AllowedTable]:
         published = {number: table.weights for number, table in self.allowed.items()}
         at_window_start = self._step_window.weights_at_start(published, now_ns)
-        known = replace(observations, weights_at_window_start=at_window_start)
-        verdict = self._validator.validate(proposed, published, statuses, known, now_ns)
+        observations_with_window = replace(observations, weights_at_window_start=at_window_start)
+        verdict = self._validator.validate(proposed, published, statuses, observations_with_window, now_ns)
         self.violations = verdict.violations
         return verdict.tables
 
     def _over_quota(self, proposed: Mapping[int, Proposal]) -> dict[int, float]:
-        """Return the used part of the message quota of published tables where it is too great.
+        """Return the used fraction of the message quota, for the published tables that exceed its limit.
 
-        A policy that swings its weights would use up all messages, and the next drain would wait for more.
+        A policy that oscillates would use up all messages, and the next drain would have to wait for quota.
         """
         return {
             number: table.quota_used
@@ -194,7 +196,7 @@
     def _update_allowed(
         self, tables: Mapping[int, AllowedTable], ordered: set[int], waiting: set[int], now_ns: int
     ) -> list[int]:
-        """Update what may be published; return the tables that change without an order."""
+        """Update `allowed`; return the tables that change without an order."""
         changed = []
         for number, table in tables.items():
             current = self.allowed.get(number)
@@ -207,7 +209,7 @@
                 if now_ns - since_ns < UNORDERED_DELAY_NS and number not in waiting:
                     continue
                 changed.append(number)
-                self.held_tables.discard(number)  # an endpoint drains: it leaves the table all the same
+                self.held_tables.discard(number)  # a draining endpoint still leaves it
             self._unordered_since.pop(number, None)
             self.allowed[number] = table
         return changed
@@ -215,17 +217,17 @@
     def explain(
         self, number: int, ordered: Mapping[str, float], admission_rate: float, pin: str, now_ns: int
     ) -> dict[str, Any]:
-        """Return why a table is published as it is, as plain data for the admin interface.
+        """Return why the published table differs from the order, as plain data for the admin interface.
 
         Args:
             number: Number of the table.
             ordered: Weights that the policy ordered.
             admission_rate: Admission rate that the policy ordered.
-            pin: What else keeps the table from the order; "" if nothing does.
-            now_ns: Time of the question.
+            pin: Description of the pin or other cause that overrides the order; "" if there is none.
+            now_ns: Time of the query.
         """
         allowed = self.allowed.get(number, AllowedTable(dict(ordered), admission_rate))
-        waits_ns = self._backoff.remaining_ns(number, now_ns)
+        wait_ns = self._backoff.remaining_ns(number, now_ns)
         return {
             "level": {"ordered": admission_rate, "out": allowed.admission_rate},
             "lines": [
@@ -233,7 +235,7 @@
                     "server": endpoint,
                     "ordered": ordered.get(endpoint, 0.0),
                     "out": allowed.weights.get(endpoint, 0.0),
-                    "why": self._violation_log.rules_on(number, endpoint)
+                    "why": self._violation_log.rules_limiting(number, endpoint)
                     or pin
                     or "takes up what others may not have",
                 }
@@ -241,8 +243,8 @@
                 if ordered.get(endpoint) != allowed.weights.get(endpoint)
             ],
             "same": sum(ordered.get(endpoint) == weight for endpoint, weight in allowed.weights.items()),
-            "findings": self._violation_log.of_table(number, now_ns),
-            "waits": round(waits_ns / NS_PER_S, 1) if waits_ns is not None else 0.0,
+            "findings": self._violation_log.violations_of_table(number, now_ns),
+            "waits": round(wait_ns / NS_PER_S, 1) if wait_ns is not None else 0.0,
         }
 
     def take_events(self) -> list[LogEvent]:
--- a/swiftchute/safety/violation_log.py
+++ b/swiftchute/safety/violation_log.py
@@ -1,4 +1,4 @@
-"""Which violations stand, how often each rule was broken, and what the log is to say of that. No I/O."""
+"""Tracks violations that persist, counts them by rule, and makes their log records. No I/O."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -7,7 +7,7 @@
 from swiftchute.safety.proposal import Outcome, Rule, Violation
 
 NS_PER_S = 1_000_000_000
-MAX_LOGGED_ENDPOINTS = 8  # of one violation
+MAX_LOGGED_ENDPOINTS = 8  # per violation
 
 
 class LogEvent(NamedTuple):
@@ -18,7 +18,7 @@
 
 
 class StandingViolation(NamedTuple):
-    """A violation that was found in the last review, and since when it was found in each."""
+    """A violation found in the last review, and since when every review has found it."""
 
     since_ns: int
     violation: Violation
@@ -26,14 +26,14 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class ViolationKey:
-    """What makes two violations the same one: rule and table."""
+    """Identifies a violation across reviews: rule and table."""
 
     rule: str
     table: int
 
 
 class ViolationLog:
-    """Logs a violation once when it begins and once when it ends, and counts it in each review."""
+    """Logs a violation when it begins and when it ends, and counts it in each review."""
 
     def __init__(
         self, enforce: bool, alarm_after_ns: int, counts: dict[str, int], events: list[LogEvent]
@@ -42,9 +42,9 @@
 
         Args:
             enforce: Whether tables are corrected; otherwise violations are logged as warnings.
-            alarm_after_ns: Time for which a table may be held back without an alarm.
-            counts: Reviews by rule in which it was broken; counted up here.
-            events: Log records; appended to here.
+            alarm_after_ns: How long a table may be held back before an alarm is raised.
+            counts: Number of violations by rule; updated in place.
+            events: Log records; appended to in place.
         """
         self.standing: dict[ViolationKey, StandingViolation] = {}
         self._enforce = enforce
@@ -56,7 +56,7 @@
     def record(self, violations: Iterable[Violation], now_ns: int) -> None:
         """Record the violations of a review.
 
-        Those of a list that may be stale come and go with the load: they are counted and not logged.
+        Stale-list violations come and go with the load, so they are counted but not logged.
         """
         found: dict[ViolationKey, Violation] = {}
         for violation in violations:
@@ -77,13 +77,13 @@
             self.standing[key] = StandingViolation(now_ns, violation)
             return
         since_ns = self.standing[key].since_ns
-        is_late = now_ns - since_ns > self._alarm_after_ns
-        if is_late and key not in self._alarmed and violation.outcome == Outcome.CORRECTED:
+        is_overdue = now_ns - since_ns > self._alarm_after_ns
+        if is_overdue and key not in self._alarmed and violation.outcome == Outcome.CORRECTED:
             self._alarmed.add(key)
             self._log("table held", violation, seconds=_seconds(now_ns - since_ns))
         self.standing[key] = StandingViolation(since_ns, violation)
 
-    def _log(self, event: str, violation: Violation, **more: Any) -> None:
+    def _log(self, event: str, violation: Violation, **extra_fields: Any) -> None:
         outcome = violation.outcome
         if not self._enforce and outcome == Outcome.CORRECTED:
             outcome = Outcome.WARNED
@@ -95,10 +95,10 @@
             "limit": round(violation.limit, 3),
             "done": outcome.value,
         }
-        self._events.append(LogEvent(event, fields | more))
+        self._events.append(LogEvent(event, fields | extra_fields))
 
-    def of_table(self, table: int, now_ns: int) -> list[dict[str, Any]]:
-        """Return the standing violations of a table as plain data for the admin interface."""
+    def violations_of_table(self, table: int, now_ns: int) -> list[dict[str, Any]]:
+        """Return a table's persisting violations as plain data for the admin interface."""
         return [
             {
                 "rule": violation.rule.value,
@@ -112,10 +112,10 @@
             if key.table == table
         ]
 
-    def rules_on(self, table: int, endpoint: str) -> str:
+    def rules_limiting(self, table: int, endpoint: str) -> str:
         """Return the rules that limit an endpoint of a table, joined by commas.
 
-        A violation of an endpoint that warms up is reported at one of its tables and limits all of them.
+        A slow-start violation is reported for only one of the endpoint's tables, but limits all of them.
         """
         rules = {
             violation.rule
