--- a/swiftchute/safety/review.py
+++ b/swiftchute/safety/review.py
@@ -1,4 +1,4 @@
-"""The state of one validation of all tables, which the rules read and change."""
+"""State of one validation of all tables; the rules read and modify it."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
@@ -19,12 +19,12 @@
     Violation,
 )
 
-ROUNDING_TOLERANCE = 1.001  # a float that exceeds its limit by less does not exceed it
+ROUNDING_TOLERANCE = 1.001  # factor up to which an excess over a limit counts as a rounding error
 
 
 @dataclass(slots=True)
 class Review:
-    """One validation: what is asked, what is known, and the verdict so far.
+    """One validation: its input, and the verdict so far.
 
     Attributes:
         settings: Limits of slow start.
@@ -32,11 +32,11 @@
         proposed: Proposed tables by number.
         published: Weights that were published last, by table.
         statuses: What the endpoint list says, by endpoint.
-        observations: What is known besides.
+        observations: What was observed of the traffic.
         now_ns: Time of the validation.
-        verdict: What may be published, and the violations.
+        verdict: What may be published, and the violations found so far.
         open_endpoints: Endpoints that may be sent requests.
-        warm_endpoints: Those of them that have their full capacity.
+        warm_endpoints: Open endpoints at full capacity.
     """
 
     settings: Settings
@@ -51,9 +51,9 @@
     warm_endpoints: frozenset[str] = field(init=False)
 
     def __post_init__(self) -> None:
-        """Find the open and the warm endpoints once: the rules ask for them again and again."""
+        """Compute the open and the warm endpoints once, as the rules look them up very often."""
         self.open_endpoints = frozenset(
-            endpoint for endpoint, status in self.statuses.items() if self._may_be_used(endpoint, status)
+            endpoint for endpoint, status in self.statuses.items() if self._is_open_status(endpoint, status)
         )
         self.warm_endpoints = frozenset(
             endpoint
@@ -61,11 +61,11 @@
             if capacity_fraction(self.statuses[endpoint], self.settings, self.now_ns) >= 1
         )
 
-    def _may_be_used(self, endpoint: str, status: EndpointStatus) -> bool:
+    def _is_open_status(self, endpoint: str, status: EndpointStatus) -> bool:
         """Return whether an endpoint may be sent requests.
 
-        An endpoint list may call endpoints removed that still serve: where removal is not binding, those
-        that responded lately are open.
+        Where removal is not binding, an endpoint that the list reports as removed may still serve; it is
+        open if it responded lately.
         """
         if status.state == EndpointState.READY:
             return True
@@ -76,7 +76,7 @@
         )
 
     def report(self, rule: Rule, table: int, endpoints: Iterable[str], value: float, limit: float) -> bool:
-        """Add a violation to the verdict; return whether the table is to be corrected."""
+        """Add a violation to the verdict; return whether the table must be corrected."""
         if not self.corrects(rule):
             outcome = Outcome.WARNED
         else:
@@ -86,7 +86,7 @@
         return self.corrects(rule)
 
     def corrects(self, rule: Rule) -> bool:
-        """Return whether violations of a rule are corrected, not only reported."""
+        """Return whether violations of a rule are corrected rather than only reported."""
         return rule not in self.rules.warn_only
 
     def weights(self, table: int) -> dict[str, float]:
@@ -94,7 +94,7 @@
         return self.verdict.tables[table].weights
 
     def admitted_fraction(self, table: int) -> float:
-        """Return the part of a table's requests that the verdict admits, 0 to 1."""
+        """Return the fraction of a table's requests that the verdict admits, 0 to 1."""
         return min(self.verdict.tables[table].admission_rate, 1.0)
 
     def set_weights(self, table: int, weights: dict[str, float]) -> None:
@@ -110,13 +110,13 @@
         return endpoint in self.open_endpoints
 
     def is_warm(self, endpoint: str) -> bool:
-        """Return whether an endpoint is open and has its full capacity."""
+        """Return whether an endpoint is open and at full capacity."""
         return endpoint in self.warm_endpoints
 
-    def must_be_left(self, endpoint: str) -> bool:
-        """Return whether an endpoint that is not open must not stay in a table.
+    def must_be_removed(self, endpoint: str) -> bool:
+        """Return whether an endpoint that is not open must be removed from a table.
 
-        One that is merely missing from the list may stay where removal is not binding.
+        Where removal is not binding, an endpoint that is removed or missing from the list may stay.
         """
         status = self.statuses.get(endpoint)
         state = status.state if status is not None else EndpointState.REMOVED
@@ -125,8 +125,8 @@
     def usable_endpoints(self, table: Proposal) -> list[str]:
         """Return the open endpoints that a table may use.
 
-        These are the ones of its proxies' zones, or all if none of these is warm and requests may leave
-        their zone.
+        These are the endpoints in its proxies' zones. If none of them is warm and requests may leave their
+        zone, all open endpoints are usable.
         """
         own = [
             endpoint
@@ -138,11 +138,11 @@
         return [endpoint for endpoint in self.statuses if endpoint in self.open_endpoints]
 
     def full_rate(self, endpoint: str) -> float | None:
-        """Return the requests per second that may be counted on from an endpoint once it is warm."""
+        """Return the requests per second that an endpoint can be expected to answer once it is warm."""
         return full_rate(self.statuses[endpoint], self.observations)
 
     def slow_start_multiple(self, endpoint: str) -> float:
-        """Return how many times its full rate an endpoint may be sent now."""
+        """Return the multiple of its full rate that an endpoint may be sent now."""
         return slow_start_multiple(self.statuses[endpoint], self.settings, self.rules, self.now_ns)
 
     def slow_start_limit(self, endpoint: str) -> float | None:
--- a/swiftchute/safety/rules/__init__.py
+++ b/swiftchute/safety/rules/__init__.py
@@ -1,1 +1,1 @@
-"""The rules of the validator, one module each: what each one limits, and how a table is corrected."""
+"""The rules of the validator, one module each: what the rule limits, and how it corrects a table."""
--- a/swiftchute/safety/rules/max_share.py
+++ b/swiftchute/safety/rules/max_share.py
@@ -1,11 +1,11 @@
-"""Greatest share: one endpoint gets no more than a stated part of a table beside others."""
+"""Maximum share: an endpoint may get at most a configured share of a table that has others."""
 
 from swiftchute.safety.proposal import Rule
 from swiftchute.safety.review import ROUNDING_TOLERANCE, Review
 
 
 def limit_shares(review: Review, number: int, weights: dict[str, float]) -> dict[str, float]:
-    """Lower the weights of endpoints with too great a share; of few endpoints each may have more."""
+    """Lower the weights of endpoints above the maximum share, if there are enough endpoints to keep it."""
     max_share, total = review.rules.max_endpoint_share, sum(weights.values())
     over = [
         endpoint
--- a/swiftchute/safety/rules/no_endpoint.py
+++ b/swiftchute/safety/rules/no_endpoint.py
@@ -1,4 +1,4 @@
-"""Empty table, no warm endpoint: proxies always have an endpoint, and a warm one while there is any."""
+"""Empty table, no warm endpoint: a table needs an endpoint, and a warm one if any is available."""
 
 from swiftchute.safety.proposal import Rule
 from swiftchute.safety.review import Review
@@ -9,14 +9,14 @@
 ) -> dict[str, float]:
     """Fill a table that has no endpoint left.
 
-    It gets the weights published last, of the endpoints that it may use, else all of these endpoints. If
-    there is none no table is safe: an empty one would be no better than what was proposed, which stays.
+    It gets the last published weights of the endpoints that it may use, or else all of these endpoints. If
+    it may use none, no table is safe; the proposed one is kept, as an empty one would be no better.
 
     Args:
         review: The validation.
         number: Number of the table.
-        weights: What the rules before have left.
-        proposed_weights: What was proposed, without bad weights.
+        weights: Weights left by the rules that were applied before.
+        proposed_weights: The proposed weights, without bad ones.
     """
     if weights:
         return weights
@@ -32,7 +32,7 @@
 
 
 def add_warm_endpoints(review: Review, number: int, weights: dict[str, float]) -> dict[str, float]:
-    """Add the warm endpoints that a table may use if all that it has warm up."""
+    """Add all usable warm endpoints to a table that has none."""
     if not weights:
         return weights
     usable = review.usable_endpoints(review.proposed[number])
--- a/swiftchute/safety/rules/own_zone.py
+++ b/swiftchute/safety/rules/own_zone.py
@@ -1,4 +1,4 @@
-"""Own zone: the table of an operation that must not leave its zone holds endpoints of that zone alone."""
+"""Own zone: the table of a zone-local operation holds only endpoints of its own zone."""
 
 from swiftchute.safety.proposal import Rule
 from swiftchute.safety.review import Review
--- a/swiftchute/safety/rules/slow_start.py
+++ b/swiftchute/safety/rules/slow_start.py
@@ -1,8 +1,8 @@
-"""Slow start: an endpoint that warms up gets no more, from all tables together, than it may be sent.
+"""Slow start: the sum of all tables must not send a warming-up endpoint more than its current limit.
 
-Its share is lowered in all tables that have a warm endpoint as well. What proxies may still send by earlier
-tables until they acknowledge counts with what they are to send. Tables of nothing but endpoints that warm up
-keep their weights: there the admission rate is lowered.
+The endpoint's share is lowered in every table that also has a warm endpoint. Until proxies acknowledge a new
+table, they may still send by earlier ones; the larger of the old and new share counts for them. Tables with
+only warming-up endpoints keep their weights; their admission rate is lowered instead.
 """
 
 from collections import defaultdict
@@ -12,22 +12,22 @@
 from swiftchute.safety.proposal import Rule
 from swiftchute.safety.review import ROUNDING_TOLERANCE, Review
 
-BISECTION_STEPS = 30  # of the factor by which a share must fall
+BISECTION_STEPS = 30  # to find the factor by which a share must be reduced
 
 
 class _Reduction(NamedTuple):
-    """By which factor something of an endpoint must fall: its share of tables, or else its weight."""
+    """Factor by which an endpoint's share of its tables, or else its weight, must be reduced."""
 
     factor: float
     of_weight: bool = False
 
     @property
-    def lowers(self) -> bool:
+    def is_effective(self) -> bool:
         return self.factor < 1
 
 
 class _Load(NamedTuple):
-    """What an endpoint gets, what it may get, and how its weights must change for that."""
+    """Load of an endpoint, its limit, and the reduction that keeps it within the limit."""
 
     value: float
     limit: float
@@ -45,19 +45,19 @@
     """Applies the rule to all tables of one validation."""
 
     def __init__(self, review: Review) -> None:
-        """Start with the tables of the verdict so far that are assigned to a proxy."""
+        """Start with those tables of the verdict that are assigned to a proxy."""
         self._review = review
         self._assigned = [number for number, table in review.proposed.items() if table.proxy_zones]
-        # tables with a warm endpoint, whose other endpoints can be given less
+        # tables with a warm endpoint, which can take over load from the others
         self._adjustable = [number for number in self._assigned if self._has_warm_endpoint(number)]
 
     def apply(self) -> None:
-        """Lower the shares of endpoints that get too much, and admission rates where that cannot help."""
+        """Lower shares of overloaded endpoints, and admission rates of tables without a warm endpoint."""
         warming_up = self._warming_up()
         self._limit_tables_without_warm_endpoint()
         reductions: dict[str, _Reduction] = {}
         reported: set[str] = set()
-        # what one endpoint loses the others get, so that more of them may have to be lowered
+        # each reduction raises the other endpoints' shares, so further ones may exceed their limit
         for _ in range(len(warming_up) + 1):
             if not self._find_reductions(warming_up, reductions, reported):
                 return
@@ -80,13 +80,13 @@
     def _find_reductions(
         self, warming_up: list[str], reductions: dict[str, _Reduction], reported: set[str]
     ) -> bool:
-        """Update the reductions of endpoints that get too much; return whether any became greater."""
+        """Update the reductions of overloaded endpoints; return whether any reduction grew."""
         changed = False
         for endpoint in warming_up:
             tables = self._tables_that_send_to(endpoint)
             load = self._load(tables, endpoint)
-            if endpoint in reductions:  # stays at its limit, whatever the others' reductions move
-                changed |= load.is_over and load.reduction.lowers
+            if endpoint in reductions:  # kept at its limit while the others' reductions shift load
+                changed |= load.is_over and load.reduction.is_effective
                 reductions[endpoint] = load.reduction
                 continue
             if not load.is_over or not set(tables) & set(self._adjustable):
@@ -100,9 +100,9 @@
         return changed
 
     def _tables_that_send_to(self, endpoint: str) -> list[int]:
-        """Return the tables by which an endpoint gets requests.
+        """Return the tables from which an endpoint gets requests.
 
-        A table that gives the endpoint up counts until all of its proxies have acknowledged that.
+        A table that drops the endpoint counts until all of its proxies have acknowledged that.
         """
         return [
             number
@@ -120,7 +120,7 @@
             return _Load(rate, limit, NO_REDUCTION)
         if self._rate(tables, endpoint, 0.0) >= limit:
             return self._load_of_pending(tables, endpoint, rate, limit)
-        lowest, highest = 0.0, 1.0  # the rate grows with the factor, in straight pieces
+        lowest, highest = 0.0, 1.0  # the rate is piecewise linear and increasing in the factor
         for _ in range(BISECTION_STEPS):
             middle = (lowest + highest) / 2
             if self._rate(tables, endpoint, middle) <= limit:
@@ -130,7 +130,7 @@
         return _Load(rate, limit, _Reduction(lowest))
 
     def _rate(self, tables: list[int], endpoint: str, factor: float) -> float:
-        """Return what an endpoint gets, in requests per second, if its adjustable shares fall by a factor."""
+        """Return an endpoint's requests per second if its adjustable shares are scaled by a factor."""
         return sum(
             self._table_rate(
                 number,
@@ -141,7 +141,7 @@
         )
 
     def _table_rate(self, number: int, endpoint: str, share: float) -> float:
-        """Return what a table sends an endpoint at a share, with what its proxies may still send."""
+        """Return the rate that a table sends an endpoint at a share until its proxies acknowledge it."""
         table, admitted = self._review.proposed[number], self._review.admitted_fraction(number)
         fraction, remaining = 0.0, 1.0
         for pending in table.pending:
@@ -151,7 +151,7 @@
         return (table.request_rate or 0.0) * (fraction + max(remaining, 0.0) * admitted * share)
 
     def _settled_rate(self, number: int, share: float) -> float:
-        """Return what a table sends an endpoint at a share once all of its proxies have acknowledged it."""
+        """Return the rate that a table sends an endpoint at a share after all proxies acknowledged it."""
         request_rate = self._review.proposed[number].request_rate or 0.0
         return request_rate * self._review.admitted_fraction(number) * share
 
@@ -160,10 +160,10 @@
         return weights.get(endpoint, 0.0) / sum(weights.values()) if weights else 0.0
 
     def _load_of_pending(self, tables: list[int], endpoint: str, rate: float, limit: float) -> _Load:
-        """Return the load where what proxies may still send exceeds the limit already.
+        """Return the load of an endpoint whose limit is already exceeded by unacknowledged earlier tables.
 
-        No share may grow until they acknowledge; none falls below the one published last, as that would
-        correct nothing and be undone a moment later.
+        No share may grow until they acknowledge. A share is not cut below the last published one just for
+        these, as that would not lower the load and would soon be undone.
         """
         shares = {
             number: share
@@ -193,14 +193,14 @@
         }
 
     def _load_by_weight(self, tables: list[int], endpoint: str) -> _Load:
-        """Return the greatest weight that an endpoint has by its listed one, over that of warm endpoints.
+        """Return the load as the largest relative weight (weight over listed weight) against warm endpoints'.
 
-        Used while request rates or the endpoint's full rate are unknown, as after a start: while the warm
-        endpoints are not overloaded, one within this limit is not over its own.
+        Used while request rates or the endpoint's full rate are unknown, as after a start. An endpoint within
+        this limit is not overloaded as long as the warm endpoints are not.
         """
         limit = self._review.slow_start_multiple(endpoint)
         statuses = self._review.statuses
-        greatest = 0.0
+        largest = 0.0
         for number in tables:
             weights = self._review.weights(number)
             warm = [
@@ -210,12 +210,12 @@
             ]
             if warm and endpoint in weights:
                 relative_weight = weights[endpoint] / statuses[endpoint].weight
-                greatest = max(greatest, relative_weight / (sum(warm) / len(warm)))
-        factor = limit / greatest if greatest else 1.0
-        return _Load(greatest, limit, _Reduction(factor, of_weight=True))
+                largest = max(largest, relative_weight / (sum(warm) / len(warm)))
+        factor = limit / largest if largest else 1.0
+        return _Load(largest, limit, _Reduction(factor, of_weight=True))
 
     def _reduce(self, number: int, reductions: Mapping[str, _Reduction]) -> None:
-        """Lower the shares, or weights, of endpoints in a table; the others keep their weights."""
+        """Apply reductions to a table; endpoints without one keep their weights."""
         current = self._review.weights(number)
         total = sum(current.values())
         shares = {
@@ -240,9 +240,9 @@
         )
 
     def _limit_tables_without_warm_endpoint(self) -> None:
-        """Lower the admission rate of tables that send endpoints more than they may get.
+        """Lower the admission rate of tables without a warm endpoint that exceed a slow-start limit.
 
-        Without that the overload would keep them from ever warming up.
+        Otherwise the overload would keep these endpoints from ever warming up.
         """
         review = self._review
         tables = [
--- a/swiftchute/safety/rules/stale_list.py
+++ b/swiftchute/safety/rules/stale_list.py
@@ -1,7 +1,7 @@
-"""Stale list: a change that is safe only if the endpoint list is up to date is reported.
+"""Stale list: reports a change that is safe only if the endpoint list is up to date.
 
-It is not corrected: at ordinary load most tables are unsafe under the worst list, and holding a change back
-would leave a table in force that is as bad.
+The change is not corrected: at ordinary load most tables are unsafe under the worst-case list, and holding a
+change back would leave an equally unsafe table in force.
 """
 
 import math
@@ -11,12 +11,12 @@
 from swiftchute.safety.review import Review
 from swiftchute.safety.stale_list import Overload, worst_case_overload
 
-MAX_OVERLOAD = 1.0  # load over limit of an endpoint that just restarted
-MIN_INCREASE = 1.05  # of the overload by a change, below which it is not reported
+MAX_OVERLOAD = 1.0  # ratio of load to limit of an endpoint that just restarted
+MIN_INCREASE = 1.05  # factor by which a change must increase the overload to be reported
 
 
 def report_stale_list_risk(review: Review, number: int) -> None:
-    """Report a change that makes a table less safe, and unsafe, under the lists that could be true."""
+    """Report a change under which a table becomes less safe, and unsafe, in the worst-case list."""
     table = review.proposed[number]
     published = review.published.get(number, {})
     if not table.proxy_zones or table.request_rate is None:
@@ -31,7 +31,7 @@
 
 
 def _overload(review: Review, weights: Mapping[str, float], rate: float) -> Overload:
-    """Return the worst overload of an endpoint by these weights, of endpoints whose rate is known."""
+    """Return the worst-case overload by these weights, over endpoints whose peak rate is known."""
     settings = review.settings
     known = {
         endpoint: weight
