--- a/swiftchute/safety/observed_traffic.py
+++ b/swiftchute/safety/observed_traffic.py
@@ -1,7 +1,7 @@
-"""What is known of request rates and of what endpoints answer, from the events that the policy is given.
+"""Request rates of proxies and success rates of endpoints, taken from the events that the policy gets.
 
-    traffic.observe_event(event, now_ns)                  # each load report and demand report
-    traffic.request_rate(proxies, operations, now_ns)     # per second; None if no fresh report tells
+    traffic.observe_event(event, now_ns)                  # uses load and demand reports
+    traffic.request_rate(proxies, operations, now_ns)     # per second; None without a fresh report
     traffic.peak_rates(statuses, is_warm, now_ns)         # by zone and kind, per second and unit of weight
     traffic.responding_endpoints(now_ns)
     traffic.failing_zones(statuses, now_ns)
@@ -20,16 +20,16 @@
 from swiftchute.safety.proposal import EndpointStatus
 
 NS_PER_S = 1_000_000_000
-# A report counts for so long beyond its window, as proxies of a large fleet report in turn.
+# A report stays valid this long beyond its window, as the proxies of a large fleet report in turn.
 REPORT_LIFETIME_NS = 10 * NS_PER_S
-SAMPLE_INTERVAL_NS = NS_PER_S  # from one sample of the zones' rates to the next
-MAX_SAMPLES = 60  # of a zone and kind: a rate counts as its peak for a minute
-SAMPLES_IN_MEAN = 5  # a peak is the mean of so many samples in a row: single ones are too high by chance
-MIN_SUCCESS_FRACTION = 0.5  # of a zone's attempts, below which it is failing
+SAMPLE_INTERVAL_NS = NS_PER_S  # between samples of the zones' rates
+MAX_SAMPLES = 60  # per zone and kind, so a rate can count as the peak for a minute
+SAMPLES_IN_MEAN = 5  # consecutive samples averaged for a peak; single ones are too high by chance
+MIN_SUCCESS_FRACTION = 0.5  # a zone with a smaller fraction of successful attempts is failing
 
 
-class _Answers(msgspec.Struct, frozen=True, gc=False):
-    """What an endpoint answered, per second, by a report that is fresh until a time."""
+class _EndpointRates(msgspec.Struct, frozen=True, gc=False):
+    """Successes and attempts per second of an endpoint by one report, and until when it is valid."""
 
     fresh_until_ns: int
     success_rate: float
@@ -37,41 +37,41 @@
 
 
 class _Demand(msgspec.Struct, frozen=True, gc=False):
-    """Requests per second by a report that is fresh until a time."""
+    """Requests per second by one report, and until when it is valid."""
 
     fresh_until_ns: int
     request_rate: float
 
 
 class _Sample(NamedTuple):
-    """Successful requests per second and unit of weight."""
+    """Successful requests per second and unit of weight at a time."""
 
     taken_at_ns: int
     rate: float
 
 
 @dataclass(slots=True)
-class _Sum:
-    """Sums of two figures over endpoints."""
+class _Totals:
+    """Sums over endpoints of a numerator and a denominator."""
 
-    first: float = 0.0
-    second: float = 0.0
+    numerator: float = 0.0
+    denominator: float = 0.0
 
-    def add(self, first: float, second: float) -> None:
-        self.first += first
-        self.second += second
+    def add(self, numerator: float, denominator: float) -> None:
+        self.numerator += numerator
+        self.denominator += denominator
 
 
 ZoneKind = tuple[str, str]  # zone and kind of endpoints
 
 
 class ObservedTraffic:
-    """The last report by endpoint and by proxy, and samples of the last minute by zone and kind."""
+    """The last report of each endpoint and proxy, and rate samples of the last minute by zone and kind."""
 
     def __init__(self) -> None:
         """Start without a report."""
-        # by endpoint, and zone of the proxies that report
-        self._answers: dict[str, dict[str, _Answers]] = defaultdict(dict)
+        # by endpoint, and by zone of the reporting proxies
+        self._endpoint_rates: dict[str, dict[str, _EndpointRates]] = defaultdict(dict)
         # by proxy and operation
         self._demands: dict[Hashable, dict[str, _Demand]] = defaultdict(dict)
         self._samples: dict[ZoneKind, deque[_Sample]] = defaultdict(lambda: deque(maxlen=MAX_SAMPLES))
@@ -83,7 +83,7 @@
             window_ns = event.window_ns
             divisor_ns = max(window_ns, 1)
             attempts = event.attempts
-            self._answers[event.endpoint][event.zone] = _Answers(
+            self._endpoint_rates[event.endpoint][event.zone] = _EndpointRates(
                 now_ns + window_ns + REPORT_LIFETIME_NS,
                 (attempts - event.failures) * NS_PER_S / divisor_ns,
                 attempts * NS_PER_S / divisor_ns,
@@ -99,7 +99,7 @@
     def request_rate(
         self, proxies: Iterable[Hashable], operations: Iterable[str], now_ns: int
     ) -> float | None:
-        """Return the requests per second of operations that come to proxies; None if unknown."""
+        """Return the requests per second of these operations at these proxies; None if unknown."""
         wanted = set(operations)
         rates = [
             demand.request_rate
@@ -113,41 +113,39 @@
         """Return the endpoints with a successful request in a fresh report."""
         return frozenset(
             endpoint
-            for endpoint, by_zone in self._answers.items()
-            if any(
-                answers.success_rate > 0 and answers.fresh_until_ns >= now_ns for answers in by_zone.values()
-            )
+            for endpoint, by_zone in self._endpoint_rates.items()
+            if any(report.success_rate > 0 and report.fresh_until_ns >= now_ns for report in by_zone.values())
         )
 
     def failing_zones(self, statuses: Mapping[str, EndpointStatus], now_ns: int) -> frozenset[str]:
-        """Return the zones whose endpoints failed most of the attempts of fresh reports."""
-        rates: dict[str, _Sum] = defaultdict(_Sum)  # successes and attempts
-        for endpoint, by_zone in self._answers.items():
+        """Return the zones whose endpoints failed most attempts, by fresh reports."""
+        rates: dict[str, _Totals] = defaultdict(_Totals)  # successes per attempt
+        for endpoint, by_zone in self._endpoint_rates.items():
             if endpoint not in statuses:
                 continue
-            for answers in by_zone.values():
-                if answers.fresh_until_ns >= now_ns:
-                    rates[statuses[endpoint].zone].add(answers.success_rate, answers.attempt_rate)
+            for report in by_zone.values():
+                if report.fresh_until_ns >= now_ns:
+                    rates[statuses[endpoint].zone].add(report.success_rate, report.attempt_rate)
         return frozenset(
-            zone for zone, rate in rates.items() if rate.first < MIN_SUCCESS_FRACTION * rate.second
+            zone for zone, rate in rates.items() if rate.numerator < MIN_SUCCESS_FRACTION * rate.denominator
         )
 
     def peak_rates(
         self, statuses: Mapping[str, EndpointStatus], is_warm: Callable[[str], bool], now_ns: int
     ) -> dict[ZoneKind, float]:
-        """Return the highest rate that warm endpoints answered lately, by zone and kind.
+        """Return the highest recent success rate of warm endpoints, by zone and kind.
 
         Args:
             statuses: What the endpoint list says, by endpoint.
-            is_warm: Returns whether an endpoint has its full capacity.
-            now_ns: Time of the question; a sample is taken once in a while.
+            is_warm: Predicate that tells whether an endpoint is at full capacity.
+            now_ns: Time of the query; a new sample is taken if the last one is old enough.
 
         Returns:
-            Successful requests per second and unit of weight; zones and kinds without a rate are left out.
+            Successful requests per second and unit of weight; without zones and kinds of unknown rate.
         """
         if now_ns - self._sampled_at_ns >= SAMPLE_INTERVAL_NS:
             self._sampled_at_ns = now_ns
-            self._forget_unlisted(statuses)
+            self._discard_unlisted(statuses)
             self._take_samples(statuses, is_warm, now_ns)
         peaks = {
             zone_kind: _highest_mean([sample.rate for sample in samples])
@@ -156,24 +154,24 @@
         }
         return {zone_kind: rate for zone_kind, rate in peaks.items() if rate > 0}
 
-    def _forget_unlisted(self, statuses: Mapping[str, EndpointStatus]) -> None:
-        for endpoint in [endpoint for endpoint in self._answers if endpoint not in statuses]:
-            del self._answers[endpoint]
+    def _discard_unlisted(self, statuses: Mapping[str, EndpointStatus]) -> None:
+        for endpoint in [endpoint for endpoint in self._endpoint_rates if endpoint not in statuses]:
+            del self._endpoint_rates[endpoint]
 
     def _take_samples(
         self, statuses: Mapping[str, EndpointStatus], is_warm: Callable[[str], bool], now_ns: int
     ) -> None:
-        sums: dict[ZoneKind, _Sum] = defaultdict(_Sum)  # successes per second, and weight
+        sums: dict[ZoneKind, _Totals] = defaultdict(_Totals)  # success rate per weight
         for endpoint, status in statuses.items():
             rates = [
-                answers.success_rate
-                for answers in self._answers.get(endpoint, {}).values()
-                if answers.fresh_until_ns >= now_ns
+                report.success_rate
+                for report in self._endpoint_rates.get(endpoint, {}).values()
+                if report.fresh_until_ns >= now_ns
             ]
             if rates and is_warm(endpoint):
                 sums[status.zone, status.kind].add(sum(rates), status.weight)
         for zone_kind, total in sums.items():
-            self._samples[zone_kind].append(_Sample(now_ns, total.first / total.second))
+            self._samples[zone_kind].append(_Sample(now_ns, total.numerator / total.denominator))
         max_age_ns = MAX_SAMPLES * SAMPLE_INTERVAL_NS
         for zone_kind in [
             key for key, samples in self._samples.items() if now_ns - samples[-1].taken_at_ns > max_age_ns
@@ -182,17 +180,17 @@
 
 
 def _highest_mean(rates: list[float]) -> float:
-    """Return the highest mean of `SAMPLES_IN_MEAN` rates in a row."""
+    """Return the highest mean of `SAMPLES_IN_MEAN` consecutive rates."""
     return max(
-        sum(rates[first : first + SAMPLES_IN_MEAN]) / SAMPLES_IN_MEAN
-        for first in range(len(rates) - SAMPLES_IN_MEAN + 1)
+        sum(rates[start : start + SAMPLES_IN_MEAN]) / SAMPLES_IN_MEAN
+        for start in range(len(rates) - SAMPLES_IN_MEAN + 1)
     )
 
 
 def peak_by_kind(peak_rates: Mapping[ZoneKind, float]) -> dict[str, float]:
-    """Return by kind the rate in the zone where its endpoints answered most.
+    """Return the peak rate of each kind in the zone where it is highest.
 
-    A controller's proxies send other zones little, so that the rate there says nothing of the capacity.
+    A controller's proxies send little to other zones, so the rate there says nothing about capacity.
     """
     peaks: dict[str, float] = defaultdict(float)
     for (_, kind), rate in peak_rates.items():
--- a/swiftchute/safety/offline.py
+++ b/swiftchute/safety/offline.py
@@ -11,19 +11,19 @@
 from swiftchute.safety.proposal import EndpointStatus, Observations, Proposal, SafetyRules, Verdict
 from swiftchute.safety.validator import Validator
 
-TABLE_NUMBER = 0  # of the one table that is validated
+TABLE_NUMBER = 0  # of the only table that is validated
 
 
 class TableFile(msgspec.Struct, forbid_unknown_fields=True):
-    """A table as staff write it in JSON.
+    """A table as an operator writes it in JSON.
 
     Attributes:
         weights: Weight by endpoint.
         zones: Zones of the proxies that it is assigned to.
-        admission_rate: Part of the requests that is admitted, 0 to 1.
-        zone_local: Whether it serves an operation that must not leave its zone.
+        admission_rate: Fraction of the requests that is admitted, 0 to 1.
+        zone_local: Whether it serves an operation whose requests must not leave their zone.
         request_rate: Requests per second; None if unknown.
-        peak_rate_by_kind: Successful requests per second that a warm endpoint of weight 1 answers, by kind.
+        peak_rate_by_kind: Successful requests per second of a warm endpoint of weight 1, by kind.
     """
 
     weights: dict[str, float] = msgspec.field(name="lines")
@@ -35,10 +35,10 @@
 
 
 def read_table(path: str) -> TableFile:
-    """Read a table.
+    """Read a table from a JSON file.
 
     Raises:
-        InputFileError: The file cannot be read, or holds no table.
+        InputFileError: The file cannot be read or does not hold a table.
     """
     try:
         return msgspec.json.decode(_read_bytes(path), type=TableFile)
@@ -47,7 +47,7 @@
 
 
 def read_endpoint_list(path: str, zones: tuple[str, ...]) -> dict[str, EndpointStatus]:
-    """Read an endpoint list; start times are wall clock, so that ages are as of now.
+    """Read an endpoint list; start times are wall-clock times, so ages are relative to the current time.
 
     Raises:
         InputFileError: The file cannot be read, or the list is rejected or has an invalid target.
@@ -74,10 +74,10 @@
 
 
 def validate_table(settings: Settings, table: TableFile, statuses: dict[str, EndpointStatus]) -> Verdict:
-    """Validate one table by all rules; it is number 0 of the verdict.
+    """Validate one table by all rules; its number in the verdict is 0.
 
     Raises:
-        InputFileError: The table names a zone that there is not.
+        InputFileError: The table names a zone that is not in the settings.
     """
     unknown = sorted(set(table.zones) - set(settings.zones))
     if unknown:
--- a/swiftchute/safety/rules/zone_limits.py
+++ b/swiftchute/safety/rules/zone_limits.py
@@ -1,11 +1,11 @@
-"""Zone overload, large step: how much of a change may move to the endpoints of another zone at once.
+"""Zone overload, large step: limits on how much load a change may move to another zone at once.
 
-- Zone overload: a zone would get more than a stated multiple of the rate that it was seen to answer, and more
-  than it gets now, while another that the change takes from has room.
-- Large step: within a window the load of a zone would grow by more than a stated part of all requests.
+- Zone overload: a zone would get more than a configured multiple of its observed peak rate, and more than it
+  gets now, while another zone that the change takes load from has spare capacity.
+- Large step: within the step window the load of a zone would grow by more than a configured fraction of all
+  requests.
 
-A change that exceeds a limit is published in part. Tables that hold something for the first time are not held
-back.
+A change that exceeds a limit is published in part. Tables that were empty before are not held back.
 """
 
 from collections import defaultdict
@@ -34,7 +34,7 @@
 
 
 def limit_zone_changes(review: Review) -> None:
-    """Hold back the part of changes that would exceed a limit of a zone."""
+    """Hold back the part of the changes that would exceed a zone's limit."""
     change = _collect_change(review)
     if change.is_empty():
         return
@@ -53,7 +53,7 @@
         number: table for number, table in change.at_window_start.items() if number in change.old
     }
     at_window_start = limits.loads(window_tables | first_tables)
-    found: dict[tuple[Rule, str], ExceededLimit] = {}  # the first of each rule and zone
+    found: dict[tuple[Rule, str], ExceededLimit] = {}  # first one by rule and zone
 
     def check(old_loads: ZoneLoads, new_loads: ZoneLoads) -> list[ExceededLimit]:
         exceeded = limits.exceeded(old_loads, new_loads, at_window_start)
@@ -88,12 +88,12 @@
 
 
 def _usable_weights(weights: Mapping[str, float], usable: set[str]) -> dict[str, float]:
-    """Return the weights of usable endpoints: what a closed one loses is not a change by choice."""
+    """Return the weights of usable endpoints: load has to leave a closed one, so no limit holds it back."""
     return {endpoint: weight for endpoint, weight in weights.items() if endpoint in usable}
 
 
 def _peak_rates(review: Review, zone_by_endpoint: dict[str, str]) -> dict[str, float]:
-    """Return the rate that each zone was seen to answer, of zones whose endpoints' kinds are all known."""
+    """Return the peak rate of each zone, of those where the rates of all its endpoints' kinds are known."""
     known_kinds = review.observations.peak_rate_by_kind
     unknown_zones = {
         review.statuses[endpoint].zone
@@ -113,7 +113,7 @@
     zone_by_endpoint: dict[str, str],
     exceeded: ExceededLimit,
 ) -> None:
-    """Report an exceeded limit of a zone at the first table whose share of that zone grows."""
+    """Report an exceeded zone limit for the first table whose share of that zone grows."""
     zone = exceeded.zone
     growing = [
         number
--- a/swiftchute/safety/step_limits.py
+++ b/swiftchute/safety/step_limits.py
@@ -1,12 +1,12 @@
-"""What tables send to the warm endpoints of each zone, and how far a change may go at once. No I/O, no clock.
+"""Load of the warm endpoints of each zone, and how much of a change may be published. No I/O, no clock.
 
     limits = StepLimits(zone_by_endpoint, peak_rates, failing_zones, max_load_multiple, max_step_fraction)
     loads = limits.loads(tables)                          # requests per second by zone
-    exceeded = limits.exceeded(old, new, at_window_start)  # limits that a change of loads exceeds
-    fractions = limits.allowed_fractions(old, new, check)  # by table: how much of its change may be published
+    exceeded = limits.exceeded(old, new, at_window_start)  # limits that the change exceeds
+    fractions = limits.allowed_fractions(old, new, check)  # publishable fraction of each table's change
 
-A change that is published in part mixes its old and new shares, so that the load of a zone moves evenly with
-the part; the least that must be held back follows without trying.
+A partly published change interpolates between its old and new shares. The load of a zone is then linear in
+the published fraction, so the part to hold back is computed directly, without a search.
 """
 
 from collections import defaultdict
@@ -16,11 +16,11 @@
 from swiftchute.safety.proposal import Rule
 from swiftchute.safety.review import ROUNDING_TOLERANCE
 
-EXTRA_CORRECTIONS = 2  # rounds of corrections beyond one for each zone
+EXTRA_CORRECTIONS = 2  # corrections beyond one for each zone
 
 
 class TableLoad(NamedTuple):
-    """What a table sends: admitted requests per second, and weight by endpoint."""
+    """Load that a table distributes: admitted requests per second, and weight by endpoint."""
 
     request_rate: float
     weights: Mapping[str, float]
@@ -40,7 +40,7 @@
 
 
 class StepLimits:
-    """The limits on what the warm endpoints of each zone are sent."""
+    """Limits on the load of the warm endpoints of each zone."""
 
     def __init__(
         self,
@@ -54,10 +54,10 @@
 
         Args:
             zone_by_endpoint: Zone of each warm endpoint.
-            peak_rates: Requests per second that a zone's warm endpoints were seen to answer, where known.
-            failing_zones: Zones whose endpoints fail most of what they get.
-            max_load_multiple: How many times its peak rate a zone may be sent.
-            max_step_fraction: Part of all requests by which the load of a zone may grow in the window.
+            peak_rates: Highest observed requests per second of a zone's warm endpoints, where known.
+            failing_zones: Zones whose endpoints fail most of their requests.
+            max_load_multiple: Multiple of its peak rate that a zone may be sent.
+            max_step_fraction: Fraction of all requests by which the load of a zone may grow in the window.
         """
         self._zone_by_endpoint = zone_by_endpoint
         self._peak_rates = peak_rates
@@ -66,7 +66,7 @@
         self._max_step_fraction = max_step_fraction
 
     def shares(self, weights: Mapping[str, float]) -> dict[str, float]:
-        """Return the part of a table that goes to the warm endpoints of each zone."""
+        """Return the share of a table that goes to the warm endpoints of each zone."""
         total, shares = sum(weights.values()), defaultdict[str, float](float)
         for endpoint, weight in weights.items():
             if endpoint in self._zone_by_endpoint:
@@ -74,7 +74,7 @@
         return shares
 
     def loads(self, tables: TableLoads) -> dict[str, float]:
-        """Return what tables send to each zone, in requests per second."""
+        """Return the requests per second that tables send to each zone."""
         loads: dict[str, float] = defaultdict(float)
         for table in tables.values():
             for zone, share in self.shares(table.weights).items():
@@ -102,12 +102,12 @@
         return found
 
     def _overload_limit(self, zone: str, old: ZoneLoads) -> float:
-        """Return the load that a zone may have: a multiple of its peak rate, or what it has."""
+        """Return the allowed load of a zone: a multiple of its peak rate, or the old load if higher."""
         peak_rate = self._peak_rates.get(zone, float("inf"))
         return max(self._max_load_multiple * peak_rate, old.get(zone, 0.0))
 
     def _another_has_room(self, zone: str, old: ZoneLoads, new: ZoneLoads) -> bool:
-        """Return whether a change takes load from another zone that could answer more."""
+        """Return whether a change takes load from another zone that has spare capacity."""
         return any(
             other != zone
             and other not in self._failing_zones
@@ -119,7 +119,7 @@
     def _step_limit(self, zone: str, old: ZoneLoads, new: ZoneLoads, at_window_start: ZoneLoads) -> float:
         """Return the load that a zone may have by the end of the window.
 
-        What leaves a failing zone may go anywhere at once: there is nothing to go back to.
+        Load that leaves a failing zone may go anywhere at once, as keeping the old state is no alternative.
         """
         total = sum(new.values())
         from_failing = sum(at_window_start.get(failing, 0.0) for failing in self._failing_zones)
@@ -132,33 +132,33 @@
         new: TableLoads,
         check: Callable[[ZoneLoads, ZoneLoads], list[ExceededLimit]],
     ) -> dict[int, float]:
-        """Return by table how much of its change may be published.
+        """Return by table the fraction of its change that may be published.
 
         Args:
             old: Tables before the change.
             new: Tables after it.
-            check: Called with loads before and after a change; returns the limits that are not kept.
+            check: Called with the loads before and after a change; returns the limits that it exceeds.
         """
         fractions = dict.fromkeys(old, 1.0)
         old_loads = self.loads(old)
         rises = {table: self._rise_by_zone(old[table], new[table]) for table in old}
         for _ in range(len(old_loads) + EXTRA_CORRECTIONS):
-            mixed_loads = self.loads(_mix(old, new, fractions))
-            exceeded = check(old_loads, mixed_loads)
+            interpolated_loads = self.loads(_interpolate(old, new, fractions))
+            exceeded = check(old_loads, interpolated_loads)
             if not exceeded:
                 return fractions
             for limit in exceeded:
-                _lower_fractions(fractions, rises, limit, mixed_loads[limit.zone])
-        # what one zone is spared another gets: nothing changes until the next round
+                _lower_fractions(fractions, rises, limit, interpolated_loads[limit.zone])
+        # load held back from one zone goes to another: no fractions found, so nothing changes this round
         return dict.fromkeys(old, 0.0)
 
     def _rise_by_zone(self, old: TableLoad, new: TableLoad) -> Callable[[str], float]:
-        """Return a function of a zone: by how many requests per second a table's change raises its load."""
+        """Return a function that maps a zone to the requests per second that a table's change adds to it."""
         old_shares, new_shares = self.shares(old.weights), self.shares(new.weights)
         return lambda zone: new.request_rate * (new_shares.get(zone, 0.0) - old_shares.get(zone, 0.0))
 
 
-def _mix(old: TableLoads, new: TableLoads, fractions: Mapping[int, float]) -> dict[int, TableLoad]:
+def _interpolate(old: TableLoads, new: TableLoads, fractions: Mapping[int, float]) -> dict[int, TableLoad]:
     return {
         number: TableLoad(
             table.request_rate, blend(old[number].weights, table.weights, fractions.get(number, 1.0))
@@ -173,21 +173,21 @@
     exceeded: ExceededLimit,
     load: float,
 ) -> None:
-    """Lower the fractions of all changes that raise the load of a zone, so that it keeps its limit."""
+    """Scale down all changes that raise the load of a zone, so that it stays within its limit."""
     rise_by_table = {table: rise_in(exceeded.zone) for table, rise_in in rises.items()}
     rise = sum(fractions[table] * rate for table, rate in rise_by_table.items() if rate > 0)
-    others = load - rise
-    factor = min(max((exceeded.limit - others) / rise, 0.0), 1.0) if rise > 0 else 0.0
+    other_load = load - rise
+    factor = min(max((exceeded.limit - other_load) / rise, 0.0), 1.0) if rise > 0 else 0.0
     for table, rate in rise_by_table.items():
         fractions[table] *= factor if rate > 0 else 1.0
 
 
 def blend(old: Mapping[str, float], new: Mapping[str, float], fraction: float) -> dict[str, float]:
-    """Return weights whose shares are `fraction` of the way from old to new; at 1 exactly the new ones."""
+    """Interpolate from the old to the new shares by `fraction`; at 1 return exactly the new weights."""
     if fraction >= 1 or not old:
         return dict(new)
     old_total, new_total = sum(old.values()), sum(new.values())
-    mixed = {
+    blended = {
         endpoint: new_total
         * (
             fraction * new.get(endpoint, 0.0) / new_total
@@ -195,4 +195,4 @@
         )
         for endpoint in {**new, **old}
     }
-    return {endpoint: weight for endpoint, weight in mixed.items() if weight > 0}
+    return {endpoint: weight for endpoint, weight in blended.items() if weight > 0}
--- a/swiftchute/safety/step_window.py
+++ b/swiftchute/safety/step_window.py
@@ -1,10 +1,10 @@
-"""What tables held at the start of the step window. No I/O, no clock."""
+"""Published weights at the start of the step window. No I/O, no clock."""
 
 from collections import deque
 from typing import NamedTuple
 
-MAX_SNAPSHOTS = 64  # within the window; past it the oldest goes
-MARGIN_SNAPSHOTS = 2  # one before the window's start, and one that is being taken
+MAX_SNAPSHOTS = 64  # beyond this the oldest is dropped
+MARGIN_SNAPSHOTS = 2  # one from before the window's start, and the one being taken
 
 WeightsByTable = dict[int, dict[str, float]]
 
@@ -30,7 +30,7 @@
         self._snapshots: deque[Snapshot] = deque(maxlen=MAX_SNAPSHOTS)
 
     def weights_at_start(self, current: WeightsByTable, now_ns: int) -> WeightsByTable:
-        """Add what tables hold now; return what they held at the start of the window."""
+        """Record the current weights; return those at the start of the window."""
         snapshots = self._snapshots
         if not snapshots or now_ns - snapshots[-1].taken_at_ns >= self._min_interval_ns:
             snapshots.append(Snapshot(now_ns, current))
--- a/swiftchute/safety/validator.py
+++ b/swiftchute/safety/validator.py
@@ -1,28 +1,28 @@
-"""Validates the tables of a controller before any proxy gets them, and corrects those that break a rule.
+"""Validates the tables of a controller before any proxy gets them and corrects those that break a rule.
 
     validator = Validator(settings, SafetyRules(...))
     verdict = validator.validate(proposed, published, statuses, Observations(...), now_ns)
     verdict.tables[number]      # weights and admission rate that may be published
-    verdict.violations          # rule, table, endpoints, value, limit, and what was done
+    verdict.violations          # rule, table, endpoints, value, limit, outcome
 
-All tables are validated at once, since endpoints that warm up are loaded by all of them together. A table
-that breaks no rule is published exactly as it was proposed. One that does is corrected by the least that
-keeps the rules, which are applied in this order; a later one gives way to an earlier one:
+All tables are validated together, since all of them add to the load of endpoints that warm up. A table that
+breaks no rule is published exactly as proposed; any other gets the smallest correction that satisfies the
+rules. They are applied in this order; on a conflict the earlier rule wins:
 
 1. `bad weight`: a weight that is not a finite number above 0.
-2. `barred server`: an endpoint that drains or is removed. A drain is never held back.
-3. `own zone`: an endpoint outside the zone of an operation that must not leave it.
-4. `empty pool`: no endpoint is left.
-5. `no warm server`: only endpoints that warm up while a warm one may be used.
-6. `one line`: an endpoint with more than a stated share beside others.
-7. `overfull pool`, `large step`: a change moves too much to one zone; it is published in part.
-8. `cold budget`: an endpoint that warms up gets more, from all tables together, than it may.
-9. `full channel` (`PublishGate`): the message quota is nearly used up; the table is not changed.
+2. `barred server`: a draining or removed endpoint. A drain is never held back.
+3. `own zone`: an endpoint of another zone in the table of a zone-local operation.
+4. `empty pool`: a table without an endpoint.
+5. `no warm server`: only endpoints that warm up, although a warm one is available.
+6. `one line`: an endpoint with more than the configured share.
+7. `overfull pool`, `large step`: a change moves too much load to one zone; it is published in part.
+8. `cold budget`: all tables together send an endpoint that warms up more than its limit.
+9. `full channel` (by `PublishGate`): the message quota is nearly used up; the table is not changed.
 
-Where no table is safe the least harmful one is published under a named exception: `no open server` (what
-there is stays), `only cold servers` (weights stay, the admission rate falls to what they may be sent). A list
-that may be stale (`late list`) is only reported. The names are those of settings and log records
-(`proposal.Rule`).
+If no table is safe, the least harmful one is published under a named exception: `no open server` (the
+proposed weights are kept) or `only cold servers` (weights are kept, the admission rate is lowered to what the
+endpoints may be sent). A change that relies on a possibly stale list (`late list`) is only reported. The
+names are those used in settings and log records (`proposal.Rule`).
 """
 
 from collections.abc import Mapping
@@ -48,7 +48,7 @@
 
 
 class Validator:
-    """Validates proposals by the rules."""
+    """Validates proposals against the rules."""
 
     def __init__(self, settings: Settings, rules: SafetyRules) -> None:
         """Set the limits.
@@ -72,9 +72,9 @@
 
         Args:
             proposed: Proposed tables by number.
-            published: Weights that were published last, by table.
+            published: Last published weights, by table.
             statuses: What the endpoint list says, by endpoint.
-            observations: What is known besides.
+            observations: What was observed of the traffic.
             now_ns: Time of the validation.
         """
         review = Review(self.settings, self.rules, proposed, published, statuses, observations, now_ns)
@@ -89,13 +89,13 @@
 
 
 def _validate_table(review: Review, number: int) -> dict[str, float]:
-    """Apply the rules that concern one table alone; return its weights."""
+    """Apply the rules that concern a single table; return its weights."""
     table = review.proposed[number]
     proposed_weights = replace_bad_weights(review, number, dict(table.weights))
     weights = remove_closed_endpoints(review, number, proposed_weights)
     weights = remove_remote_endpoints(review, number, weights)
     if not table.proxy_zones:
-        return weights  # it is not assigned to a proxy
+        return weights  # not assigned to any proxy
     weights = fill_empty_table(review, number, weights, proposed_weights)
     weights = add_warm_endpoints(review, number, weights)
     return limit_shares(review, number, weights)
