--- a/swiftchute/versions/canary_statistics.py
+++ b/swiftchute/versions/canary_statistics.py
@@ -1,22 +1,22 @@
-"""What proxies on a canary report beside the others, and whether it is worse. Pure functions."""
+"""Compares the reports of canary proxies with those of the other proxies. Pure functions."""
 
 import math
 from collections.abc import Mapping
 from dataclasses import dataclass
 
 NS_PER_MS = 1e6
-MIN_REQUESTS = 30  # on each side, below which a share of failures says nothing
-MIN_FAILURE_DIFFERENCE = 0.05  # a failure rate higher by less is no reason to roll back, however certain
-MAX_LATENCY_RATIO = 2.0  # of the canary's mean latency to that of the others
+MIN_REQUESTS = 30  # on each side; with fewer a failure rate means nothing
+MIN_FAILURE_DIFFERENCE = 0.05  # a smaller increase of the failure rate never rolls back, however significant
+MAX_LATENCY_RATIO = 2.0  # of the canary's mean latency to the baseline's
 
 
 @dataclass(slots=True)
 class ReportTotals:
-    """Sums of what proxies reported.
+    """Sums over reports of proxies.
 
     Attributes:
-        requests: Requests that came in.
-        failures: Those of them that failed.
+        requests: Requests that arrived.
+        failures: Requests that failed.
         latency_sum_ns: Sum of the latencies of successful attempts.
         latency_count: Number of these latencies.
     """
@@ -35,26 +35,25 @@
 
 
 def weight_shares(weights: Mapping[str, float]) -> dict[str, float]:
-    """Return weights as parts of their sum."""
+    """Return weights as fractions of their sum."""
     total = sum(weights.values())
     return {endpoint: weight / total for endpoint, weight in weights.items()} if total else {}
 
 
 def moved_fraction(before: Mapping[str, float], after: Mapping[str, float]) -> float:
-    """Return the part of all requests that goes elsewhere when shares change from `before` to `after`."""
+    """Return the fraction of requests that moves to other endpoints with a change of shares."""
     return sum(max(share - before.get(endpoint, 0.0), 0.0) for endpoint, share in after.items())
 
 
 def regression(canary: ReportTotals, baseline: ReportTotals, standard_errors: float) -> str:
-    """Return in which way the canary is worse than the baseline, in words; "" if it is not.
+    """Describe in what way the canary is worse than the baseline; return "" if it is not.
 
-    Failure rates are compared by the difference of two proportions in (pooled) standard errors, latencies by
-    their means.
+    Failure rates are compared by a two-proportion z-test with pooled standard error, latencies by means.
 
     Args:
-        canary: Reports of the proxies on the canary.
-        baseline: Reports of the others.
-        standard_errors: By how many standard errors the failure rate must be higher.
+        canary: Reports of the canary proxies.
+        baseline: Reports of the other proxies.
+        standard_errors: Number of standard errors by which the failure rate must be higher.
     """
     return _failure_regression(canary, baseline, standard_errors) or _latency_regression(canary, baseline)
 
--- a/swiftchute/versions/delivery.py
+++ b/swiftchute/versions/delivery.py
@@ -1,12 +1,12 @@
-"""What each proxy may apply: what it has acknowledged, and what was pushed to it since. No I/O, no clock.
+"""Tracks what each proxy may apply: the content it acknowledged, and all pushed since. No I/O, no clock.
 
     tracker.on_pushed(proxy, holding)
     tracker.on_acknowledged(proxy)
     tracker.on_disconnected(proxy)
     tracker.pending_shares(proxies, operations, endpoints, request_rate)
 
-A push is safe only together with what it replaces: until a proxy acknowledges it, the proxy may apply the old
-table, so that a share taken from one table and given to another counts in both for a while.
+Until a proxy acknowledges a push, it may still apply the old table. A share that moves from one table to
+another therefore counts in both until then.
 """
 
 from collections.abc import Callable, Collection, Hashable, Iterable, Mapping
@@ -15,7 +15,7 @@
 from swiftchute.safety.proposal import PendingShare
 from swiftchute.versions.history import VersionHistory
 
-MAX_HOLDINGS = 8  # a proxy may apply; past it the second oldest is dropped: a later push has overtaken it
+MAX_HOLDINGS = 8  # per proxy; beyond this the second oldest, replaced by later pushes, is dropped
 
 Proxy = Hashable
 
@@ -32,7 +32,7 @@
 
 
 class Holding(Protocol):
-    """What a proxy holds: (operation, table name) pairs, and the tables' contents by name."""
+    """What a proxy holds: (operation, table name) pairs, and the content of each table."""
 
     @property
     def tables_by_operation(self) -> tuple[tuple[str, str], ...]:
@@ -48,7 +48,7 @@
 
     Attributes:
         acknowledged: Proxies that acknowledged it.
-        pushed: Proxies that it was pushed to and that did not answer yet.
+        pushed: Proxies that it was pushed to and that have not answered yet.
     """
 
     acknowledged: int
@@ -56,13 +56,13 @@
 
 
 class DeliveryTracker:
-    """By proxy the acknowledged holding and those pushed since, oldest first."""
+    """Keeps for each proxy the acknowledged holding and those pushed since, oldest first."""
 
     def __init__(self, history: VersionHistory) -> None:
         """Start without a proxy.
 
         Args:
-            history: Keeps the versions that a proxy may apply.
+            history: History that retains the versions a proxy may apply.
         """
         self.history = history
         self.holdings_by_proxy: dict[Proxy, list[Holding]] = {}
@@ -80,7 +80,7 @@
             self._release(holdings.pop(1))
 
     def on_acknowledged(self, proxy: Proxy) -> None:
-        """Record that a proxy acknowledged its newest holding: the earlier ones are replaced."""
+        """Record that a proxy acknowledged its newest holding, which replaces all earlier ones."""
         holdings = self.holdings_by_proxy.get(proxy)
         if holdings:
             self._acknowledged.add(proxy)
@@ -92,7 +92,7 @@
         return proxy in self._acknowledged and len(self.holdings_by_proxy[proxy]) == 1
 
     def on_disconnected(self, proxy: Proxy) -> None:
-        """Forget a proxy: what it applies now is unknown."""
+        """Remove a proxy; what it applies from now on is unknown."""
         self._acknowledged.discard(proxy)
         for holding in self.holdings_by_proxy.pop(proxy, ()):
             self._release(holding)
@@ -102,7 +102,7 @@
             self.history.release(content.version)
 
     def holder_counts(self, table: str) -> dict[bytes, HolderCount]:
-        """Return by version of a table how many proxies hold it."""
+        """Return how many proxies hold each version of a table."""
         counts: dict[bytes, HolderCount] = {}
         for proxy, holdings in self.holdings_by_proxy.items():
             for place, holding in enumerate(holdings):
@@ -123,12 +123,12 @@
         endpoints: Collection[str],
         request_rate: Callable[[Proxy], float | None],
     ) -> tuple[PendingShare, ...]:
-        """Return what proxies of a table may send to some endpoints until they acknowledge.
+        """Return what a table's proxies may send to endpoints until they acknowledge.
 
         Args:
             proxies: Proxies of the table.
             operations: Operations that the table serves.
-            endpoints: Endpoints that shares are wanted of.
+            endpoints: Endpoints whose shares are requested.
             request_rate: Requests per second that come to a proxy; None if unknown.
         """
         total_rate = 0.0
@@ -138,32 +138,32 @@
             holdings = self.holdings_by_proxy.get(proxy, [])
             rate = request_rate(proxy) or 0.0
             total_rate += rate
-            group = tuple(map(id, holdings))  # proxies with the same holdings are summed up
+            group = tuple(map(id, holdings))  # proxies with the same holdings count as one group
             rate_by_group[group] = rate_by_group.get(group, 0.0) + rate
             holdings_by_group.setdefault(group, holdings)
         pending = []
         for group, rate in rate_by_group.items():
-            shares = _greatest_shares(holdings_by_group[group], operations, endpoints) if rate else {}
+            shares = _largest_shares(holdings_by_group[group], operations, endpoints) if rate else {}
             if shares:
                 pending.append(PendingShare(rate / total_rate, shares))
         return tuple(pending)
 
 
-def _greatest_shares(
+def _largest_shares(
     holdings: Iterable[Holding], operations: Collection[str], endpoints: Collection[str]
 ) -> dict[str, float]:
-    """Return by endpoint the greatest share that any table of these holdings gives it."""
-    greatest: dict[str, float] = {}
+    """Return the largest share that any table of these holdings gives each endpoint."""
+    largest: dict[str, float] = {}
     for holding in holdings:
         for operation, table in holding.tables_by_operation:
             if operation in operations:
                 for endpoint, share in _admitted_shares(holding.contents[table], endpoints).items():
-                    greatest[endpoint] = max(greatest.get(endpoint, 0.0), share)
-    return greatest
+                    largest[endpoint] = max(largest.get(endpoint, 0.0), share)
+    return largest
 
 
 def _admitted_shares(content: Content, endpoints: Collection[str]) -> Mapping[str, float]:
-    """Return by endpoint the part of a table's requests that it gets, rejected requests counted."""
+    """Return the share of a table's arriving requests, including rejected ones, that each endpoint gets."""
     weights = [(endpoint, weight) for endpoint, _, weight in content.entries if endpoint in endpoints]
     if not weights:
         return {}
