--- a/swiftchute/versions/history.py
+++ b/swiftchute/versions/history.py
@@ -115,7 +115,7 @@
 
         Args:
             table: Name of the table; None for all tables.
-            limit: Greatest number of changes returned.
+            limit: Maximum number of changes returned.
 
         Raises:
             UnknownVersionError: There is no such table.
--- a/swiftchute/versions/known_bugs.py
+++ b/swiftchute/versions/known_bugs.py
@@ -1,4 +1,4 @@
-"""Known bugs of table synchronization, put back in on purpose: the model checker must find each of them."""
+"""Known bugs of table synchronization, reintroduced on purpose: the model checker must find each of them."""
 
 from typing import NamedTuple
 
@@ -37,7 +37,7 @@
 
 
 class FaultyPair(NamedTuple):
-    """A sender and a receiver of which at least one has a bug."""
+    """A sender and a receiver, at least one of them with a bug."""
 
     make_sender: MakeSender
     make_receiver: MakeReceiver
--- a/swiftchute/versions/model_checker.py
+++ b/swiftchute/versions/model_checker.py
@@ -1,16 +1,16 @@
-"""Explores a small model of `sync` completely: every interleaving of loss, duplication, reordering, restarts.
+"""Explores a small model of `sync` exhaustively: every order of loss, duplication, reordering and restarts.
 
     result = explore(Model(proxy_count=2, version_count=3, channel_capacity=1))
 
-States are made by the real sender and receiver, breadth first, so that a violated invariant comes with its
-shortest trace. Invariants, in every state:
+The real sender and receiver produce the states. The search is breadth first, so that the trace to a violated
+invariant is the shortest one. Invariants, in every state:
 
-- a proxy holds nothing, or a version that the control plane made;
-- what the control plane takes a proxy to hold it does hold, while nothing is in flight to it;
+- a proxy holds no table, or a version that the control plane made;
+- while no message to it is in flight, a proxy holds the version that the control plane assumes it holds;
 - once the channel is reliable, the proxy reaches the wanted version.
 
-The channel holds a bounded number of messages and responses; sending into a full one is not explored (the
-sender has one message in flight, and what was given up but not lost yet takes the rest).
+The channel holds a bounded number of messages and responses; sending into a full channel is not explored (the
+sender has one message in flight; the rest are messages it gave up that are not lost yet).
 """
 
 import copy
@@ -23,19 +23,19 @@
 from swiftchute.versions.history import VersionHistory
 from swiftchute.versions.sync import Message, Receiver, Response, Sender
 
-MAX_RELIABLE_STEPS = 8  # on a reliable channel within which a proxy must hold the wanted version
-MAX_MESSAGES_PER_STREAM = 3  # past it the model's sender opens a new stream
+MAX_RELIABLE_STEPS = 8  # on a reliable channel, by which a proxy must hold the wanted version
+MAX_MESSAGES_PER_STREAM = 3  # beyond this the model's sender has to open a new stream
 DEFAULT_MAX_STATES = 2_000_000
-COMMON_ENTRIES = 8  # that all versions share, so that a delta is smaller than a whole table
+COMMON_ENTRIES = 8  # shared by all versions, so that a delta is smaller than a whole table
 
 MakeSender = Callable[[VersionHistory], Sender]
 MakeReceiver = Callable[[], Receiver]
-StateKey = tuple[Any, ...]  # hashable; equal for states that cannot be told apart
+StateKey = tuple[Any, ...]  # hashable; equal for indistinguishable states
 
 
 @dataclass(slots=True)
 class ProxyState:
-    """One proxy with its two ends and what is in flight between them."""
+    """Sender and receiver of one proxy, and what is in flight between them."""
 
     sender: Sender
     receiver: Receiver
@@ -57,7 +57,7 @@
         )
 
     def copy(self) -> "ProxyState":
-        """Return a copy that can be changed apart."""
+        """Return an independent copy."""
         sender, receiver = copy.copy(self.sender), copy.copy(self.receiver)
         sender.rejected = self.sender.rejected.copy()
         return ProxyState(sender, receiver, self.messages, self.responses)
@@ -71,13 +71,13 @@
         self.responses = self.responses[:place] + self.responses[place + 1 :]
 
     def send(self) -> None:
-        """Send what there is to send."""
+        """Send the next message, if there is one."""
         message = self.sender.next_message()
         if message is not None:
             self.messages = (*self.messages, message)
 
     def deliver_message(self, place: int, duplicate: bool) -> None:
-        """Deliver a message, in any order; a duplicated one stays in the channel."""
+        """Deliver any message of the channel; a duplicated one stays there."""
         response = self.receiver.on_message(self.messages[place])
         if not duplicate:
             self.drop_message(place)
@@ -85,7 +85,7 @@
             self.responses = (*self.responses, response)
 
     def deliver_response(self, place: int, duplicate: bool) -> None:
-        """Deliver a response, in any order; a duplicated one stays in the channel."""
+        """Deliver any response of the channel; a duplicated one stays there."""
         self.sender.on_response(self.responses[place])
         if not duplicate:
             self.drop_response(place)
@@ -95,13 +95,13 @@
         self.sender.on_timeout()
 
     def reconnect(self) -> None:
-        """End the stream with all that is in flight; on the next the proxy says what it holds."""
+        """End the stream and drop all that is in flight; on the next one the proxy reports what it holds."""
         self.messages, self.responses = (), ()
         self.receiver.reset()
         self.sender.reset(self.receiver.held_version)
 
     def reaches_wanted(self) -> bool:
-        """Return whether the proxy reaches the wanted version on a reliable channel; changes the state."""
+        """Return whether the proxy reaches the wanted version on a reliable channel; modifies the state."""
         for _ in range(MAX_RELIABLE_STEPS):
             while self.messages:
                 self.deliver_message(0, False)
@@ -117,36 +117,36 @@
 
 @dataclass(slots=True)
 class ModelState:
-    """The wanted version, by its place, and all proxies."""
+    """The wanted version, as an index, and the state of all proxies."""
 
     version: int
     proxies: list[ProxyState]
 
     def key(self) -> StateKey:
-        """Return a value that is equal for equal states; proxies may be swapped, as all behave alike."""
+        """Return a value that is equal for equal states, in any order of the proxies, as all behave alike."""
         return (self.version, *sorted((proxy.key() for proxy in self.proxies), key=repr))
 
-    def copy_with_own(self, place: int) -> tuple["ModelState", ProxyState]:
-        """Return a copy in which one proxy can be changed apart, and that proxy."""
+    def copy_with_proxy(self, place: int) -> tuple["ModelState", ProxyState]:
+        """Return a copy in which one proxy can be modified independently, and that proxy."""
         proxies = list(self.proxies)
         proxies[place] = proxies[place].copy()
         return ModelState(self.version, proxies), proxies[place]
 
 
 class Action(NamedTuple):
-    """Something that may happen to a proxy: a text for the trace, and what it does."""
+    """An event that may happen to a proxy: its description for the trace, and its effect."""
 
     description: str
     apply: Callable[[ProxyState], None]
 
 
 def _bind(method: Callable[..., None], *arguments: Any) -> Callable[[ProxyState], None]:
-    """Return a call of a method of a proxy's state with these arguments."""
+    """Bind arguments to a method of `ProxyState`."""
     return lambda proxy: method(proxy, *arguments)
 
 
 class Step(NamedTuple):
-    """A state that may follow another: a text for the trace, and the state."""
+    """A successor state, with its description for the trace."""
 
     description: str
     state: ModelState
@@ -159,13 +159,13 @@
 
 @dataclass
 class Exploration:
-    """What an exploration found.
+    """Result of an exploration.
 
     Attributes:
-        states: Number of different states.
-        steps: Number of steps between them.
-        broken: The violated invariant, or why not all states were visited; "" if neither.
-        trace: The shortest steps to the violation.
+        states: Number of distinct states.
+        steps: Number of transitions between them.
+        broken: The violated invariant, or why the exploration is incomplete; "" if neither.
+        trace: The shortest sequence of steps to the violation.
     """
 
     states: int = 0
@@ -175,7 +175,7 @@
 
 
 class Model:
-    """The control plane's versions, and the rules by which states follow each other."""
+    """The control plane's versions, and the transitions between states."""
 
     def __init__(
         self,
@@ -189,10 +189,10 @@
 
         Args:
             proxy_count: Number of proxies.
-            version_count: Number of versions, wanted one after the other.
-            channel_capacity: Messages, and responses, in flight for a proxy.
-            make_sender: Makes a sender; another one may have a known bug.
-            make_receiver: Makes a receiver; another one may have a known bug.
+            version_count: Number of versions, which become wanted one after the other.
+            channel_capacity: Maximum number of messages, and of responses, in flight per proxy.
+            make_sender: Makes a sender; may make one with a known bug.
+            make_receiver: Makes a receiver; may make one with a known bug.
         """
         self.channel_capacity = channel_capacity
         self.make_sender = make_sender
@@ -216,7 +216,7 @@
         return versions
 
     def steps(self, state: ModelState) -> Iterator[Step]:
-        """Yield all states that may follow a state."""
+        """Yield all successors of a state."""
         if state.version + 1 < len(self.versions):
             proxies = [proxy.copy() for proxy in state.proxies]
             for proxy in proxies:
@@ -224,20 +224,20 @@
             yield Step(f"version {state.version + 1} is wanted", ModelState(state.version + 1, proxies))
         for place, proxy in enumerate(state.proxies):
             for action in self._actions(proxy):
-                following, own = state.copy_with_own(place)
-                action.apply(own)
-                yield Step(f"proxy {place}: {action.description}", following)
+                successor, changed_proxy = state.copy_with_proxy(place)
+                action.apply(changed_proxy)
+                yield Step(f"proxy {place}: {action.description}", successor)
 
     def _actions(self, proxy: ProxyState) -> Iterator[Action]:
-        """Yield what may happen to one proxy."""
+        """Yield the events that may happen to one proxy."""
         if self._may_send(proxy):
             yield Action("send", ProxyState.send)
         yield from self._message_actions(proxy)
         yield from self._response_actions(proxy)
         if proxy.sender.in_flight is not None:
-            yield Action("no answer in time", ProxyState.time_out)
-        yield Action("the stream breaks", ProxyState.reconnect)
-        yield Action("the planner restarts", self._restart_sender)
+            yield Action("sender times out", ProxyState.time_out)
+        yield Action("stream breaks", ProxyState.reconnect)
+        yield Action("control plane restarts", self._restart_sender)
 
     def _may_send(self, proxy: ProxyState) -> bool:
         return (
@@ -248,26 +248,28 @@
 
     def _message_actions(self, proxy: ProxyState) -> Iterator[Action]:
         for place, message in enumerate(proxy.messages):
-            kind = "whole" if isinstance(message.update, Table) else "delta"
+            kind = "whole table" if isinstance(message.update, Table) else "delta"
             name = f"{kind} {message.number}"
             yield Action(f"{name} is lost", _bind(ProxyState.drop_message, place))
             if len(proxy.responses) < self.channel_capacity:
                 yield Action(f"{name} arrives", _bind(ProxyState.deliver_message, place, False))
                 yield Action(
-                    f"{name} arrives, and will again",
+                    f"{name} arrives and stays in the channel",
                     _bind(ProxyState.deliver_message, place, True),
                 )
 
     @staticmethod
     def _response_actions(proxy: ProxyState) -> Iterator[Action]:
         for place, response in enumerate(proxy.responses):
-            name = f"answer {response.number}"
+            name = f"response {response.number}"
             yield Action(f"{name} is lost", _bind(ProxyState.drop_response, place))
             yield Action(f"{name} arrives", _bind(ProxyState.deliver_response, place, False))
-            yield Action(f"{name} arrives, and will again", _bind(ProxyState.deliver_response, place, True))
+            yield Action(
+                f"{name} arrives and stays in the channel", _bind(ProxyState.deliver_response, place, True)
+            )
 
     def _restart_sender(self, proxy: ProxyState) -> None:
-        """Restart the control plane: it has its tables, and knows of the proxy only what that says."""
+        """Restart the control plane: it keeps its tables, and knows of the proxy only what it reports."""
         wanted = proxy.sender.wanted_version
         proxy.sender = self.make_sender(self.history)
         if wanted is not None:
@@ -275,30 +277,30 @@
         proxy.reconnect()
 
     def violation(self, state: ModelState) -> str:
-        """Return the invariant that a state violates; "" if it violates none."""
+        """Return the invariant that a state violates; "" if there is none."""
         known_versions = {*self.versions, None}
         for proxy in state.proxies:
             held = proxy.receiver.held_version
             if held not in known_versions:
-                return "a proxy holds what the planner never made"
+                return "a proxy holds a version that the control plane never made"
             is_idle = proxy.sender.in_flight is None and not proxy.messages
             if is_idle and proxy.sender.held_version not in (None, held):
-                return "the planner takes a proxy to hold what it does not"
+                return "the control plane assumes a version that the proxy does not hold"
             if not proxy.copy().reaches_wanted():
-                return "on a good way a proxy does not come to the wanted version"
+                return "a proxy does not reach the wanted version over a reliable channel"
         return ""
 
 
 def explore(model: Model, max_states: int = DEFAULT_MAX_STATES) -> Exploration:
-    """Visit every state, breadth first; stop at the first violated invariant, or past `max_states` states."""
+    """Visit every state, breadth first; stop at a violated invariant or beyond `max_states` states."""
     result = Exploration()
     visits: dict[StateKey, _Visit] = {model.first.key(): _Visit(None, "")}
-    waiting = deque([model.first])
-    while waiting:
-        state = waiting.popleft()
+    frontier = deque([model.first])
+    while frontier:
+        state = frontier.popleft()
         result.broken = model.violation(state)
         if result.broken or len(visits) > max_states:
-            result.broken = result.broken or f"more than {max_states} states: not explored whole"
+            result.broken = result.broken or f"exploration incomplete: more than {max_states} states"
             result.trace = _trace(visits, state.key())
             break
         for step in model.steps(state):
@@ -306,13 +308,13 @@
             key = step.state.key()
             if key not in visits:
                 visits[key] = _Visit(state.key(), step.description)
-                waiting.append(step.state)
+                frontier.append(step.state)
     result.states = len(visits)
     return result
 
 
 def _trace(visits: dict[StateKey, _Visit], key: StateKey) -> list[str]:
-    """Return the steps from the first state to a visited one."""
+    """Return the steps from the initial state to a visited one."""
     trace = []
     visit = visits[key]
     while visit.parent is not None:
--- a/swiftchute/versions/pinning.py
+++ b/swiftchute/versions/pinning.py
@@ -1,14 +1,14 @@
-"""Rollback: tables that are pinned to an earlier version for a while, and versions that proxies reject.
+"""Rollbacks: tables pinned to an earlier version for a limited time, and versions that proxies reject.
 
     pinned.pin("0.3", Pin(change, table, until_ns, True, "rollback"), open_endpoints)
-    weights = pinned.weights("0.3", open_endpoints)   # replace the policy's; None: the table is not pinned
+    weights = pinned.weights("0.3", open_endpoints)   # replace the policy's; None if not pinned
     pinned.take_ended(open_endpoints, now_ns)         # pins that expired or lost all of their endpoints
     rejections.on_rejected(proxy, "0.3", version, proxy_count)   # whether to roll the version back
-    rejections.reserve_rollback(now_ns)               # whether one more rollback is allowed, and counts it
+    rejections.reserve_rollback(now_ns)               # counts a rollback if it is allowed
 
-A rollback is a desired state and no replay of bytes: what it proposes is validated like any table. Draining
-and removed endpoints do not come back, those that warm up stay within their limit; admission rates and retry
-policies follow the load of now unless they are pinned too. It ends by itself. No I/O, no clock.
+A rollback sets a desired state and does not replay bytes: the table it proposes is validated like any other.
+Draining and removed endpoints do not come back, and those that warm up stay within their limit. Admission
+rates and retry policies follow the current load unless they are pinned too. A pin expires. No I/O, no clock.
 """
 
 from collections import deque
@@ -23,8 +23,8 @@
 NS_PER_S = 1_000_000_000
 MAX_PINS = 1000
 MIN_PIN_NS = NS_PER_S
-MAX_PIN_NS = 24 * 3600 * NS_PER_S  # a pin that is forgotten ends within a day
-MIN_REJECTING_PROXIES = 2  # one proxy alone may be at fault itself
+MAX_PIN_NS = 24 * 3600 * NS_PER_S  # a forgotten pin ends within a day
+MIN_REJECTING_PROXIES = 2  # a single rejecting proxy may itself be faulty
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,8 +32,8 @@
     """A table pinned to a version.
 
     Attributes:
-        change: The change that made the version.
-        content: What the table held then.
+        change: The change that created the version.
+        content: Content of the table at that version.
         until_ns: Time at which the pin expires.
         pins_admission: Whether admission rates and retry policies are pinned too.
         cause: Why the table is pinned.
@@ -61,16 +61,16 @@
         self.by_table: dict[str, Pin] = {}
 
     def pin(self, table: str, pin: Pin, open_endpoints: Collection[str]) -> None:
-        """Pin a table, in place of an earlier pin.
+        """Pin a table, replacing an earlier pin.
 
         Raises:
             PinError: No endpoint of the version is open, or too many tables are pinned.
         """
         if not any(entry.endpoint in open_endpoints for entry in pin.content.entries):
             version, count = pin.change.version.hex()[:12], len(pin.content.entries)
-            raise PinError(f"version {version} of table {table}: none of its {count} servers is open")
+            raise PinError(f"version {version} of table {table}: none of its {count} endpoints is open")
         if table not in self.by_table and len(self.by_table) >= MAX_PINS:
-            raise PinError(f"{MAX_PINS} tables are pinned, the most allowed")
+            raise PinError(f"{MAX_PINS} tables are pinned already, the maximum")
         self.by_table[table] = pin
 
     def release(self, table: str) -> Pin:
@@ -84,7 +84,7 @@
         return self.by_table.pop(table)
 
     def weights(self, table: str, open_endpoints: Collection[str]) -> dict[str, float] | None:
-        """Return the pinned weights of open endpoints; None if the table is not pinned."""
+        """Return a table's pinned weights of open endpoints; None if it is not pinned."""
         pin = self.by_table.get(table)
         if pin is None:
             return None
@@ -105,13 +105,13 @@
         }
 
     def take_ended(self, open_endpoints: Collection[str], now_ns: int) -> list[EndedPin]:
-        """Remove the pins that expired or have no open endpoint left, and return them."""
+        """Remove and return the pins that expired or have no open endpoint left."""
         ended = []
         for table, pin in self.by_table.items():
             if now_ns >= pin.until_ns:
                 ended.append(EndedPin(table, "its time is over"))
             elif not self.weights(table, open_endpoints):
-                ended.append(EndedPin(table, "none of its servers is open"))
+                ended.append(EndedPin(table, "none of its endpoints is open"))
         for table, _ in ended:
             del self.by_table[table]
         return ended
@@ -123,16 +123,16 @@
 
 
 class RejectionTracker:
-    """Which proxies reject which version, and when to roll it back.
+    """Tracks which proxies reject which version, and decides when to roll it back.
 
-    Rollbacks are limited, as the proxies may be what is at fault.
+    The rate of rollbacks is limited, as the proxies themselves may be at fault.
     """
 
     def __init__(self, proxy_fraction: float, max_rollbacks: int, window_ns: int) -> None:
         """Start without a rejection.
 
         Args:
-            proxy_fraction: Part of a table's proxies whose rejections roll a version back.
+            proxy_fraction: Fraction of a table's proxies whose rejections roll a version back.
             max_rollbacks: Rollbacks allowed within the window; 0 turns them off.
             window_ns: Length of the window, nanoseconds.
         """
@@ -164,7 +164,7 @@
         return True
 
     def reserve_rollback(self, now_ns: int) -> bool:
-        """Return whether one more rollback is allowed now; if so, it is counted."""
+        """Return whether a rollback is allowed now, and count it if so."""
         while self.rollback_times and now_ns - self.rollback_times[0] > self.window_ns:
             self.rollback_times.popleft()
         if len(self.rollback_times) >= self.max_rollbacks:
--- a/swiftchute/versions/sync.py
+++ b/swiftchute/versions/sync.py
@@ -1,17 +1,17 @@
-"""One table of one proxy kept at the wanted version over a channel that may lose, duplicate and reorder.
+"""Keeps a proxy's table at the wanted version over a channel that may lose, duplicate and reorder.
 
     sender = Sender(history)
     sender.set_wanted(version)
-    message = sender.next_message()         # None: nothing to send, or a message is in flight
-    response = receiver.on_message(message)  # None: older than a message received before
+    message = sender.next_message()         # None if there is nothing to send, or a message is in flight
+    response = receiver.on_message(message)  # None for a message older than one received before
     sender.on_response(response)
-    sender.on_timeout()                     # no response in time
-    sender.reset(claimed_version)           # a new stream, on which the proxy says what it holds
+    sender.on_timeout()                     # no response arrived in time
+    sender.reset(claimed_version)           # a new stream, on which the proxy reports what it holds
 
-One message is in flight at a time. It is a delta from what the proxy is known to hold, else the whole table.
-Messages are numbered: a late one must not undo a newer one, and a response counts for the message it names
-alone. A message without a response may have been applied, so after it nothing is known until a whole table
-was acknowledged. No I/O, no clock.
+One message is in flight at a time: a delta from the version that the proxy is known to hold, else the whole
+table. Messages are numbered, so that a late one cannot undo a newer one and a response counts only for the
+message it names. A message without a response may or may not have been applied, so after a timeout the held
+version is unknown until the proxy acknowledges a whole table. No I/O, no clock.
 """
 
 import contextlib
@@ -22,12 +22,12 @@
 from swiftchute.versions.errors import DeltaMismatchError
 from swiftchute.versions.history import VersionHistory
 
-MAX_REJECTED_VERSIONS = 16  # remembered on one stream
+MAX_REJECTED_VERSIONS = 16  # remembered per stream
 
 
 @dataclass(frozen=True)
 class Message:
-    """An update to a version; `number` rises on a stream."""
+    """An update to a version; `number` increases within a stream."""
 
     number: int
     version: bytes
@@ -41,7 +41,7 @@
     Attributes:
         number: Number of the message.
         held_version: Version that the proxy holds; None for no table.
-        accepted: False if it rejects what the message makes.
+        accepted: False if the proxy rejects the resulting table.
     """
 
     number: int
@@ -50,13 +50,13 @@
 
 
 class Sender:
-    """The control plane's side of one table of one proxy."""
+    """The control plane's side, for one table of one proxy."""
 
     def __init__(self, history: VersionHistory) -> None:
-        """Start with no wanted version and a proxy of which nothing is known.
+        """Start without a wanted version, and with an unknown held version.
 
         Args:
-            history: Holds the versions that may be wanted.
+            history: History that keeps the versions that may be wanted.
         """
         self.history = history
         self.wanted_version: bytes | None = None
@@ -66,7 +66,7 @@
         self.rejected: deque[bytes] = deque(maxlen=MAX_REJECTED_VERSIONS)
 
     def set_wanted(self, version: bytes) -> None:
-        """Set the version that the proxy is to hold."""
+        """Set the version that the proxy should hold."""
         self.wanted_version = version
 
     def next_message(self) -> Message | None:
@@ -85,7 +85,7 @@
         return self.in_flight
 
     def on_response(self, response: Response) -> bool:
-        """Process a response; return whether it is the one to the message in flight."""
+        """Process a response; return whether it answers the message in flight."""
         if self.in_flight is None or response.number != self.in_flight.number:
             return False
         if not response.accepted:
@@ -95,12 +95,12 @@
         return True
 
     def on_timeout(self) -> None:
-        """Give up the message in flight: it may have been applied or not."""
+        """Give up the message in flight, which may or may not have been applied."""
         self.in_flight = None
         self.held_version = None
 
     def reset(self, claimed_version: bytes | None) -> None:
-        """Start a new stream: what was in flight is lost, and the proxy says what it holds."""
+        """Start a new stream: what was in flight is lost, and the proxy reports what it holds."""
         self.in_flight = None
         self.held_version = claimed_version
         self.number = 0
@@ -108,7 +108,7 @@
 
 
 class Receiver:
-    """The proxy's side of one table."""
+    """The proxy's side, for one table."""
 
     def __init__(self) -> None:
         """Start without a table."""
@@ -121,9 +121,9 @@
         return None if self.table is None else version_of(self.table)
 
     def on_message(self, message: Message, accepted: bool = True) -> Response | None:
-        """Apply a message once; return None for one that a later message has overtaken.
+        """Apply a message once; return None for one that is not newer than the last one received.
 
-        A table that a delta does not fit stays as it is, and the response names its version.
+        A delta for another version leaves the table unchanged; the response names the held version.
         """
         if message.number <= self.number:
             return None
@@ -138,5 +138,5 @@
         return Response(message.number, self.held_version)
 
     def reset(self) -> None:
-        """Start a new stream: numbers begin again."""
+        """Start a new stream, on which message numbers start again."""
         self.number = 0
--- a/tests/versions/test_model_checker.py
+++ b/tests/versions/test_model_checker.py
@@ -13,7 +13,7 @@
     two = explore(
         Model(proxy_count=2, version_count=2, channel_capacity=1), max_states=3000
     )  # its start; whole outside CI
-    assert two.broken == "more than 3000 states: not explored whole"
+    assert two.broken == "exploration incomplete: more than 3000 states"
 
 
 STATES_AND_STEPS = {
@@ -28,6 +28,6 @@
 def test_a_known_bug_is_found_with_its_shortest_trace(bug):
     found = explore(Model(1, 3, 2, *KNOWN_BUGS[bug]))
     assert found.broken
-    assert "not explored" not in found.broken
+    assert "exploration incomplete" not in found.broken
     assert 0 < len(found.trace) < 12
     assert (found.states, found.steps) == STATES_AND_STEPS[bug]
--- a/tests/versions/test_pinning.py
+++ b/tests/versions/test_pinning.py
@@ -32,11 +32,11 @@
     assert pins.take_ended({"b"}, NOW + 60 * S) == [("0.1", "its time is over")]
     pins.pin("0.1", pin_of(history, pins_admission=True, a=1.0), {"a"})
     assert pins.admission("0.1") == {"read": (0.5, 1)}
-    assert pins.take_ended(set(), NOW) == [("0.1", "none of its servers is open")]
+    assert pins.take_ended(set(), NOW) == [("0.1", "none of its endpoints is open")]
 
 
 def test_a_version_without_an_open_endpoint_cannot_be_pinned(history):
-    with pytest.raises(PinError, match="none of its 2 servers is open"):
+    with pytest.raises(PinError, match="none of its 2 endpoints is open"):
         PinnedVersions().pin("0.1", pin_of(history, a=1.0, b=1.0), {"c"})
     with pytest.raises(PinError, match="not pinned"):
         PinnedVersions().release("0.1")
