--- a/tests/safety/test_no_endpoint.py
+++ b/tests/safety/test_no_endpoint.py
@@ -10,7 +10,7 @@
 from tests.support.safety import NOW, SETTINGS, proposal, status, validate, violated
 
 
-def test_an_empty_table_keeps_its_published_weights_without_those_that_drain():
+def test_an_empty_table_keeps_its_published_weights_without_draining_endpoints():
     statuses = {"a": status(), "b": status(state="draining"), "c": status()}
     verdict = validate({1: proposal()}, statuses, {1: {"a": 0.7, "b": 1.0}})
     assert verdict.tables[1] == ({"a": 0.7}, 1.0)
@@ -22,14 +22,16 @@
     assert validate({1: proposal(a=1.0)}, statuses).tables[1][0] == {"w": 1.0}
     local = validate({1: proposal(a=1.0, local=True)}, statuses)
     assert violated(local) == {"barred server", "no open server"}
-    assert local.tables[1][0] == {"a": 1.0}  # no table is safe: it stays
+    assert local.tables[1][0] == {"a": 1.0}  # no table is safe, so the proposed one is kept
 
 
 def test_a_zone_whose_endpoints_are_replaced_at_once_uses_other_zones():
     statuses = {"a": status(state="gone"), "c": status(age=1), "d": status(age=1), "w": status("west")}
-    weights, level = validate({1: proposal(c=1.0, d=1.0, demand=30.0)}, statuses, {1: {"a": 1.0}}).tables[1]
+    weights, admission_rate = validate(
+        {1: proposal(c=1.0, d=1.0, demand=30.0)}, statuses, {1: {"a": 1.0}}
+    ).tables[1]
     assert weights["w"] > 0
-    assert level == 1.0
+    assert admission_rate == 1.0
     assert 30.0 * weights["c"] / sum(weights.values()) <= 2.5 * 0.25 * 10 * 1.01
 
 
@@ -45,10 +47,12 @@
 def test_removed_endpoints_that_respond_are_open_where_removal_is_not_binding():
     settings = Settings(**(FACTS | {"operations": SETTINGS.operations, "removal_is_binding": False}))
     statuses = {"a": status(), "g": status(state="gone"), "h": status(state="gone")}
-    asked = {1: proposal(g=1.0, h=1.0)}
-    judged = Validator(settings, SafetyRules()).validate(
-        asked, {}, statuses, Observations(responding={"g", "h"}), NOW
+    proposed = {1: proposal(g=1.0, h=1.0)}
+    verdict = Validator(settings, SafetyRules()).validate(
+        proposed, {}, statuses, Observations(responding={"g", "h"}), NOW
+    )
+    assert violated(verdict) == set()
+    without_responses = Validator(settings, SafetyRules()).validate(
+        proposed, {}, statuses, Observations(), NOW
     )
-    assert violated(judged) == set()
-    silent = Validator(settings, SafetyRules()).validate(asked, {}, statuses, Observations(), NOW)
-    assert violated(silent) == {"no warm server"}
+    assert violated(without_responses) == {"no warm server"}
--- a/tests/safety/test_publish_gate.py
+++ b/tests/safety/test_publish_gate.py
@@ -1,4 +1,4 @@
-"""The gate: tables that wait, and changes that nobody ordered."""
+"""The safety gate: tables that back off, and changes without an order."""
 
 import pytest
 
@@ -18,11 +18,13 @@
 
 def test_a_table_that_is_rejected_again_and_again_waits_longer_each_time(gate):
     statuses = {"a": status(), "b": status(), "c": status()}
-    known, now = Observations({"east": 10.0}), NOW
-    gate.review({1: proposal(a=1.0, b=1.0, c=1.0)}, {1}, statuses, known, now)
-    for k in range(4000):  # a policy that empties its table in every other round, 5 ms apart
+    observations, now = Observations({"east": 10.0}), NOW
+    gate.review({1: proposal(a=1.0, b=1.0, c=1.0)}, {1}, statuses, observations, now)
+    for k in range(4000):  # a policy that empties its table in every other round, every 5 ms
         now += 5_000_000
-        gate.review({1: proposal(a=1.0, b=1.0, c=1.0) if k % 2 else proposal()}, {1}, statuses, known, now)
+        gate.review(
+            {1: proposal(a=1.0, b=1.0, c=1.0) if k % 2 else proposal()}, {1}, statuses, observations, now
+        )
     assert gate.counts["waited"] > 3500  # of 4000 reviews, 20 s
     waits = [fields for event, fields in gate.take_events() if event == "table waits"]
     assert len(waits) == 1  # logged once
@@ -31,38 +33,38 @@
 
 def test_an_endpoint_that_drains_leaves_a_waiting_table_at_once(gate):
     statuses = {"a": status(), "b": status(), "c": status()}
-    known, now = Observations({"east": 10.0}), NOW
-    gate.review({1: proposal(a=1.0, b=1.0, c=1.0)}, {1}, statuses, known, now)
+    observations, now = Observations({"east": 10.0}), NOW
+    gate.review({1: proposal(a=1.0, b=1.0, c=1.0)}, {1}, statuses, observations, now)
     for _ in range(20):
         now += 5_000_000
-        gate.review({1: proposal()}, {1}, statuses, known, now)
+        gate.review({1: proposal()}, {1}, statuses, observations, now)
     statuses["b"] = status(state="draining")
-    moved = gate.review({1: proposal()}, {1}, statuses, known, now + 5_000_000, list_revision=1)
-    assert moved == [1]
+    changed = gate.review({1: proposal()}, {1}, statuses, observations, now + 5_000_000, list_revision=1)
+    assert changed == [1]
     assert gate.allowed[1][0].keys() == {"a", "c"}
 
 
 def test_an_order_counts_again_once_the_wait_is_over(gate):
     statuses = {"a": status(), "b": status()}
-    known, now = Observations({"east": 10.0}), NOW
-    gate.review({1: proposal(a=1.0, b=1.0)}, {1}, statuses, known, now)
+    observations, now = Observations({"east": 10.0}), NOW
+    gate.review({1: proposal(a=1.0, b=1.0)}, {1}, statuses, observations, now)
     for _ in range(8):
         now += 5_000_000
-        gate.review({1: proposal()}, {1}, statuses, known, now)
+        gate.review({1: proposal()}, {1}, statuses, observations, now)
     assert gate.allowed[1][0] == {"a": 1.0, "b": 1.0}
-    good = {1: proposal(a=1.0, b=2.0)}
-    gate.review(good, {1}, statuses, known, now + 5_000_000)
-    assert gate.allowed[1][0]["b"] == 1.0  # it waits
+    proposed = {1: proposal(a=1.0, b=2.0)}
+    gate.review(proposed, {1}, statuses, observations, now + 5_000_000)
+    assert gate.allowed[1][0]["b"] == 1.0  # the table still backs off
     for k in range(1, 13):  # reviewed once a second without an order
-        gate.review(good, (), statuses, known, now + k * S)
+        gate.review(proposed, (), statuses, observations, now + k * S)
     assert gate.allowed[1][0]["b"] == 2.0
 
 
-def test_a_change_by_the_list_alone_is_left_to_the_policy_for_a_moment(gate):
-    statuses, known = {"a": status(), "c": status()}, Observations({"east": 10.0})
-    rows = {1: proposal(a=1.0, c=1.0, demand=8.0)}
-    gate.review(rows, {1}, statuses, known, NOW)
+def test_a_change_caused_by_the_list_alone_is_delayed_to_let_the_policy_order_it(gate):
+    statuses, observations = {"a": status(), "c": status()}, Observations({"east": 10.0})
+    proposed_tables = {1: proposal(a=1.0, c=1.0, demand=8.0)}
+    gate.review(proposed_tables, {1}, statuses, observations, NOW)
     statuses["c"] = EndpointStatus("east", "ready", NOW, 1.0, "east")  # it restarted
-    assert gate.review(rows, (), statuses, known, NOW + S // 100, list_revision=1) == []
-    assert gate.review(rows, (), statuses, known, NOW + S, list_revision=1) == [1]
+    assert gate.review(proposed_tables, (), statuses, observations, NOW + S // 100, list_revision=1) == []
+    assert gate.review(proposed_tables, (), statuses, observations, NOW + S, list_revision=1) == [1]
     assert gate.allowed[1][0]["c"] < 1.0
--- a/tests/safety/test_recorded_verdicts.py
+++ b/tests/safety/test_recorded_verdicts.py
@@ -1,4 +1,4 @@
-"""Verdicts over a fixed list of worlds, drawn at random once, are those that were recorded."""
+"""Verdicts on fixed pseudo-random inputs equal the recorded ones."""
 
 import hashlib
 import math
@@ -66,16 +66,16 @@
 
 
 def draw_observations(draw, names, numbers):
-    full = {kind: draw.choice((1.0, 12.0, 60.0)) for kind in KINDS if draw.random() < 0.8}
-    used = {(z, k): draw.choice((0.5, 8.0)) for z in ZONES for k in KINDS if draw.random() < 0.5}
-    then = {number: draw_weights(draw, names, 0.0) for number in numbers if draw.random() < 0.7}
+    peak_rates = {kind: draw.choice((1.0, 12.0, 60.0)) for kind in KINDS if draw.random() < 0.8}
+    zone_peak_rates = {(z, k): draw.choice((0.5, 8.0)) for z in ZONES for k in KINDS if draw.random() < 0.5}
+    window_start = {number: draw_weights(draw, names, 0.0) for number in numbers if draw.random() < 0.7}
     return Observations(
-        full,
-        used,
+        peak_rates,
+        zone_peak_rates,
         frozenset(draw.sample(names, draw.randint(0, len(names)))),
         frozenset(z for z in ZONES if draw.random() < 0.15),
         draw.choice((1.0, 0.5)),
-        then,
+        window_start,
     )
 
 
@@ -100,15 +100,18 @@
 
 
 def plain_tables(tables):
-    """Tables as plain builtins, in their order of iteration."""
-    return [(number, list(lines.items()), level) for number, (lines, level) in tables.items()]
+    """Tables as plain builtins, in iteration order."""
+    return [
+        (number, list(weights.items()), admission_rate)
+        for number, (weights, admission_rate) in tables.items()
+    ]
 
 
 def test_verdicts_are_those_recorded():
     digest = hashlib.sha256()
     rules_found = set()
-    for world in range(3000):
-        draw = random.Random(world)
+    for seed in range(3000):
+        draw = random.Random(seed)
         statuses = draw_statuses(draw)
         names = [*statuses, "stranger"]
         numbers = range(draw.randint(1, 4))
@@ -129,12 +132,12 @@
 
 
 def test_reviews_are_those_recorded():
-    """Reviews of one gate after another: tables ordered or not, enforced or not, over some time."""
+    """Reviews of several gates over time, with tables ordered or not, and rules enforced or not."""
     digest = hashlib.sha256()
     for seed in range(60):
         draw = random.Random(seed)
         enforce = draw.random() < 0.8
-        bad_share = 0.05 if enforce else 0.0  # a controller drops bad weights before its gate
+        bad_share = 0.05 if enforce else 0.0  # a controller drops bad weights before they reach its gate
         gate = PublishGate(settings_with(True), draw_rules(draw), enforce, seed)
         now, list_revision = NOW_NS, 0
         statuses = draw_statuses(draw)
@@ -195,9 +198,9 @@
             if draw.random() < 0.05:
                 traffic.observe_event(ProxyDisconnected(draw.choice("pqr")), now)
             warm = frozenset(draw.sample(names, len(names) - 1))
-            used = traffic.peak_rates(statuses, warm.__contains__, now)
+            zone_peak_rates = traffic.peak_rates(statuses, warm.__contains__, now)
             row = (
-                list(used.items()), list(peak_by_kind(used).items()),
+                list(zone_peak_rates.items()), list(peak_by_kind(zone_peak_rates).items()),
                 traffic.request_rate("pq", ("read",), now),
                 sorted(traffic.responding_endpoints(now)), sorted(traffic.failing_zones(statuses, now)),
             )  # fmt: skip
--- a/tests/safety/test_stale_list.py
+++ b/tests/safety/test_stale_list.py
@@ -1,4 +1,4 @@
-"""Stale lists: the worst case beside an enumeration, and what of a change is reported."""
+"""Stale lists: the worst case compared with an enumeration, and which changes are reported."""
 
 import itertools
 
@@ -11,18 +11,22 @@
 from tests.support.safety import proposal, status, validate
 
 
-def enumerated_worst_case(weights, rate, budget, k):
-    """Every choice of up to `k` endpoints that differ from the list, each of them restarted or removed."""
-    most = 0.0
+def enumerated_worst_case(weights, rate, limits, k):
+    """Try every choice of up to `k` endpoints that differ from the list, each restarted or removed."""
+    worst = 0.0
     for count in range(1, k + 1):
         for chosen in itertools.combinations(weights, count):
-            for cold in itertools.product((True, False), repeat=count):
-                gone = {n for n, c in zip(chosen, cold, strict=True) if not c}
-                left = sum(w for n, w in weights.items() if n not in gone)
-                for n, c in zip(chosen, cold, strict=True):
-                    if c:
-                        most = max(most, rate * weights[n] / left / budget[n])
-    return most
+            for restarted in itertools.product((True, False), repeat=count):
+                removed = {
+                    endpoint
+                    for endpoint, is_restarted in zip(chosen, restarted, strict=True)
+                    if not is_restarted
+                }
+                remaining = sum(weight for endpoint, weight in weights.items() if endpoint not in removed)
+                for endpoint, is_restarted in zip(chosen, restarted, strict=True):
+                    if is_restarted:
+                        worst = max(worst, rate * weights[endpoint] / remaining / limits[endpoint])
+    return worst
 
 
 @given(
--- a/tests/safety/test_validator.py
+++ b/tests/safety/test_validator.py
@@ -1,7 +1,7 @@
-"""The validator beside an oracle written apart from it.
+"""Compares the validator with an independently written oracle.
 
-The oracle works from the words of the rules with sums over all entries, in its own arithmetic; it imports
-nothing of the validator but the types.
+The oracle follows the wording of the rules, with its own sums over all entries; it imports only the types of
+the validator.
 """
 
 import math
@@ -20,17 +20,17 @@
 from tests.support.safety import NOW, SETTINGS, ZONES, S, proposal, status, validate, violated
 
 
-def capacity(f, now):
-    """The part of its capacity that an endpoint has: by the settings, evenly from the part at a start."""
-    if f.started_ns == 0:
+def capacity(endpoint_status, now):
+    """Fraction of its capacity that an endpoint has: linear from the fraction at a start, by the settings."""
+    if endpoint_status.started_ns == 0:
         return 1.0
-    return min(1.0, 0.2 + 0.8 * max(0.0, (now - f.started_ns) / (16 * S)))
+    return min(1.0, 0.2 + 0.8 * max(0.0, (now - endpoint_status.started_ns) / (16 * S)))
 
 
-def violated_rules(tables, levels, zones, local, demand, statuses, full, now):
-    """Names of the rules that tables as they are would break, by enumeration of every entry."""
+def violated_rules(tables, admission_rates, zones, local, request_rates, statuses, peak_rates, now):
+    """Names of the rules that unmodified tables break, by enumeration of every entry."""
     broken = set()
-    ready = [n for n, f in statuses.items() if f.state == "ready"]
+    ready = [n for n, endpoint_status in statuses.items() if endpoint_status.state == "ready"]
     for t, weights in tables.items():
         if any(math.isnan(w) or math.isinf(w) or w <= 0 for w in weights.values()):
             broken.add("bad weight")
@@ -41,11 +41,13 @@
             continue
         if local[t] and any(statuses[n].zone not in zones[t] for n in weights if n in ready):
             broken.add("own zone")
-        own = [n for n in ready if statuses[n].zone in zones[t]]
-        may = own if local[t] or any(capacity(statuses[n], now) == 1 for n in own) else ready
-        if not weights and may:
+        in_own_zone = [n for n in ready if statuses[n].zone in zones[t]]
+        usable = (
+            in_own_zone if local[t] or any(capacity(statuses[n], now) == 1 for n in in_own_zone) else ready
+        )
+        if not weights and usable:
             broken.add("empty pool")
-        if any(capacity(statuses[n], now) == 1 for n in may) and not any(
+        if any(capacity(statuses[n], now) == 1 for n in usable) and not any(
             n in ready and capacity(statuses[n], now) == 1 for n in weights
         ):
             broken.add("empty pool" if not weights else "no warm server")
@@ -54,16 +56,20 @@
     for n in ready:
         if capacity(statuses[n], now) == 1:
             continue
-        on = [t for t in tables if zones[t] and n in tables[t]]
-        if not on:
+        tables_with_endpoint = [t for t in tables if zones[t] and n in tables[t]]
+        if not tables_with_endpoint:
             continue
-        budget = 2.5 * capacity(statuses[n], now) * full[statuses[n].zone] * statuses[n].weight
-        load = sum(demand[t] * levels[t] * tables[t][n] / sum(tables[t].values()) for t in on)
-        if load > budget * 1.01:
-            alone = all(
-                not any(m in ready and capacity(statuses[m], now) == 1 for m in tables[t]) for t in on
+        limit = 2.5 * capacity(statuses[n], now) * peak_rates[statuses[n].zone] * statuses[n].weight
+        load = sum(
+            request_rates[t] * admission_rates[t] * tables[t][n] / sum(tables[t].values())
+            for t in tables_with_endpoint
+        )
+        if load > limit * 1.01:
+            only_warming_up = all(
+                not any(m in ready and capacity(statuses[m], now) == 1 for m in tables[t])
+                for t in tables_with_endpoint
             )
-            broken.add("only cold servers" if alone else "cold budget")
+            broken.add("only cold servers" if only_warming_up else "cold budget")
     return broken
 
 
@@ -89,67 +95,73 @@
 @st.composite
 def worlds(draw):
     statuses = {f"s{k}": f for k, f in enumerate(draw(endpoint_statuses))}
-    known = [*statuses, "stranger"]
-    rows = {}
+    names = [*statuses, "stranger"]
+    proposed = {}
     for t in range(draw(st.integers(1, 3))):
-        weights = draw(st.dictionaries(st.sampled_from(known), weight_values, max_size=6))
+        weights = draw(st.dictionaries(st.sampled_from(names), weight_values, max_size=6))
         zones = draw(st.sampled_from([(), ("east",), ("west",), ZONES]))
-        rows[t] = Proposal(
+        proposed[t] = Proposal(
             weights, draw(st.sampled_from([1.0, 0.5, 0.1])), frozenset(zones), draw(st.booleans()),
             draw(st.sampled_from([0.0, 5.0, 40.0, 400.0])))  # fmt: skip
-    before = {
-        t: draw(st.dictionaries(st.sampled_from(list(statuses)), st.just(1.0), max_size=4)) for t in rows
+    published = {
+        t: draw(st.dictionaries(st.sampled_from(list(statuses)), st.just(1.0), max_size=4)) for t in proposed
     }
-    return rows, statuses, before, {"east": draw(st.sampled_from([1.0, 12.0])), "west": 12.0}
+    return proposed, statuses, published, {"east": draw(st.sampled_from([1.0, 12.0])), "west": 12.0}
 
 
 def check_against_oracle(world):
-    rows, statuses, before, full = world
+    proposed, statuses, published, peak_rates = world
     verdict = Validator(
         SETTINGS,
         SafetyRules(slow_start_fraction=1.0, max_zone_load_multiple=math.inf, max_step_fraction=math.inf),
-    ).validate(rows, before, statuses, Observations(full), NOW)
-    zones, local = {t: p.proxy_zones for t, p in rows.items()}, {t: p.zone_local for t, p in rows.items()}
-    demand = {t: p.request_rate for t, p in rows.items()}
-    asked = violated_rules(
-        {t: dict(p.weights) for t, p in rows.items()},
-        {t: p.admission_rate for t, p in rows.items()},
+    ).validate(proposed, published, statuses, Observations(peak_rates), NOW)
+    zones, local = (
+        {t: p.proxy_zones for t, p in proposed.items()},
+        {t: p.zone_local for t, p in proposed.items()},
+    )
+    request_rates = {t: p.request_rate for t, p in proposed.items()}
+    violated_before = violated_rules(
+        {t: dict(p.weights) for t, p in proposed.items()},
+        {t: p.admission_rate for t, p in proposed.items()},
         zones,
         local,
-        demand,
+        request_rates,
         statuses,
-        full,
+        peak_rates,
         NOW,
     )
-    after = violated_rules(
+    violated_after = violated_rules(
         {t: weights for t, (weights, _) in verdict.tables.items()},
-        {t: level for t, (_, level) in verdict.tables.items()},
+        {t: rate for t, (_, rate) in verdict.tables.items()},
         zones,
         local,
-        demand,
+        request_rates,
         statuses,
-        full,
+        peak_rates,
         NOW,
     )
-    named = violated(verdict)
-    if not asked:  # nothing safe is corrected: it is published exactly
-        assert named <= {"no open server"}
+    reported = violated(verdict)
+    if not violated_before:  # a safe table is not corrected but published exactly
+        assert reported <= {"no open server"}
         assert {
-            t: (dict(p.weights), p.admission_rate) for t, p in rows.items()
-        } == verdict.tables or "no open server" in named
-    elif "bad weight" not in asked:
-        emptied = {"empty pool", "no warm server"}  # a table of closed endpoints alone is both
-        assert asked - emptied <= named | {*EXCEPTIONS, "cold budget"}  # every violation names the rule
-        assert not asked & emptied or named & {*emptied, "no open server"}
-    if "no open server" not in named:
-        assert not after, (asked, after)  # nothing unsafe passes
-    drained = [
+            t: (dict(p.weights), p.admission_rate) for t, p in proposed.items()
+        } == verdict.tables or "no open server" in reported
+    elif "bad weight" not in violated_before:
+        empty_or_not_warm = {"empty pool", "no warm server"}  # a table of only closed endpoints breaks both
+        assert violated_before - empty_or_not_warm <= reported | {
+            *EXCEPTIONS,
+            "cold budget",
+        }  # every violated rule is reported
+        assert not violated_before & empty_or_not_warm or reported & {*empty_or_not_warm, "no open server"}
+    if "no open server" not in reported:
+        assert not violated_after, (violated_before, violated_after)  # no unsafe table passes
+    closed = [
         n
         for weights, _ in verdict.tables.values()
         for n in weights
         if n in statuses and statuses[n].state != "ready"
     ]
-    assert not drained or "no open server" in named
+    assert not closed or "no open server" in reported
 
 
 @given(worlds())
--- a/tests/safety/test_zone_limits.py
+++ b/tests/safety/test_zone_limits.py
@@ -1,4 +1,4 @@
-"""Zone overload and large steps, beside an oracle written apart from the rules."""
+"""Zone overload and large steps, compared with an independently written oracle."""
 
 import pytest
 from hypothesis import given
@@ -14,14 +14,14 @@
 from tests.support.safety import NOW, SETTINGS, ZONES, proposal, status, validate, violated
 
 
-def zone_loads(tables, demand, statuses):
-    """Requests per second by zone, entry by entry."""
-    found = dict.fromkeys(ZONES, 0.0)
+def zone_loads(tables, request_rates, statuses):
+    """Requests per second by zone, summed over all entries."""
+    loads = dict.fromkeys(ZONES, 0.0)
     for t, weights in tables.items():
         for n, w in weights.items():
             if statuses[n].state == "ready":
-                found[statuses[n].zone] += demand[t] * w / sum(weights.values())
-    return found
+                loads[statuses[n].zone] += request_rates[t] * w / sum(weights.values())
+    return loads
 
 
 @st.composite
@@ -40,36 +40,51 @@
     )
 
 
-def exceeded_limits(new, old, then, demand, statuses, full, ill):
-    """Rules that a change breaks, from their words."""
-    a, b, c = (zone_loads(x, demand, statuses) for x in (old, new, then))
-    can = {z: full * sum(f.zone == z for f in statuses.values()) for z in ZONES}
+def exceeded_limits(new, old, window_start, request_rates, statuses, peak_rate, failing):
+    """Rules that a change breaks, by the wording of the rules."""
+    old_loads, new_loads, start_loads = (
+        zone_loads(tables, request_rates, statuses) for tables in (old, new, window_start)
+    )
+    capacity = {
+        target: peak_rate * sum(known.zone == target for known in statuses.values()) for target in ZONES
+    }
     broken = set()
-    for z, o in (ZONES, ZONES[::-1]):
-        if b[z] <= a[z] * 1.001:
+    for target, other in (ZONES, ZONES[::-1]):
+        if new_loads[target] <= old_loads[target] * 1.001:
             continue
-        has_room = o not in ill and b[o] < can[o] and a[o] > b[o]
-        if has_room and b[z] > max(2 * can[z], a[z]) * 1.002:
+        has_room = (
+            other not in failing
+            and new_loads[other] < capacity[other]
+            and old_loads[other] > new_loads[other]
+        )
+        if has_room and new_loads[target] > max(2 * capacity[target], old_loads[target]) * 1.002:
             broken.add("overfull pool")
-        most = c[z] + 0.6 * sum(b.values()) + sum(c[i] for i in ill)
-        if b[z] > max(most, a[z]) * 1.002:
+        step_limit = (
+            start_loads[target] + 0.6 * sum(new_loads.values()) + sum(start_loads[i] for i in failing)
+        )
+        if new_loads[target] > max(step_limit, old_loads[target]) * 1.002:
             broken.add("large step")
     return broken
 
 
 def check_moves_against_oracle(world):
-    statuses, old, new, then, demand, full, ill = world
-    rows = {t: Proposal(new[t], 1.0, frozenset(ZONES), request_rate=demand[t]) for t in new}
-    known = Observations({"east": full, "west": full}, failing_zones=ill, weights_at_window_start=then)
-    verdict = Validator(SETTINGS, SafetyRules()).validate(rows, old, statuses, known, NOW)
-    asked = exceeded_limits(new, old, then, demand, statuses, full, ill)
-    assert asked <= violated(verdict)
-    made = {t: weights for t, (weights, _) in verdict.tables.items()}
+    statuses, old, new, window_start, request_rates, peak_rate, failing = world
+    proposed = {t: Proposal(new[t], 1.0, frozenset(ZONES), request_rate=request_rates[t]) for t in new}
+    observations = Observations(
+        {"east": peak_rate, "west": peak_rate}, failing_zones=failing, weights_at_window_start=window_start
+    )
+    verdict = Validator(SETTINGS, SafetyRules()).validate(proposed, old, statuses, observations, NOW)
+    exceeded = exceeded_limits(new, old, window_start, request_rates, statuses, peak_rate, failing)
+    assert exceeded <= violated(verdict)
+    published = {t: weights for t, (weights, _) in verdict.tables.items()}
     if violated(verdict):
-        assert exceeded_limits(made, old, then, demand, statuses, full, ill) == set(), made
-        assert made != new
+        assert (
+            exceeded_limits(published, old, window_start, request_rates, statuses, peak_rate, failing)
+            == set()
+        ), published
+        assert published != new
     else:
-        assert made == new
+        assert published == new
 
 
 @given(moves())
@@ -80,22 +95,22 @@
 
 def test_a_step_larger_than_the_window_allows_is_published_in_parts():
     statuses = {"a": status(), "w": status("west")}
-    asked, before = {1: proposal(ZONES, demand=10.0, w=1.0)}, {1: {"a": 1.0}}
-    verdict = validate(asked, statuses, before, known={"weights_at_window_start": before})
+    proposed, before = {1: proposal(ZONES, demand=10.0, w=1.0)}, {1: {"a": 1.0}}
+    verdict = validate(proposed, statuses, before, known={"weights_at_window_start": before})
     assert violated(verdict) == {"large step"}
     weights, _ = verdict.tables[1]
     assert weights["w"] / sum(weights.values()) == pytest.approx(0.6, rel=0.01)
-    # a window later the rest may go
-    rest = validate(asked, statuses, {1: weights}, known={"weights_at_window_start": {1: weights}})
+    # one window later the rest may follow
+    rest = validate(proposed, statuses, {1: weights}, known={"weights_at_window_start": {1: weights}})
     assert rest.tables[1][0] == {"w": 1.0}
 
 
-def test_nothing_is_held_back_in_a_zone_that_fails_or_drains():
+def test_load_of_a_failing_or_draining_zone_is_not_held_back():
     statuses = {"a": status(), "w": status("west")}
-    asked, before = {1: proposal(ZONES, demand=10.0, w=1.0)}, {1: {"a": 1.0}}
+    proposed, before = {1: proposal(ZONES, demand=10.0, w=1.0)}, {1: {"a": 1.0}}
     assert (
         validate(
-            asked,
+            proposed,
             statuses,
             before,
             known={"weights_at_window_start": before, "failing_zones": frozenset({"east"})},
@@ -103,6 +118,6 @@
         == []
     )
     drained = statuses | {"a": status(state="draining")}
-    assert validate(asked, drained, before, known={"weights_at_window_start": before}).tables[1][0] == {
+    assert validate(proposed, drained, before, known={"weights_at_window_start": before}).tables[1][0] == {
         "w": 1.0
     }
--- a/tests/versions/test_canary.py
+++ b/tests/versions/test_canary.py
@@ -1,4 +1,4 @@
-"""Canary trials: which proxies hold what while a change is tried, and when it completes or rolls back."""
+"""Canary trials: what each proxy holds during a trial, and when a trial completes or rolls back."""
 
 import itertools
 
@@ -27,12 +27,12 @@
     return made
 
 
-def feed(trials, first, rest, at=NOW + S, requests=2 * MIN_REQUESTS):
-    """Both sides report so many failures of `requests`, after the canary proxies have acknowledged."""
+def feed(trials, canary_failures, other_failures, at=NOW + S, requests=2 * MIN_REQUESTS):
+    """Report `canary_failures` and `other_failures` of `requests` after the canary proxies acknowledged."""
     for p in ("p0", "p1"):
         trials.on_acknowledged(p, {"t": b"2"}, NOW + S)
-    trials.on_report("p0", "t", ReportTotals(requests, first), at)
-    trials.on_report("p7", "t", ReportTotals(requests, rest), at)
+    trials.on_report("p0", "t", ReportTotals(requests, canary_failures), at)
+    trials.on_report("p7", "t", ReportTotals(requests, other_failures), at)
 
 
 def test_the_least_busy_proxies_get_a_change_first_and_the_others_keep_the_baseline(trials):
@@ -60,32 +60,32 @@
     assert (table, end.rolled_back, trials.open_trials) == ("t", False, {})
 
 
-def test_a_trial_rolls_back_at_once_when_reports_are_much_worse_and_not_by_chance(trials):
-    feed(trials, 9, 1)  # 15% against 2%: certainly worse at the end, not yet at one of many looks
+def test_a_trial_rolls_back_at_once_when_reports_are_significantly_worse(trials):
+    feed(trials, 9, 1)  # 15% against 2%: significant at the timeout, but not at an early check
     assert trials.take_finished(NOW + 2 * S) == []
-    # 2.6 standard errors: neither certainly worse nor as good, it waits for more
+    # 2.6 standard errors: neither significantly worse nor as good, so the trial goes on
     assert trials.take_finished(NOW + 6 * S) == []
     assert [end.rolled_back for _, end in trials.take_finished(NOW + 30 * S)] == [True]
-    again = CanaryTrials(LIMITS)
-    again.on_table_changed("t", EVEN, SKEWED, (b"1", b"2"), PROXIES, OLD, frozenset(), NOW)
-    feed(again, 40, 1)
-    ((_, end),) = again.take_finished(NOW + 2 * S)
+    clear_case = CanaryTrials(LIMITS)
+    clear_case.on_table_changed("t", EVEN, SKEWED, (b"1", b"2"), PROXIES, OLD, frozenset(), NOW)
+    feed(clear_case, 40, 1)
+    ((_, end),) = clear_case.take_finished(NOW + 2 * S)
     assert (end.rolled_back, end.previous_version) == (True, b"1")
     assert "40 of 60 errored, 1 of 60" in end.cause
 
 
-def test_only_reports_of_time_under_the_new_table_count(trials):
+def test_only_reports_on_the_time_after_the_acknowledgement_count(trials):
     trials.on_acknowledged("p0", {"t": b"1"}, NOW)  # it still holds the old version
     trials.on_report("p0", "t", ReportTotals(100, 100), NOW + S)
     trials.on_acknowledged("p0", {"t": b"2"}, NOW + 2 * S)
-    trials.on_report("p0", "t", ReportTotals(100, 100), NOW + 2 * S - 1)  # of a window that began before
+    trials.on_report("p0", "t", ReportTotals(100, 100), NOW + 2 * S - 1)  # window began too early
     trials.on_report("p7", "t", ReportTotals(100, 0), NOW + 3 * S)
     assert trials.take_finished(NOW + 4 * S) == []
     trials.on_report("p0", "t", ReportTotals(100, 100), NOW + 2 * S)
     assert [end.rolled_back for _, end in trials.take_finished(NOW + 4 * S)] == [True]
 
 
-def test_without_reports_a_trial_completes_at_its_longest_time(trials):
+def test_without_reports_a_trial_completes_at_its_timeout(trials):
     assert trials.take_finished(NOW + 30 * S - 1) == []
     ((_, end),) = trials.take_finished(NOW + 30 * S)
     assert (end.rolled_back, end.cause) == (False, "0 invocations in all its time")
@@ -100,11 +100,11 @@
 
 
 def test_disconnected_canary_proxies_are_replaced_a_limited_number_of_times(trials):
-    for chosen in range(2):
+    for selection in range(2):
         for p in list(PROXIES):
             if trials.is_canary("t", p):
                 trials.on_disconnected(p)
-        assert trials.reselect("t", PROXIES), chosen
+        assert trials.reselect("t", PROXIES), selection
     for p in PROXIES:
         trials.on_disconnected(p)
     assert not trials.reselect("t", PROXIES)
@@ -113,21 +113,21 @@
 
 def test_a_smaller_share_for_an_endpoint_that_warms_up_never_waits(trials):
     made = CanaryTrials(LIMITS)
-    cold = frozenset("d")
-    assert not made.on_table_changed("t", EVEN, SKEWED, (b"1", b"2"), PROXIES, OLD, cold, NOW)
-    # nor within a trial: a greater share may be tried, a smaller one may not wait
+    warming_up = frozenset("d")
+    assert not made.on_table_changed("t", EVEN, SKEWED, (b"1", b"2"), PROXIES, OLD, warming_up, NOW)
+    # nor within a trial: a larger share may be tried, a smaller one must not wait
     assert not trials.on_table_changed(
-        "t", EVEN, {"a": 1.0, "b": 1.0}, (b"2", b"3"), PROXIES, OLD, cold, NOW + S
+        "t", EVEN, {"a": 1.0, "b": 1.0}, (b"2", b"3"), PROXIES, OLD, warming_up, NOW + S
     )
     assert trials.baseline_weights("t", OLD) is None
 
 
-def test_a_large_change_within_a_trial_restarts_its_time_and_a_return_ends_it(trials):
+def test_a_large_change_within_a_trial_restarts_its_duration_and_a_revert_ends_it(trials):
     feed(trials, 0, 0)
     other = EVEN | {"b": 50.0}
     assert trials.on_table_changed("t", SKEWED, other, (b"2", b"3"), PROXIES, OLD, frozenset(), NOW + 4 * S)
     assert trials.take_finished(NOW + 6 * S) == []
-    assert trials.due == NOW + 30 * S  # its longest time is counted from its start
+    assert trials.due == NOW + 30 * S  # its timeout counts from its start
     assert trials.on_table_changed("t", SKEWED, EVEN, (b"3", b"1"), PROXIES, OLD, frozenset(), NOW + 7 * S)
     assert [end.cause for _, end in trials.take_finished(NOW + 7 * S)] == ["what was tried is taken back"]
 
--- a/tests/versions/test_canary_statistics.py
+++ b/tests/versions/test_canary_statistics.py
@@ -1,4 +1,4 @@
-"""Statistics of canaries: regressions, and how much of the requests a change moves."""
+"""Canary statistics: regressions, and the fraction of requests that a change moves."""
 
 import pytest
 from hypothesis import given
@@ -14,7 +14,7 @@
 )
 
 
-def test_high_latency_is_a_regression_and_few_requests_are_none():
+def test_high_latency_is_a_regression_and_too_few_requests_give_none():
     many = 10 * MIN_REQUESTS
     slow, quick = ReportTotals(many, 0, many * 900, many), ReportTotals(many, 0, many * 300, many)
     assert "ms a good answer" in regression(slow, quick, 3.0)
--- a/tests/versions/test_encoding.py
+++ b/tests/versions/test_encoding.py
@@ -1,4 +1,4 @@
-"""Encoding: canonical bytes and versions, deltas, and what of other bytes is rejected."""
+"""Encoding: canonical bytes and versions, deltas, and rejection of invalid bytes."""
 
 import contextlib
 
@@ -48,30 +48,32 @@
 
 
 @pytest.mark.parametrize("place", range(60))
-def test_a_flipped_bit_makes_another_version_or_none(place):
+def test_a_flipped_bit_gives_another_version_or_is_rejected(place):
     data = bytearray(encode(made(a=1.0, b=2.0, c=3.0)))
     data[place % len(data)] ^= 1 << place % 8
     with contextlib.suppress(EncodingError):
         assert version_of(decode_table(bytes(data))) != version_of(made(a=1.0, b=2.0, c=3.0))
 
 
-def test_a_delta_applies_only_to_the_version_it_names_and_makes_the_one_it_says():
+def test_a_delta_applies_only_to_its_base_version_and_must_result_in_its_target_version():
     before, after = made(a=1.0, b=2.0), made(0.5, a=1.5, c=1.0)
     delta = make_delta(before, after)
     assert apply_delta(delta, before) == after
     assert (delta.removed, len(delta.changed)) == (("b",), 2)
     with pytest.raises(DeltaMismatchError, match="applies to version .* not to"):
         apply_delta(delta, made(a=1.0))
-    lying = Delta(delta.base_version, version_of(before), delta.changed, delta.removed, delta.admission)
+    wrong_target = Delta(
+        delta.base_version, version_of(before), delta.changed, delta.removed, delta.admission
+    )
     with pytest.raises(DeltaMismatchError, match="resulted in version .* not its target"):
-        apply_delta(lying, before)
+        apply_delta(wrong_target, before)
 
 
 def test_the_size_of_a_one_entry_delta_does_not_grow_with_the_table():
     sizes = []
-    for many in (100, 400):
-        before = made(**{f"s{k:04}": 1.0 for k in range(many)})
+    for entry_count in (100, 400):
+        before = made(**{f"s{k:04}": 1.0 for k in range(entry_count)})
         sizes.append(
-            len(encode(make_delta(before, made(**{f"s{k:04}": 1.0 + (k == 7) for k in range(many)}))))
+            len(encode(make_delta(before, made(**{f"s{k:04}": 1.0 + (k == 7) for k in range(entry_count)}))))
         )
     assert sizes[0] == sizes[1] < 100
--- a/tests/versions/test_history.py
+++ b/tests/versions/test_history.py
@@ -1,4 +1,4 @@
-"""Histories: versions and their entries, what is kept and for how long, updates, finding a version."""
+"""Histories: versions and entries, retention, updates, and lookup of a version."""
 
 import pytest
 
@@ -17,7 +17,7 @@
     return VersionHistory("0", max_entries=100, max_age_ns=3600 * S)
 
 
-def test_equal_content_is_one_version_and_its_return_is_a_change(history):
+def test_equal_content_is_one_version_and_going_back_to_it_is_a_change(history):
     one, two = made(a=1.0), made(a=2.0)
     first = history.record("0.1", one, NOW, "start")
     assert history.record("0.1", one, NOW + 1, "health") is None
@@ -56,10 +56,10 @@
     one = history.record("0.1", made(**many), NOW, "start").version
     two = history.record("0.1", made(**many | {"s3": 2.0}), NOW, "health").version
     assert history.update_between(two, two) is None
-    step = history.update_between(one, two)
-    assert isinstance(step, Delta)
-    assert version_of(apply_delta(step, made(**many))) == two
-    # a proxy that never had it, or claims a version of the future or of another controller: the whole table
+    update = history.update_between(one, two)
+    assert isinstance(update, Delta)
+    assert version_of(apply_delta(update, made(**many))) == two
+    # the whole table without a held version, or with one of a later incarnation or another controller
     for claim in (None, b"\0" * 16, version_of(made(z=9.0))):
         assert history.update_between(claim, two) == made(**many | {"s3": 2.0})
     with pytest.raises(UnknownVersionError, match="not kept"):
--- a/tests/versions/test_pinning.py
+++ b/tests/versions/test_pinning.py
@@ -21,10 +21,10 @@
     return Pin(change, made(0.5, **weights), until_ns, pins_admission, "rollback")
 
 
-def test_a_pin_proposes_open_endpoints_alone_and_ends_by_itself(history):
+def test_a_pin_proposes_only_open_endpoints_and_expires(history):
     pins = PinnedVersions()
     pins.pin("0.1", pin_of(history, a=1.0, b=2.0), {"a", "b"})
-    assert pins.weights("0.1", {"b", "c"}) == {"b": 2.0}  # one that drains does not come back
+    assert pins.weights("0.1", {"b", "c"}) == {"b": 2.0}  # a draining endpoint does not come back
     assert pins.weights("0.2", {"b"}) is None
     assert pins.admission("0.1") == {}
     assert pins.due == NOW + 60 * S
@@ -42,15 +42,15 @@
         PinnedVersions().release("0.1")
 
 
-def test_a_version_that_enough_proxies_reject_is_rolled_back_and_not_too_often():
+def test_a_version_that_enough_proxies_reject_is_rolled_back_at_a_limited_rate():
     rejections = RejectionTracker(0.3, 2, 600 * S)
     assert not rejections.on_rejected("p1", "0.1", b"v", 10)
-    assert not rejections.on_rejected("p1", "0.1", b"v", 10)  # a proxy counts once
+    assert not rejections.on_rejected("p1", "0.1", b"v", 10)  # each proxy counts once
     assert not rejections.on_rejected("p2", "0.1", b"v", 10)
     assert not rejections.on_rejected("p3", "0.1", b"w", 10)  # another version
     assert [rejections.on_rejected(p, "0.1", b"x", 10) for p in "abc"] == [False, False, True]
     assert [rejections.reserve_rollback(NOW + k * S) for k in (0, 1, 2, 700)] == [True, True, False, True]
-    assert not RejectionTracker(0.3, 2, S).on_rejected("p", "0.1", b"v", 1)  # two at least
+    assert not RejectionTracker(0.3, 2, S).on_rejected("p", "0.1", b"v", 1)  # at least two proxies are needed
     assert not any(
         RejectionTracker(0.3, 0, S).on_rejected(p, "0.1", b"v", 1) for p in "abc"
     )  # rollbacks are off
--- a/tests/versions/test_recorded_trials.py
+++ b/tests/versions/test_recorded_trials.py
@@ -1,4 +1,4 @@
-"""What canaries decide and histories keep over fixed pseudo-random steps is what was recorded."""
+"""Decisions of canaries and content of histories over fixed pseudo-random steps equal the recorded ones."""
 
 import hashlib
 import random
@@ -21,17 +21,19 @@
         draw = random.Random(seed)
         trials = CanaryTrials(CanaryLimits(0.25, 5 * SECOND_NS, 30 * SECOND_NS, 0.25))
         proxies = {f"p{k}": draw.choice((1.0, 2.0, 5.0)) for k in range(9)}
-        starts, lines, now, version = dict.fromkeys("abcd", 0), dict.fromkeys("abcd", 1.0), NOW_NS, 0
+        starts, weights, now, version = dict.fromkeys("abcd", 0), dict.fromkeys("abcd", 1.0), NOW_NS, 0
         for _ in range(60):
             now += draw.choice((0, SECOND_NS // 2, SECOND_NS, 4 * SECOND_NS))
             row = None
             match draw.randrange(8):
                 case 0 | 1:
-                    after = lines | {draw.choice("abcd"): draw.choice((0.01, 1.0, 50.0))}
-                    cold = frozenset(draw.sample("abcd", draw.choice((0, 0, 1))))
+                    after = weights | {draw.choice("abcd"): draw.choice((0.01, 1.0, 50.0))}
+                    warming_up = frozenset(draw.sample("abcd", draw.choice((0, 0, 1))))
                     versions = (b"%d" % version, b"%d" % (version + 1))
-                    row = trials.on_table_changed("t", lines, after, versions, proxies, starts, cold, now)
-                    lines, version = after, version + 1
+                    row = trials.on_table_changed(
+                        "t", weights, after, versions, proxies, starts, warming_up, now
+                    )
+                    weights, version = after, version + 1
                 case 2:
                     starts = {n: draw.choice((0, 0, 0, 0, 0, now)) for n in "abcd" if draw.random() < 0.95}
                 case 3:
@@ -39,22 +41,24 @@
                 case 4 | 5:
                     for proxy in proxies:
                         trials.on_acknowledged(proxy, {"t": b"%d" % version}, now)
-                        errored = draw.choice((0, 0, 0, 1, 9, 40))
-                        totals = ReportTotals(50, errored, 1000 * draw.randint(1, 3), 50)
+                        failures = draw.choice((0, 0, 0, 1, 9, 40))
+                        totals = ReportTotals(50, failures, 1000 * draw.randint(1, 3), 50)
                         trials.on_report(proxy, "t", totals, now)
                 case 6:
                     trials.on_disconnected(draw.choice(list(proxies)))
                     row = trials.reselect("t", proxies)
                 case 7:
                     trials.on_rejected(draw.choice(list(proxies)), "t")
-            rest = trials.baseline_weights("t", starts)
-            first = [p for p in proxies if trials.is_canary("t", p)]
+            baseline = trials.baseline_weights("t", starts)
+            canary_proxies = [p for p in proxies if trials.is_canary("t", p)]
             due = trials.due
-            over = [
+            finished = [
                 (table, end.rolled_back, end.cause, end.previous_version)
                 for table, end in trials.take_finished(now)
             ]
-            digest.update(repr((row, rest and list(rest.items()), first, due, over)).encode())
+            digest.update(
+                repr((row, baseline and list(baseline.items()), canary_proxies, due, finished)).encode()
+            )
         digest.update(repr(sorted(trials.counts.items())).encode())
     assert digest.hexdigest() == TRIALS_SHA256
 
@@ -86,9 +90,17 @@
             if held and draw.random() < 0.05:
                 history.release(held.pop(0))
             oldest = history.changes("t", 1000)[-1]
-            way = history.update_between(oldest.version, history.changes("t", 1)[0].version)
+            newest_update = history.update_between(oldest.version, history.changes("t", 1)[0].version)
             kept = [encoding.encode(history.content(version)) for version in held]
             digest.update(
-                repr((row, oldest.serial, way and encoding.encode(way), kept, history.trimmed_count)).encode()
+                repr(
+                    (
+                        row,
+                        oldest.serial,
+                        newest_update and encoding.encode(newest_update),
+                        kept,
+                        history.trimmed_count,
+                    )
+                ).encode()
             )
     assert digest.hexdigest() == HISTORY_SHA256
--- a/tests/versions/test_stored_formats.py
+++ b/tests/versions/test_stored_formats.py
@@ -1,4 +1,4 @@
-"""Stored formats: bytes of tables and deltas that an earlier build wrote are read and written alike."""
+"""Stored formats: tables and deltas of an earlier build are still read, and written to the same bytes."""
 
 import pytest
 
@@ -35,7 +35,7 @@
     b"\x92\xab10.0.0.1:80\xa8[::1]:90"
     b"\x92\x93\xa4read\xce\x00\x07\xa1 \x00\x93\xa5write\xce\x00\x03\xd0\x90\x01\x01"
 )
-SECOND_TO_THIRD = (  # one weight changes and no level does
+SECOND_TO_THIRD = (  # one weight changes and no admission rate does
     b"\x96\xc4\x10\x82\xa9\xbd\xb7\x83\xeby\x80(/SvY#\xdb\xb8"
     b"\xc4\x10\xf3\xc9C\x1el\xd2\xa7]c\x99\x9d\xe7_`\xd8z"
     b"\x91\x93\xab10.0.0.2:80\xa4east\xcd0\xd4\x90\xc0\x01"
--- a/tests/versions/test_sync.py
+++ b/tests/versions/test_sync.py
@@ -1,4 +1,4 @@
-"""Tables kept in step over a channel that loses, duplicates and reorders, at random beside a model."""
+"""Synchronization over a channel that loses, duplicates and reorders, checked against a model."""
 
 import random
 
@@ -43,11 +43,10 @@
 
 
 class Synchronization(RuleBasedStateMachine):
-    """Proxies that hold tables and apply deltas or whole tables; the controller knows of them what they
-    said last.
+    """Proxies apply deltas or whole tables; the controller knows the version that each reported last.
 
-    The model of a proxy is its bytes. What is checked: it never holds bytes that the controller never made,
-    and once the channel is reliable each ends with the controller's table byte for byte.
+    A proxy is modelled by the bytes it holds. It must never hold bytes that the controller did not make, and
+    once the channel is reliable it must end with exactly the controller's table.
     """
 
     def __init__(self):
@@ -57,7 +56,7 @@
         self.weights, self.now = {"a": 1.0}, NOW
         self.made_bytes = set()
         self.held_bytes = [b"", b""]  # what each proxy holds
-        self.known_versions = [None, None]  # what the controller knows that it holds
+        self.known_versions = [None, None]  # the version it last reported to the controller
         self.in_flight = [[], []]  # to each proxy
         self.responses = [[], []]
         self.change({"a": 1.0})
@@ -79,18 +78,18 @@
 
     @rule(proxy=st.integers(0, 1))
     def send(self, proxy):
-        way = self.history.update_between(self.known_versions[proxy], self.wanted)
-        if way is not None:
-            self.in_flight[proxy] = [*self.in_flight[proxy], encode(way)][-4:]
+        update = self.history.update_between(self.known_versions[proxy], self.wanted)
+        if update is not None:
+            self.in_flight[proxy] = [*self.in_flight[proxy], encode(update)][-4:]
 
     @rule(proxy=st.integers(0, 1), place=st.integers(0, 3), duplicated=st.booleans())
     def arrive(self, proxy, place, duplicated):
-        """Deliver one message, in any order, perhaps to come again."""
-        way = self.in_flight[proxy]
-        if way:
-            data = way[place % len(way)]
+        """Deliver one message, in any order; a duplicated one stays in flight."""
+        messages = self.in_flight[proxy]
+        if messages:
+            data = messages[place % len(messages)]
             if not duplicated:
-                way.remove(data)
+                messages.remove(data)
             self.deliver(proxy, data)
 
     def deliver(self, proxy, data):
@@ -101,22 +100,22 @@
                 held = decode_table(self.held_bytes[proxy]) if self.held_bytes[proxy] else Table()
                 self.held_bytes[proxy] = encode(apply_delta(encoding.decode_delta(data), held))
             except DeltaMismatchError:
-                pass  # the response names what it holds
+                pass  # the response names the held version
         self.responses[proxy] = [*self.responses[proxy], encoding.version_of_bytes(self.held_bytes[proxy])][
             -4:
         ]
 
     @rule(proxy=st.integers(0, 1), place=st.integers(0, 3), lost=st.booleans())
     def respond(self, proxy, place, lost):
-        """An acknowledgement, in any order, or lost."""
+        """Deliver or lose a response, in any order."""
         if self.responses[proxy]:
-            said = self.responses[proxy].pop(place % len(self.responses[proxy]))
+            reported_version = self.responses[proxy].pop(place % len(self.responses[proxy]))
             if not lost:
-                self.known_versions[proxy] = said
+                self.known_versions[proxy] = reported_version
 
     @rule(proxy=st.integers(0, 1))
     def reconnect(self, proxy):
-        """The stream breaks: what was in flight is lost, and the proxy says what it holds."""
+        """The stream breaks: what was in flight is lost, and the proxy reports what it holds."""
         self.in_flight[proxy], self.responses[proxy] = [], []
         self.known_versions[proxy] = (
             encoding.version_of_bytes(self.held_bytes[proxy]) if self.held_bytes[proxy] else None
@@ -125,7 +124,7 @@
     @precondition(lambda self: True)
     @rule(proxy=st.integers(0, 1))
     def settle(self, proxy):
-        """The channel is reliable for a while: the proxy ends with the controller's table."""
+        """Make the channel reliable: the proxy must end with the controller's table."""
         self.in_flight[proxy], self.responses[proxy] = [], []
         for _ in range(3):
             self.send(proxy)
@@ -138,7 +137,7 @@
             self.known_versions[proxy] is None
             or encoding.version_of_bytes(self.held_bytes[proxy]) != self.wanted
         ):
-            self.reconnect(proxy)  # an old response came last: the next claim corrects it
+            self.reconnect(proxy)  # an old response arrived last; the next stream corrects it
             self.send(proxy)
             for data in self.in_flight[proxy]:
                 self.deliver(proxy, data)
