--- a/swiftchute/safety/publish_gate.py
+++ b/swiftchute/safety/publish_gate.py
@@ -42,7 +42,7 @@
 
 
 class PublishGate:
-    """Keeps what may be published for each table, and the violations that persist.
+    """Keeps what may be published for each table, and the active violations.
 
     Attributes:
         enforce: Whether tables are corrected; otherwise they are published as proposed.
@@ -75,7 +75,7 @@
         self._violation_log = ViolationLog(enforce, settings.drain_grace_ns, self.counts, self._events)
         self._backoff = OrderBackoff(random.Random(seed), self._events)
         self._step_window = StepWindow(rules.step_window_ns)
-        self._unordered_since: dict[int, int] = {}  # when a table first should change without an order
+        self._unordered_since: dict[int, int] = {}  # since when tables should change without an order
 
     def warm_check(self, statuses: Mapping[str, EndpointStatus], now_ns: int) -> Callable[[str], bool]:
         """Return a predicate that tells whether a listed endpoint is ready and at full capacity."""
--- a/swiftchute/safety/stale_list.py
+++ b/swiftchute/safety/stale_list.py
@@ -52,8 +52,8 @@
     heaviest = by_weight[:max_different]
     heaviest_weight = sum(weights[endpoint] for endpoint in heaviest)
     worst = NO_OVERLOAD
-    for place, endpoint in enumerate(by_weight):
-        not_removed = endpoint if place < max_different else heaviest[-1]
+    for index, endpoint in enumerate(by_weight):
+        not_removed = endpoint if index < max_different else heaviest[-1]
         remaining = total - (heaviest_weight - weights[not_removed])
         load = rate * weights[endpoint] / max(remaining, weights[endpoint])
         ratio = load / limits[endpoint] if limits[endpoint] > 0 else float("inf")
--- a/swiftchute/safety/violation_log.py
+++ b/swiftchute/safety/violation_log.py
@@ -1,4 +1,4 @@
-"""Tracks violations that persist, counts them by rule, and makes their log records. No I/O."""
+"""Tracks active violations, counts them by rule, and makes their log records. No I/O."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -17,7 +17,7 @@
     fields: dict[str, Any]
 
 
-class StandingViolation(NamedTuple):
+class ActiveViolation(NamedTuple):
     """A violation found in the last review, and since when every review has found it."""
 
     since_ns: int
@@ -46,7 +46,7 @@
             counts: Number of violations by rule; updated in place.
             events: Log records; appended to in place.
         """
-        self.standing: dict[ViolationKey, StandingViolation] = {}
+        self.active: dict[ViolationKey, ActiveViolation] = {}
         self._enforce = enforce
         self._alarm_after_ns = alarm_after_ns
         self._alarmed: set[ViolationKey] = set()
@@ -66,22 +66,22 @@
                 found[ViolationKey(violation.rule, violation.table)] = violation
         for key, violation in found.items():
             self._record_found(key, violation, now_ns)
-        for key in self.standing.keys() - found.keys():
-            since_ns, violation = self.standing.pop(key)
+        for key in self.active.keys() - found.keys():
+            since_ns, violation = self.active.pop(key)
             self._alarmed.discard(key)
             self._log("guard", violation, on=False, seconds=_seconds(now_ns - since_ns))
 
     def _record_found(self, key: ViolationKey, violation: Violation, now_ns: int) -> None:
-        if key not in self.standing:
+        if key not in self.active:
             self._log("guard", violation, on=True)
-            self.standing[key] = StandingViolation(now_ns, violation)
+            self.active[key] = ActiveViolation(now_ns, violation)
             return
-        since_ns = self.standing[key].since_ns
+        since_ns = self.active[key].since_ns
         is_overdue = now_ns - since_ns > self._alarm_after_ns
         if is_overdue and key not in self._alarmed and violation.outcome == Outcome.CORRECTED:
             self._alarmed.add(key)
             self._log("table held", violation, seconds=_seconds(now_ns - since_ns))
-        self.standing[key] = StandingViolation(since_ns, violation)
+        self.active[key] = ActiveViolation(since_ns, violation)
 
     def _log(self, event: str, violation: Violation, **extra_fields: Any) -> None:
         outcome = violation.outcome
@@ -98,7 +98,7 @@
         self._events.append(LogEvent(event, fields | extra_fields))
 
     def violations_of_table(self, table: int, now_ns: int) -> list[dict[str, Any]]:
-        """Return a table's persisting violations as plain data for the admin interface."""
+        """Return a table's active violations as plain data for the admin interface."""
         return [
             {
                 "rule": violation.rule.value,
@@ -108,7 +108,7 @@
                 "done": violation.outcome.value,
                 "seconds": _seconds(now_ns - since_ns),
             }
-            for key, (since_ns, violation) in sorted(self.standing.items())
+            for key, (since_ns, violation) in sorted(self.active.items())
             if key.table == table
         ]
 
@@ -119,7 +119,7 @@
         """
         rules = {
             violation.rule
-            for key, (_, violation) in self.standing.items()
+            for key, (_, violation) in self.active.items()
             if endpoint in violation.endpoints or (key.table == table and not violation.endpoints)
         }
         return ", ".join(sorted(rules))
--- a/swiftchute/versions/canary.py
+++ b/swiftchute/versions/canary.py
@@ -22,9 +22,7 @@
 from swiftchute.versions.canary_trial import CanaryLimits, Trial, TrialOutcome
 
 MAX_TRIALS = 1000  # beyond this a change goes to all proxies at once
-MAX_SELECTIONS = (
-    3  # selections of proxies per trial; a new one is made when all selected proxies have disconnected
-)
+MAX_SELECTIONS = 3  # of proxies per trial; repeated when all selected proxies have disconnected
 SHARE_TOLERANCE = 1e-9  # a smaller decrease of a share does not count
 
 
@@ -55,7 +53,7 @@
         warming_up: frozenset[str],
         now_ns: int,
     ) -> bool:
-        """Process a change of a table's weights, which may open a trial.
+        """Process a change of a table's weights, which a trial may delay for some proxies.
 
         Args:
             table: Name of the table.
--- a/swiftchute/versions/delivery.py
+++ b/swiftchute/versions/delivery.py
@@ -5,8 +5,8 @@
     tracker.on_disconnected(proxy)
     tracker.pending_shares(proxies, operations, endpoints, request_rate)
 
-Until a proxy acknowledges a push, it may still apply the old table. A share that moves from one table to
-another therefore counts in both until then.
+A push is safe only in combination with the tables it replaces: until a proxy acknowledges it, the proxy may
+still apply the old tables. A share that moves from one table to another counts in both until then.
 """
 
 from collections.abc import Callable, Collection, Hashable, Iterable, Mapping
@@ -105,12 +105,12 @@
         """Return how many proxies hold each version of a table."""
         counts: dict[bytes, HolderCount] = {}
         for proxy, holdings in self.holdings_by_proxy.items():
-            for place, holding in enumerate(holdings):
+            for index, holding in enumerate(holdings):
                 if table not in holding.contents:
                     continue
                 version = holding.contents[table].version
                 acknowledged, pushed = counts.get(version, (0, 0))
-                if place == 0 and proxy in self._acknowledged:
+                if index == 0 and proxy in self._acknowledged:
                     counts[version] = HolderCount(acknowledged + 1, pushed)
                 else:
                     counts[version] = HolderCount(acknowledged, pushed + 1)
--- a/swiftchute/versions/history.py
+++ b/swiftchute/versions/history.py
@@ -152,9 +152,9 @@
     @staticmethod
     def _find_by_position(table: str, log: TableLog, reference: str) -> VersionChange:
         entries, number = log.entries, int(reference[1:])
-        place = number - log.first_serial if reference[0] == "#" else len(entries) - 1 - number
-        if 0 <= place < len(entries):
-            return entries[place].change
+        index = number - log.first_serial if reference[0] == "#" else len(entries) - 1 - number
+        if 0 <= index < len(entries):
+            return entries[index].change
         kept = f"#{entries[0].change.serial} to #{entries[-1].change.serial}"
         raise UnknownVersionError(f"table {table} has no entry {reference}; kept are {kept}")
 
--- a/swiftchute/versions/model_checker.py
+++ b/swiftchute/versions/model_checker.py
@@ -62,13 +62,13 @@
         sender.rejected = self.sender.rejected.copy()
         return ProxyState(sender, receiver, self.messages, self.responses)
 
-    def drop_message(self, place: int) -> None:
+    def drop_message(self, index: int) -> None:
         """Remove a message from the channel."""
-        self.messages = self.messages[:place] + self.messages[place + 1 :]
+        self.messages = self.messages[:index] + self.messages[index + 1 :]
 
-    def drop_response(self, place: int) -> None:
+    def drop_response(self, index: int) -> None:
         """Remove a response from the channel."""
-        self.responses = self.responses[:place] + self.responses[place + 1 :]
+        self.responses = self.responses[:index] + self.responses[index + 1 :]
 
     def send(self) -> None:
         """Send the next message, if there is one."""
@@ -76,19 +76,19 @@
         if message is not None:
             self.messages = (*self.messages, message)
 
-    def deliver_message(self, place: int, duplicate: bool) -> None:
+    def deliver_message(self, index: int, duplicate: bool) -> None:
         """Deliver any message of the channel; a duplicated one stays there."""
-        response = self.receiver.on_message(self.messages[place])
+        response = self.receiver.on_message(self.messages[index])
         if not duplicate:
-            self.drop_message(place)
+            self.drop_message(index)
         if response is not None:
             self.responses = (*self.responses, response)
 
-    def deliver_response(self, place: int, duplicate: bool) -> None:
+    def deliver_response(self, index: int, duplicate: bool) -> None:
         """Deliver any response of the channel; a duplicated one stays there."""
-        self.sender.on_response(self.responses[place])
+        self.sender.on_response(self.responses[index])
         if not duplicate:
-            self.drop_response(place)
+            self.drop_response(index)
 
     def time_out(self) -> None:
         """Let the sender give up the message in flight."""
@@ -126,11 +126,11 @@
         """Return a value that is equal for equal states, in any order of the proxies, as all behave alike."""
         return (self.version, *sorted((proxy.key() for proxy in self.proxies), key=repr))
 
-    def copy_with_proxy(self, place: int) -> tuple["ModelState", ProxyState]:
+    def copy_with_proxy(self, index: int) -> tuple["ModelState", ProxyState]:
         """Return a copy in which one proxy can be modified independently, and that proxy."""
         proxies = list(self.proxies)
-        proxies[place] = proxies[place].copy()
-        return ModelState(self.version, proxies), proxies[place]
+        proxies[index] = proxies[index].copy()
+        return ModelState(self.version, proxies), proxies[index]
 
 
 class Action(NamedTuple):
@@ -185,7 +185,7 @@
         make_sender: MakeSender = Sender,
         make_receiver: MakeReceiver = Receiver,
     ) -> None:
-        """Make the versions and the first state.
+        """Make the versions and the initial state.
 
         Args:
             proxy_count: Number of proxies.
@@ -198,14 +198,14 @@
         self.make_sender = make_sender
         self.history = VersionHistory("0")
         self.versions = self._record_versions(version_count)
-        self.first = ModelState(
+        self.initial_state = ModelState(
             0, [ProxyState(make_sender(self.history), make_receiver()) for _ in range(proxy_count)]
         )
-        for proxy in self.first.proxies:
+        for proxy in self.initial_state.proxies:
             proxy.sender.set_wanted(self.versions[0])
 
     def _record_versions(self, count: int) -> list[bytes]:
-        common = [TableEntry(f"s{place}", "z", 1) for place in range(COMMON_ENTRIES)]
+        common = [TableEntry(f"s{index}", "z", 1) for index in range(COMMON_ENTRIES)]
         versions = []
         for number in range(count):
             changing = TableEntry("ab"[number % 2], "z", number + 1)
@@ -222,11 +222,11 @@
             for proxy in proxies:
                 proxy.sender.set_wanted(self.versions[state.version + 1])
             yield Step(f"version {state.version + 1} is wanted", ModelState(state.version + 1, proxies))
-        for place, proxy in enumerate(state.proxies):
+        for index, proxy in enumerate(state.proxies):
             for action in self._actions(proxy):
-                successor, changed_proxy = state.copy_with_proxy(place)
+                successor, changed_proxy = state.copy_with_proxy(index)
                 action.apply(changed_proxy)
-                yield Step(f"proxy {place}: {action.description}", successor)
+                yield Step(f"proxy {index}: {action.description}", successor)
 
     def _actions(self, proxy: ProxyState) -> Iterator[Action]:
         """Yield the events that may happen to one proxy."""
@@ -247,25 +247,25 @@
         )
 
     def _message_actions(self, proxy: ProxyState) -> Iterator[Action]:
-        for place, message in enumerate(proxy.messages):
+        for index, message in enumerate(proxy.messages):
             kind = "whole table" if isinstance(message.update, Table) else "delta"
             name = f"{kind} {message.number}"
-            yield Action(f"{name} is lost", _bind(ProxyState.drop_message, place))
+            yield Action(f"{name} is lost", _bind(ProxyState.drop_message, index))
             if len(proxy.responses) < self.channel_capacity:
-                yield Action(f"{name} arrives", _bind(ProxyState.deliver_message, place, False))
+                yield Action(f"{name} arrives", _bind(ProxyState.deliver_message, index, False))
                 yield Action(
                     f"{name} arrives and stays in the channel",
-                    _bind(ProxyState.deliver_message, place, True),
+                    _bind(ProxyState.deliver_message, index, True),
                 )
 
     @staticmethod
     def _response_actions(proxy: ProxyState) -> Iterator[Action]:
-        for place, response in enumerate(proxy.responses):
+        for index, response in enumerate(proxy.responses):
             name = f"response {response.number}"
-            yield Action(f"{name} is lost", _bind(ProxyState.drop_response, place))
-            yield Action(f"{name} arrives", _bind(ProxyState.deliver_response, place, False))
+            yield Action(f"{name} is lost", _bind(ProxyState.drop_response, index))
+            yield Action(f"{name} arrives", _bind(ProxyState.deliver_response, index, False))
             yield Action(
-                f"{name} arrives and stays in the channel", _bind(ProxyState.deliver_response, place, True)
+                f"{name} arrives and stays in the channel", _bind(ProxyState.deliver_response, index, True)
             )
 
     def _restart_sender(self, proxy: ProxyState) -> None:
@@ -294,8 +294,8 @@
 def explore(model: Model, max_states: int = DEFAULT_MAX_STATES) -> Exploration:
     """Visit every state, breadth first; stop at a violated invariant or beyond `max_states` states."""
     result = Exploration()
-    visits: dict[StateKey, _Visit] = {model.first.key(): _Visit(None, "")}
-    frontier = deque([model.first])
+    visits: dict[StateKey, _Visit] = {model.initial_state.key(): _Visit(None, "")}
+    frontier = deque([model.initial_state])
     while frontier:
         state = frontier.popleft()
         result.broken = model.violation(state)
--- a/swiftchute/versions/pinning.py
+++ b/swiftchute/versions/pinning.py
@@ -4,7 +4,7 @@
     weights = pinned.weights("0.3", open_endpoints)   # replace the policy's; None if not pinned
     pinned.take_ended(open_endpoints, now_ns)         # pins that expired or lost all of their endpoints
     rejections.on_rejected(proxy, "0.3", version, proxy_count)   # whether to roll the version back
-    rejections.reserve_rollback(now_ns)               # counts a rollback if it is allowed
+    rejections.reserve_rollback(now_ns)               # whether one more is allowed; if so, counts it
 
 A rollback sets a desired state and does not replay bytes: the table it proposes is validated like any other.
 Draining and removed endpoints do not come back, and those that warm up stay within their limit. Admission
