--- a/swiftchute/safety/publish_gate.py
+++ b/swiftchute/safety/publish_gate.py
@@ -237,7 +237,7 @@
                     "out": allowed.weights.get(endpoint, 0.0),
                     "why": self._violation_log.rules_limiting(number, endpoint)
                     or pin
-                    or "receives load moved off limited endpoints",
+                    or "takes up what others may not have",
                 }
                 for endpoint in sorted({**ordered, **allowed.weights})
                 if ordered.get(endpoint) != allowed.weights.get(endpoint)
