--- a/swiftchute/drill/invariants.py
+++ b/swiftchute/drill/invariants.py
@@ -22,11 +22,11 @@
 
 @dataclass(frozen=True)
 class Observation:
-    """What the published list said of a server from `at` on; `started` is the planner clock's, 0 if
+    """What the published list said of an endpoint from `at` on; `started` is the planner clock's, 0 if
     long ago."""
 
     at: int
-    server: str
+    endpoint: str
     zone: str
     state: str
     started: int = 0
@@ -104,7 +104,7 @@
             spans.sort()
         self.told: dict[str, list[Observation]] = defaultdict(list)
         for t in sorted(evidence.told, key=lambda t: t.at):
-            self.told[t.server].append(t)
+            self.told[t.endpoint].append(t)
 
     def planner(self, address: str) -> str:
         return self.e.planners.get(address, address)
--- a/swiftchute/drill/operator_actions.py
+++ b/swiftchute/drill/operator_actions.py
@@ -149,7 +149,7 @@
     def _seconds_after_drain(self, attempt: AttemptRecord) -> float:
         """Return how long its endpoint had been listed as not ready when an attempt was made."""
         seen = [
-            o for o in self._list.observations if o.server == attempt.endpoint and o.at <= attempt.time_ns
+            o for o in self._list.observations if o.endpoint == attempt.endpoint and o.at <= attempt.time_ns
         ]
         if not seen or seen[-1].state == "ready":
             return 0.0
--- a/swiftchute/drill/published_list.py
+++ b/swiftchute/drill/published_list.py
@@ -78,7 +78,7 @@
     def _observe(self, now: int) -> None:
         for backend in self._backends:
             state, started = self._entries[backend.address]
-            seen = (o for o in reversed(self.observations) if o.server == backend.address)
+            seen = (o for o in reversed(self.observations) if o.endpoint == backend.address)
             last = next(seen, None)
             if last is None or (last.state, last.started) != (state, started):
                 self.observations.append(Observation(now, backend.address, backend.zone, state, started))
