--- a/swiftchute/drill/invariants.py
+++ b/swiftchute/drill/invariants.py
@@ -22,10 +22,10 @@
 
 @dataclass(frozen=True)
 class Observation:
-    """What the published list said of an endpoint from `at` on; `started` is the planner clock's, 0 if
+    """What the published list said of an endpoint from `time_ns` on; `started` is the planner clock's, 0 if
     long ago."""
 
-    at: int
+    time_ns: int
     endpoint: str
     zone: str
     state: str
@@ -103,7 +103,7 @@
         for spans in self.joined.values():
             spans.sort()
         self.told: dict[str, list[Observation]] = defaultdict(list)
-        for t in sorted(evidence.told, key=lambda t: t.at):
+        for t in sorted(evidence.told, key=lambda t: t.time_ns):
             self.told[t.endpoint].append(t)
 
     def planner(self, address: str) -> str:
@@ -138,15 +138,15 @@
     def _servable(self) -> list[tuple[int, bool]]:
         """From when on a ready server that is no longer cold was listed, or none was."""
         points = sorted(
-            {t.at for t in self.e.told}
+            {t.time_ns for t in self.e.told}
             | {t.started + self.set.max_warmup_ns for t in self.e.told if t.started}
         )
         out = []
         for at in points:
             now = [
-                rows[bisect_right([t.at for t in rows], at) - 1]
+                rows[bisect_right([t.time_ns for t in rows], at) - 1]
                 for rows in self.told.values()
-                if rows[0].at <= at
+                if rows[0].time_ns <= at
             ]
             out.append(
                 (
@@ -253,14 +253,14 @@
         looked = 0
         for t in self.e.tries:
             rows = self.told.get(t.endpoint, [])
-            place = bisect_right([r.at for r in rows], t.time_ns) - 1
+            place = bisect_right([r.time_ns for r in rows], t.time_ns) - 1
             held = self.stream(t.gateway, t.time_ns)
             if place < 0 or held is None or rows[place].state == "ready" or t.gateway in self.e.overstaying:
                 continue
             while place and rows[place - 1].state != "ready":
                 place -= 1  # a drain and then gone: the grace began with the drain
             looked += 1
-            lag = (t.time_ns - max(self.heard(held[2], rows[place].at), held[0])) / S
+            lag = (t.time_ns - max(self.heard(held[2], rows[place].time_ns), held[0])) / S
             verdict.figure = max(verdict.figure, lag)
             if lag > verdict.limit and len(verdict.broken) < 20:
                 verdict.broken.append(
@@ -291,7 +291,7 @@
         starts = 0
         for server, rows in sorted(by.items()):
             for began in sorted({t.started for t in self.told[server] if t.started}):
-                news = next(t.at for t in self.told[server] if t.started == began)
+                news = next(t.time_ns for t in self.told[server] if t.started == began)
                 starts += 1
                 window: deque[Receipt] = deque()
                 for r in rows:
--- a/swiftchute/drill/operator_actions.py
+++ b/swiftchute/drill/operator_actions.py
@@ -149,14 +149,16 @@
     def _seconds_after_drain(self, attempt: AttemptRecord) -> float:
         """Return how long its endpoint had been listed as not ready when an attempt was made."""
         seen = [
-            o for o in self._list.observations if o.endpoint == attempt.endpoint and o.at <= attempt.time_ns
+            o
+            for o in self._list.observations
+            if o.endpoint == attempt.endpoint and o.time_ns <= attempt.time_ns
         ]
         if not seen or seen[-1].state == "ready":
             return 0.0
         first = len(seen) - 1
         while first and seen[first - 1].state != "ready":
             first -= 1
-        return (attempt.time_ns - seen[first].at) / NS_PER_S
+        return (attempt.time_ns - seen[first].time_ns) / NS_PER_S
 
 
 async def _table_log(path: str) -> list[LogEntry]:
