--- a/swiftchute/drill/predict.py
+++ b/swiftchute/drill/predict.py
@@ -1,10 +1,9 @@
-"""Whether proxies did what their tables say: tries by server against the weights in force when each was sent.
+"""Compares the attempts that endpoints got with the weights in force when each attempt was sent.
 
-    found = shares(evidence)         # observed and expected by server, and the chance of such a scatter
+    result = shares(evidence)        # observed and expected attempts by endpoint, and a p-value
 
-Tables are worked out by replaying the orders that each gateway's socket received, in the sequence in which
-they came; nothing of the proxy's or a planner's is read. First tries alone count: a second goes past the
-first's server.
+The tables follow from replaying the responses that each gateway's socket received, in order of receipt;
+nothing is read from a proxy or an instance. Only first attempts count: a retry avoids the first's endpoint.
 """
 
 from collections import Counter, defaultdict
@@ -18,59 +17,61 @@
 
 @dataclass(frozen=True)
 class Shares:
-    """First tries by server, what tables in force predict of them, and the chance of a scatter as wide."""
+    """First attempts by endpoint, those that the tables predict, and the p-value of the difference."""
 
     observed: dict[str, int]
     expected: dict[str, float]
-    chance: float
-    tries: int
+    p_value: float
+    attempts: int
 
     @property
     def line(self) -> str:
-        """One line for people."""
-        far = max(self.expected, key=lambda s: abs(self.observed.get(s, 0) - self.expected[s]), default="")
-        seen, due = self.observed.get(far, 0), self.expected.get(far, 0.0)
+        """One line for the report as text."""
+        farthest = max(
+            self.expected, key=lambda e: abs(self.observed.get(e, 0) - self.expected[e]), default=""
+        )
+        seen, predicted = self.observed.get(farthest, 0), self.expected.get(farthest, 0.0)
         return (
-            f"{self.tries} first tries against tables in force: chance of such a scatter {self.chance:.3f};"
-            f" farthest {far}: {seen}, predicted {due:.1f}"
+            f"{self.attempts} first attempts against the tables in force: p-value {self.p_value:.3f};"
+            f" largest difference at {farthest}: {seen}, predicted {predicted:.1f}"
         )
 
 
 def shares(evidence: Evidence) -> Shares:
-    """Over all gateways and operations. Chi-square on servers with five expected tries or more."""
-    orders, tries = defaultdict(list), defaultdict(list)
-    for order in evidence.orders:
-        orders[order.gateway].append(order)
-    for t in evidence.tries:
+    """Compare over all gateways and operations: chi-square over endpoints with five expected or more."""
+    responses, attempts = defaultdict(list), defaultdict(list)
+    for response in evidence.responses:
+        responses[response.gateway].append(response)
+    for t in evidence.attempts:
         if t.attempt == 0:
-            tries[t.gateway].append(t)
+            attempts[t.gateway].append(t)
     observed: Counter[str] = Counter()
     expected: dict[str, float] = defaultdict(float)
-    spread: dict[str, float] = defaultdict(float)
-    for gateway, (zone, rate, delta, lines, standing) in sorted(evidence.gateways.items()):
-        client = XdsClient(gateway, zone, rate, delta, lines)
-        client.static_endpoints = dict(standing)
-        waiting = sorted(orders[gateway], key=lambda o: o.time_ns)
-        place = stream = 0
-        for t in sorted(tries[gateway], key=lambda t: t.time_ns):
-            while place < len(waiting) and waiting[place].time_ns <= t.time_ns:
-                order = waiting[place]
-                place += 1
-                if order.stream != stream:
-                    stream = order.stream
+    variance: dict[str, float] = defaultdict(float)
+    for gateway, (zone, rate, delta, collections, static) in sorted(evidence.gateways.items()):
+        client = XdsClient(gateway, zone, rate, delta, collections)
+        client.static_endpoints = dict(static)
+        pending = sorted(responses[gateway], key=lambda r: r.time_ns)
+        index = stream = 0
+        for t in sorted(attempts[gateway], key=lambda t: t.time_ns):
+            while index < len(pending) and pending[index].time_ns <= t.time_ns:
+                response = pending[index]
+                index += 1
+                if response.stream != stream:
+                    stream = response.stream
                     client.open_stream(True)
-                client.receive(order.data)
+                client.receive(response.data)
             table = client.table(t.operation)
             if table is None or t.endpoint not in table.weights:
-                continue  # it was picked by the table before, which changed as it was sent
+                continue  # picked by the previous table, which changed while the attempt was sent
             observed[t.endpoint] += 1
             total = sum(table.weights.values())
-            for server, weight in table.weights.items():
-                part = weight / total
-                expected[server] += part
-                spread[server] += part * (1 - part)
-    counted = [s for s in expected if expected[s] >= 5]
-    # each server's count is a sum of draws whose chances differ: compared by its own variance
-    found = sum((observed[s] - expected[s]) ** 2 / max(spread[s], 1e-9) for s in counted)
-    chance = float(stats.chi2.sf(found, max(len(counted), 1)))
-    return Shares(dict(observed), dict(expected), chance, sum(observed.values()))
+            for endpoint, weight in table.weights.items():
+                probability = weight / total
+                expected[endpoint] += probability
+                variance[endpoint] += probability * (1 - probability)
+    tested = [e for e in expected if expected[e] >= 5]
+    # Each endpoint's count is a sum of draws of differing probability, so it is compared by its own variance.
+    statistic = sum((observed[e] - expected[e]) ** 2 / max(variance[e], 1e-9) for e in tested)
+    p_value = float(stats.chi2.sf(statistic, max(len(tested), 1)))
+    return Shares(dict(observed), dict(expected), p_value, sum(observed.values()))
--- a/swiftchute/drill/published_list.py
+++ b/swiftchute/drill/published_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list that a drill publishes as a file, and what it said when."""
+"""The endpoint list that a drill publishes as a file, and a record of what it said over time."""
 
 import json
 import os
@@ -80,5 +80,5 @@
             state, started = self._entries[backend.address]
             seen = (o for o in reversed(self.observations) if o.endpoint == backend.address)
             last = next(seen, None)
-            if last is None or (last.state, last.started) != (state, started):
+            if last is None or (last.state, last.started_ns) != (state, started):
                 self.observations.append(Observation(now, backend.address, backend.zone, state, started))
--- a/swiftchute/drill/report.py
+++ b/swiftchute/drill/report.py
@@ -1,4 +1,4 @@
-"""What a drill came to, for people and for machines."""
+"""The result of a drill, as text for people and as JSON for programs."""
 
 from dataclasses import asdict
 
@@ -9,43 +9,45 @@
 
 
 def broken(result: Result, verdicts: list[Verdict]) -> bool:
-    """Whether a rule broke, a replayed order changed anything, or a trouble was not played."""
+    """Return whether an invariant broke, a repeated response changed anything, or a fault action failed."""
     return bool(result.changed or result.failed) or any(v.broken for v in verdicts)
 
 
 def text(result: Result, verdicts: list[Verdict]) -> str:
-    """A line a rule, and how invocations ended; stand-ins on one machine."""
-    total = max(sum(result.ends.values()), 1)
-    ends = ", ".join(
-        f"{name} {count} ({100 * count / total:.1f}%)" for name, count in sorted(result.ends.items())
+    """Return one line per invariant, then the outcomes of requests and what else was noted."""
+    total = max(sum(result.outcomes.values()), 1)
+    outcomes = ", ".join(
+        f"{name} {count} ({100 * count / total:.1f}%)" for name, count in sorted(result.outcomes.items())
     )
     changed = f"changed {', '.join(result.changed)}" if result.changed else "nothing changed"
     lines = [v.line for v in verdicts]
-    lines.append(f"orders delivered again: {result.replayed}, {changed}")
-    lines.append(f"invocations (stand-ins on one machine): {ends}")
+    lines.append(f"responses delivered again: {result.replayed}, {changed}")
+    lines.append(f"requests (fakes on one machine): {outcomes}")
     lines += result.notes
-    lines += [f"trouble that failed: {why}" for why in result.failed]
-    if result.fell:
-        lines.append(f"workers that fell over: {', '.join(result.fell)}")
-    if result.lost:
-        lines.append(f"records past their bound: {result.lost}; the verdicts are of what was kept")
+    lines += [f"fault action that failed: {cause}" for cause in result.failed]
+    if result.crashed_backends:
+        lines.append(f"backends that crashed of overload: {', '.join(result.crashed_backends)}")
+    if result.dropped_records:
+        lines.append(
+            f"records dropped at their bound: {result.dropped_records}; the verdicts cover the others"
+        )
     return "\n".join(lines)
 
 
-def write(path: str, day: str, seed: int, result: Result, verdicts: list[Verdict]) -> None:
-    """The same as JSON."""
-    found = {
-        "day": day,
+def write(path: str, scenario_name: str, seed: int, result: Result, verdicts: list[Verdict]) -> None:
+    """Write the result to a file as JSON."""
+    report = {
+        "day": scenario_name,
         "seed": seed,
         "broken": broken(result, verdicts),
         "rules": [asdict(v) for v in verdicts],
-        "invocations": result.ends,
+        "invocations": result.outcomes,
         "replayed": result.replayed,
         "changed": result.changed,
-        "fell": result.fell,
-        "lost": result.lost,
+        "fell": result.crashed_backends,
+        "lost": result.dropped_records,
         "notes": result.notes,
         "failed": result.failed,
     }
     with open(path, "wb") as out:
-        out.write(msgspec.json.format(msgspec.json.encode(found), indent=2) + b"\n")
+        out.write(msgspec.json.format(msgspec.json.encode(report), indent=2) + b"\n")
--- a/swiftchute/drill/runner.py
+++ b/swiftchute/drill/runner.py
@@ -19,21 +19,21 @@
 
 STARTUP_POLLS = 100
 STARTUP_POLL_INTERVAL_S = 0.1
-SETTLE_S = 0.2  # before recorded messages are delivered again
+SETTLE_S = 0.2  # before the recorded responses are delivered again
 
 
 @dataclass
 class Result:
-    """What a scenario came to."""
+    """The outcome of a played scenario."""
 
     evidence: Evidence
-    ends: dict[str, int]  # requests by outcome
-    replayed: int  # messages that were delivered again
-    changed: list[str]  # gateways whose tables changed by that
-    fell: list[str]  # backends that fell over
-    lost: int = 0  # records past their bound
+    outcomes: dict[str, int]  # requests by outcome
+    replayed: int  # recorded responses that were delivered again
+    changed: list[str]  # by that: gateways whose tables or resources differ, and the counters if they do
+    crashed_backends: list[str]  # addresses; once for each crash of overload
+    dropped_records: int = 0  # records past the bound of a gateway's record
     notes: list[str] = field(default_factory=list)  # what fault actions measured
-    failed: list[str] = field(default_factory=list)  # fault actions that raised: not played as written
+    failed: list[str] = field(default_factory=list)  # exceptions of fault actions: not played as written
 
 
 class Runner:
@@ -53,7 +53,7 @@
             scenario: What to play.
             seed: Seed of every random draw.
             folder: Folder for settings, the endpoint list and logs.
-            options: How the instances differ from what the scenario says.
+            options: What differs from the scenario in how the instances run.
             report_progress: Called with a line for each step.
         """
         given = options or FleetOptions()
@@ -93,7 +93,8 @@
             self._start_load(gateway)
         fleet = self._fleet
         self._report_progress(
-            f"{len(fleet.backends)} workers, {len(fleet.gateways)} gateways, {len(fleet.instances)} planners"
+            f"{len(fleet.backends)} backends, {len(fleet.gateways)} gateways,"
+            f" {len(fleet.instances)} instances"
         )
         for fault in self._scenario.faults:
             await asyncio.sleep(max(begin + fault.at - time.monotonic(), 0))
@@ -113,17 +114,17 @@
     def _result(self, end: int) -> Result:
         fleet = self._fleet
         records = [gateway.record for gateway in fleet.gateways]
-        ends: dict[str, int] = {}
+        outcomes: dict[str, int] = {}
         for record in records:
             for name, count in record.results.items():
-                ends[name] = ends.get(name, 0) + count
+                outcomes[name] = outcomes.get(name, 0) + count
         return Result(
             evidence=self._evidence(end),
-            ends=ends,
+            outcomes=outcomes,
             replayed=0,
             changed=[],
-            fell=[backend.address for backend in fleet.backends for _ in backend.crash_times_s],
-            lost=sum(record.dropped_rows for record in records),
+            crashed_backends=[backend.address for backend in fleet.backends for _ in backend.crash_times_s],
+            dropped_records=sum(record.dropped_rows for record in records),
             notes=self._actions.notes,
             failed=self._failed_tasks(),
         )
@@ -136,9 +137,9 @@
         return Evidence(
             fleet.settings(),
             list(fleet.list.observations),
-            [order for record in records for order in record.responses],
+            [response for record in records for response in record.responses],
             [attempt for record in records for attempt in record.attempts],
-            [stream for record in records for stream in record.stream_events],
+            [event for record in records for event in record.stream_events],
             [receipt for backend in fleet.backends for receipt in backend.receipts],
             {
                 c.node: (
@@ -163,13 +164,13 @@
         return [repr(task.exception()) for task in done if task.exception() is not None]
 
     def _replay(self, result: Result) -> None:
-        """Deliver every recorded message twice more: no table may change, no backend may get a request."""
+        """Deliver each recorded response twice more: no table may change, no backend may get a request."""
         fleet = self._fleet
         before = {g.client.node: (repr(g.client.tables), repr(g.client.resources)) for g in fleet.gateways}
         receipts, attempts = self._traffic()
         clients = {gateway.client.node: gateway.client for gateway in fleet.gateways}
-        for order in result.evidence.orders * 2:
-            clients[order.gateway].receive(order.data)
+        for response in result.evidence.responses * 2:
+            clients[response.gateway].receive(response.data)
             result.replayed += 1
         result.changed = [
             node
--- a/tests/drill/test_scenario.py
+++ b/tests/drill/test_scenario.py
@@ -128,7 +128,7 @@
 def test_a_planner_killed_with_half_a_push_out_keeps_the_rules_after_its_return(played):
     result, verdicts = played["half-push", "process"]
     assert not broken(result, verdicts), text(result, verdicts)
-    streams = [s for s in result.evidence.streams if s.opened]
+    streams = [s for s in result.evidence.stream_events if s.opened]
     assert len(streams) >= 2 * len(
         result.evidence.gateways
     )  # all came back to it, and once more after the cut
@@ -145,7 +145,8 @@
 def test_a_planner_killed_between_a_rollbacks_order_and_its_answers_keeps_the_rules(played):
     result, verdicts = played["rollback-cut", "process"]
     assert not broken(result, verdicts), text(result, verdicts)
-    assert len({s.server for s in result.evidence.streams}) > 12  # its gateways were on the other one too
+    # Its gateways were connected to the other instance too.
+    assert len({s.server for s in result.evidence.stream_events}) > 12
     assert "tables ordered back" in result.notes[0]
     assert not result.notes[0].startswith("0 ")
 
@@ -161,8 +162,8 @@
 def test_clients_by_dns_keep_the_rules(played):
     result, verdicts = played["dns", "day"]
     assert not broken(result, verdicts), text(result, verdicts)
-    assert len(result.evidence.answers) == 6
-    assert sum(t.gateway.startswith("dns") for t in result.evidence.tries) > 100
+    assert len(result.evidence.dns_answers) == 6
+    assert sum(t.gateway.startswith("dns") for t in result.evidence.attempts) > 100
 
 
 def test_answers_that_live_too_long_break_the_rule_on_drains(played):
@@ -175,15 +176,15 @@
 def test_tries_go_where_the_tables_in_force_say(played):
     """And a proxy that favours one server is caught: its tries of a server here are told as another's."""
     evidence = played["queue", "kept"][0].evidence  # a day on which nobody is avoided
-    assert shares(evidence).chance > 1e-4
-    favoured = evidence.tries[0].endpoint
-    bent = [replace(t, endpoint=favoured) if k % 5 == 0 else t for k, t in enumerate(evidence.tries)]
-    assert shares(replace(evidence, tries=bent)).chance < 1e-6
+    assert shares(evidence).p_value > 1e-4
+    favoured = evidence.attempts[0].endpoint
+    bent = [replace(t, endpoint=favoured) if k % 5 == 0 else t for k, t in enumerate(evidence.attempts)]
+    assert shares(replace(evidence, attempts=bent)).p_value < 1e-6
 
 
 def test_the_days_hold_what_their_rules_look_at(played):
     """A verdict of a day that holds nothing to look at would say nothing."""
-    assert any(t.state == "draining" for t in played["drain", "kept"][0].evidence.told)
-    assert any(t.started for t in played["cold", "kept"][0].evidence.told)
-    ends = played["twice", "kept"][0].ends
-    assert ends.get("errored", 0) > 10
+    assert any(t.state == "draining" for t in played["drain", "kept"][0].evidence.observations)
+    assert any(t.started_ns for t in played["cold", "kept"][0].evidence.observations)
+    outcomes = played["twice", "kept"][0].outcomes
+    assert outcomes.get("errored", 0) > 10
