--- a/swiftchute/drill/invariants.py
+++ b/swiftchute/drill/invariants.py
@@ -173,7 +173,9 @@
             )
         return changes
 
-    def _longest_avoidable(self, since: int, until: int, warm_changes: list[tuple[int, bool]]) -> int:
+    def _longest_with_warm_endpoint(
+        self, since: int, until: int, warm_changes: list[tuple[int, bool]]
+    ) -> int:
         """Return the longest part of a span during which a warm endpoint was listed throughout."""
         longest, at = 0, since
         for start, any_warm in [*warm_changes, (until, False)]:
@@ -214,7 +216,7 @@
                     if began is not None:
                         # The span also ends with its stream: the invariant binds connected proxies only.
                         stop = min([at, *(b for a, b, _ in spans if a <= began < b)])
-                        took = self._longest_avoidable(began, stop, warm_changes) / NS_PER_S
+                        took = self._longest_with_warm_endpoint(began, stop, warm_changes) / NS_PER_S
                         verdict.figure = max(verdict.figure, took)
                         if took > verdict.limit and len(verdict.broken) < 20:
                             verdict.broken.append(
@@ -238,7 +240,7 @@
             ]:
                 began = empty_since.pop(op, None)
                 if began is not None:
-                    took = self._longest_avoidable(began, at, warm_changes) / NS_PER_S
+                    took = self._longest_with_warm_endpoint(began, at, warm_changes) / NS_PER_S
                     verdict.figure = max(verdict.figure, took)
                     if took > verdict.limit and len(verdict.broken) < 20:
                         verdict.broken.append(f"{client} had no DNS records for {op} for {took:.2f} s")
@@ -272,27 +274,27 @@
         """3: connected proxies stop sending to a draining or gone endpoint within the drain grace."""
         verdict = Verdict("drains kept", 0.0, self.settings.drain_grace_ns / NS_PER_S, "s", "")
         checked = 0
-        for t in self.evidence.attempts:
-            rows = self.observations.get(t.endpoint, [])
-            index = bisect_right([o.time_ns for o in rows], t.time_ns) - 1
-            connection = self.connection_at(t.gateway, t.time_ns)
+        for attempt in self.evidence.attempts:
+            rows = self.observations.get(attempt.endpoint, [])
+            index = bisect_right([o.time_ns for o in rows], attempt.time_ns) - 1
+            connection = self.connection_at(attempt.gateway, attempt.time_ns)
             if (
                 index < 0
                 or connection is None
                 or rows[index].state == "ready"
-                or t.gateway in self.evidence.overstaying_clients
+                or attempt.gateway in self.evidence.overstaying_clients
             ):
                 continue
             while index and rows[index - 1].state != "ready":
                 index -= 1  # an endpoint that drained before it was gone: the grace began with the drain
             checked += 1
             lag = (
-                t.time_ns - max(self.earliest_notice(connection[2], rows[index].time_ns), connection[0])
+                attempt.time_ns - max(self.earliest_notice(connection[2], rows[index].time_ns), connection[0])
             ) / NS_PER_S
             verdict.figure = max(verdict.figure, lag)
             if lag > verdict.limit and len(verdict.broken) < 20:
                 verdict.broken.append(
-                    f"{t.gateway} sent {t.request_id} to {t.endpoint} {lag:.2f} s after its"
+                    f"{attempt.gateway} sent {attempt.request_id} to {attempt.endpoint} {lag:.2f} s after its"
                     " drain or removal was known"
                 )
         verdict.looked_at = (
--- a/swiftchute/drill/scenario.py
+++ b/swiftchute/drill/scenario.py
@@ -8,10 +8,10 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """A fault action of the runner, by name, with its arguments."""
+    """A call of a method of `FaultActions`, at a time after the start of the load."""
 
-    at: float  # seconds after the start of the load
-    action: str
+    at: float  # seconds
+    action: str  # name of the method
     arguments: tuple[Any, ...] = ()
 
 
--- a/swiftchute/drill/shrink.py
+++ b/swiftchute/drill/shrink.py
@@ -1,9 +1,9 @@
-"""Searches for scenarios that break a rule or come nearest to it, and shrinks them to what matters.
+"""Searches for scenarios that break an invariant or come close to it, and shrinks the worst of them.
 
     ordered = worst_first(played)
-    smallest, plays = shrink(scenario, breaks, max_plays=20)   # `breaks(scenario)` plays it
+    smallest, plays = shrink(scenario, breaks, max_plays=20)   # `breaks` plays one
 
-A scenario that shrinks keeps its seed, so that what is left is played as it was.
+A scenario keeps its seed while it is shrunk, so that the remaining faults play as before.
 """
 
 import multiprocessing
@@ -19,28 +19,28 @@
 from swiftchute.drill.runner import Runner
 from swiftchute.drill.scenario import Fault, Scenario
 
-DUPLICATE_RULE = "no effect twice"  # one execution of one allowed is not near the limit
+DUPLICATE_RULE = "no effect twice"  # left out: at its limit already by the one execution that is allowed
 MIN_DURATION_S = 1.0  # a fault is not shortened below this
 
 
 @dataclass(frozen=True)
 class Played:
-    """A scenario that was played."""
+    """A scenario that was played, and how it went."""
 
     scenario: Scenario
     seed: int
-    nearest: float  # how near it came to the limit of any rule; 1: the limit
-    rules: tuple[str, ...]  # that broke
-    failed: bool = False  # it was not played as written
+    nearest: float  # largest used part of any invariant's limit; 1: the limit
+    rules: tuple[str, ...]  # names of the invariants that broke
+    failed: bool = False  # not played as written, or a repeated response changed something
 
     @property
     def bad(self) -> bool:
-        """Whether a rule broke or it was not played as written."""
+        """Whether an invariant broke or the run failed."""
         return bool(self.rules) or self.failed
 
 
 def nearest(verdicts: list[Verdict]) -> float:
-    """Return the largest part of any rule's limit that was used up."""
+    """Return the largest used part of any invariant's limit."""
     parts = (v.figure / v.limit for v in verdicts if v.rule != DUPLICATE_RULE and v.limit)
     return max(parts, default=0.0)
 
@@ -58,12 +58,12 @@
 
 
 def worst_first(played: list[Played]) -> list[Played]:
-    """Return the broken ones first, then those nearest to a limit."""
+    """Sort runs: the bad ones first, then those closest to a limit."""
     return sorted(played, key=lambda one: (not one.bad, -one.nearest))
 
 
 def smaller(scenario: Scenario) -> Iterator[Scenario]:
-    """Yield scenarios that are a step smaller: one fault less, or one that lasts half as long."""
+    """Yield scenarios that are a step smaller: one fault fewer, or one fault that lasts half as long."""
     faults = scenario.faults
     for index in range(len(faults)):
         if len(faults) > 1:
@@ -87,7 +87,7 @@
 
 
 def shrink(scenario: Scenario, breaks: Callable[[Scenario], bool], max_plays: int) -> tuple[Scenario, int]:
-    """Return the smallest scenario found that still breaks, and how many plays it took."""
+    """Return the smallest scenario found for which `breaks` still holds, and the number of plays."""
     plays = 0
     found = True
     while found:
@@ -103,18 +103,18 @@
 
 
 def search(seed: int, count: int, faults: int, max_plays: int) -> tuple[list[Played], Scenario | None, int]:
-    """Play drawn scenarios, a few at a time, and shrink the worst if it broke.
+    """Play randomly drawn scenarios, a few at a time, and shrink the worst one if it is bad.
 
     Args:
-        seed: Seed of the first; the others follow.
-        count: How many are played.
-        faults: Faults in each.
-        max_plays: Bound of the plays that shrinking takes.
+        seed: Seed of the first scenario; the others count up from it.
+        count: Number of scenarios.
+        faults: Number of faults in each.
+        max_plays: Maximum number of plays for shrinking.
 
     Returns:
-        All of them, worst first; the shrunk one if any broke; and the plays that it took.
+        All runs, worst first; the shrunk scenario, or None if no run was bad; the plays spent on shrinking.
     """
-    jobs = max((os.cpu_count() or 2) // 2, 1)  # each is a few processes
+    jobs = max((os.cpu_count() or 2) // 2, 1)  # each run starts several processes
     seeds = range(seed, seed + count)
     with ProcessPoolExecutor(jobs, multiprocessing.get_context("spawn")) as pool:
         scenarios = [drawn(one, faults) for one in seeds]
--- a/swiftchute/fakes/traffic_record.py
+++ b/swiftchute/fakes/traffic_record.py
@@ -1,21 +1,21 @@
-"""What passed on the sockets of a fake gateway: all that the checks of a drill know of it."""
+"""What passed on the sockets of a fake gateway; the invariants of a drill see nothing else of it."""
 
 from dataclasses import dataclass, field
 
-MAX_ROWS = 500_000  # of each kind
+MAX_ROWS = 500_000  # in each list of a `TrafficRecord`
 
 
 @dataclass(frozen=True)
 class ReceivedResponse:
-    """A response of the control plane as it was received.
+    """A response of the control plane, as received.
 
     Attributes:
-        time_ns: when, monotonic.
-        gateway: who received it.
+        time_ns: monotonic time of receipt.
+        gateway: name of the gateway.
         stream: number of the gateway's stream.
         server: "host:port" that was dialed.
         delta: whether the stream uses the incremental variant.
-        data: its bytes.
+        data: the encoded response.
     """
 
     time_ns: int
@@ -28,17 +28,17 @@
 
 @dataclass(frozen=True)
 class AttemptRecord:
-    """An attempt as it was sent to a backend.
+    """An attempt that was sent to a backend.
 
     Attributes:
-        time_ns: when it was sent, monotonic.
-        gateway: who sent it.
-        endpoint: to whom.
+        time_ns: monotonic time of sending.
+        gateway: name of the gateway.
+        endpoint: address of the backend.
         operation: the request's operation.
-        request_id: the request.
+        request_id: the request that it belongs to.
         attempt: its number, from 0.
-        result: how it ended.
-        latency_s: how long it took.
+        result: its outcome.
+        latency_s: time until its outcome.
     """
 
     time_ns: int
@@ -53,14 +53,14 @@
 
 @dataclass(frozen=True)
 class StreamEvent:
-    """A stream to the control plane that opened, or else ended.
+    """A stream to the control plane that opened or ended.
 
     Attributes:
-        time_ns: when, monotonic.
-        gateway: whose stream.
-        stream: its number.
+        time_ns: monotonic time.
+        gateway: name of the gateway.
+        stream: number of the gateway's stream.
         server: "host:port" that was dialed.
-        opened: whether it opened.
+        opened: False if it ended.
     """
 
     time_ns: int
@@ -72,7 +72,7 @@
 
 @dataclass
 class TrafficRecord:
-    """All rows of one gateway, bounded.
+    """The records and totals of one gateway; each list is bounded by `MAX_ROWS`.
 
     Attributes:
         responses: responses that were received.
@@ -82,7 +82,7 @@
         results: requests by result.
         requested_value: value of the requests that arrived.
         earned_value: value of the requests that were answered.
-        dropped_rows: rows past the bound.
+        dropped_rows: records that were not kept because a list was full.
     """
 
     responses: list[ReceivedResponse] = field(default_factory=list)
@@ -95,7 +95,7 @@
     dropped_rows: int = 0
 
     def add(self, rows: list, row: object) -> None:
-        """Append a row to one of the lists, or count it as dropped."""
+        """Append a record to one of the lists, or count it as dropped if the list is full."""
         if len(rows) < MAX_ROWS:
             rows.append(row)
         else:
--- a/tests/drill/test_scenario.py
+++ b/tests/drill/test_scenario.py
@@ -1,7 +1,7 @@
-"""Drills on real sockets: broken planners are caught, each by the rule it breaks, and the module is not.
+"""Drills on real sockets: each faulty policy breaks its invariant, and the real policy keeps all of them.
 
-All days run at once, each in a process of its own; the checker sees what passed on the sockets and the
-workers' receipts.
+The scenarios run at once, each in a process of its own. The verdicts come from what passed on the sockets and
+from the backends' receipts.
 """
 
 import multiprocessing
@@ -33,10 +33,12 @@
 
 
 class Floods(Oscillates):
-    """Swings its weights where neither channel nor guard knows the limit."""
+    """Oscillates where neither the egress queue nor the safety gate has a limit."""
 
 
 class OrdersRetries(Bent):
+    """Allows a retry after any failure, also of side-effecting requests that may have run."""
+
     def bend(self, verb, arguments):
         if verb != "set_admission":
             return [(verb, arguments)]
@@ -44,50 +46,52 @@
 
 
 class OverlongTtlPolicy(ttl.TtlPolicy):
-    """Lets answers live for longer than a drain allows."""
+    """Gives DNS answers a longer time to live than the drain grace allows."""
 
     def __init__(self, *arguments):
         super().__init__(*arguments)
         self.limit_s = 8
 
 
-LOOSE = {"egress_queue_limit": 1e6, "egress_rate": 1e6, "message_quota": 0}
+UNLIMITED_EGRESS = {"egress_queue_limit": 1e6, "egress_rate": 1e6, "message_quota": 0}
 QUIET = replace(SCENARIOS["quiet"], duration=8.0, backends=9, gateways=6, instances=1)
-BROKEN = {  # what no guard mends: it is the module's, and the channel's
+UNGUARDED = {  # violations that only the policy or the egress queue can prevent, not the safety gate
     "twice": (SCENARIOS["errors"], OrdersRetries, {}),
-    "queue": (replace(QUIET, duration=6.0), Floods, LOOSE),
+    "queue": (replace(QUIET, duration=6.0), Floods, UNLIMITED_EGRESS),
 }
-KEPT = {
-    rule: day
-    for day, rule in (
+REAL_POLICY_SCENARIOS = {
+    rule: scenario
+    for scenario, rule in (
         (SABOTEURS["empties"][2], "lost"),
         (SCENARIOS["errors"], "twice"),
         (SCENARIOS["drains"], "drain"),
         (SCENARIOS["cold"], "cold"),
-        (BROKEN["queue"][0], "queue"),
+        (UNGUARDED["queue"][0], "queue"),
     )
 }
 CASES = cases(bad_day=False)
-DNS = replace(SCENARIOS["drains"], gateways=3, dns_clients=6, faults=(*SCENARIOS["drains"].faults,
+DNS_SCENARIO = replace(SCENARIOS["drains"], gateways=3, dns_clients=6, faults=(*SCENARIOS["drains"].faults,
               Fault(8.9, "summarize_dns_clients")))  # fmt: skip
 
 
-def play(rule, kind):
-    """One day in a process of its own: a loop shared by all would slow each by the others' load."""
+def play(name, kind):
+    """Play one scenario in a process of its own: in a shared event loop, each would slow the others down."""
     if kind == "sabotage":
-        return rule.play(7)
-    day, make, loose, guard = SCENARIOS.get(rule), None, {}, "enforce"
+        return name.play(7)
+    scenario, policy, overrides, safety_mode = SCENARIOS.get(name), None, {}, "enforce"
     if kind == "broken":
-        (day, make, loose), guard = BROKEN[rule], "off"
+        (scenario, policy, overrides), safety_mode = UNGUARDED[name], "off"
     elif kind == "kept":
-        day, make = KEPT[rule], Reconciler
-    elif rule.startswith("dns"):
-        day, make = DNS, Reconciler
-        if rule == "dns overlong":
-            frontend.TtlPolicy = OverlongTtlPolicy  # in this process of the pool alone, and put back below
+        scenario, policy = REAL_POLICY_SCENARIOS[name], Reconciler
+    elif name.startswith("dns"):
+        scenario, policy = DNS_SCENARIO, Reconciler
+        if name == "dns overlong":
+            frontend.TtlPolicy = OverlongTtlPolicy  # only in this process of the pool; restored below
     try:
         with tempfile.TemporaryDirectory() as folder:
-            result = uvloop.run(Runner(day, 7, folder, FleetOptions(make, loose, guard)).run())
+            result = uvloop.run(
+                Runner(scenario, 7, folder, FleetOptions(policy, overrides, safety_mode)).run()
+            )
     finally:
         frontend.TtlPolicy = ttl.TtlPolicy
     return result, judge(result.evidence)
@@ -95,17 +99,17 @@
 
 @pytest.fixture(scope="module")
 def played():
-    """Each broken planner's day without a guard and under one, and the same days with the module as it is."""
-    days = [(rule, "broken") for rule in BROKEN] + [(rule, "kept") for rule in RULES]
-    days += [("half-push", "process"), ("rollback", "process"), ("canary", "process")]
-    days += [("rollback-cut", "process"), ("dns", "day"), ("dns overlong", "day")]
-    days += [(case, "sabotage") for case in CASES]
+    """Results by scenario and kind: faulty policies without and with the safety gate, and the real one."""
+    runs = [(rule, "broken") for rule in UNGUARDED] + [(rule, "kept") for rule in RULES]
+    runs += [("half-push", "process"), ("rollback", "process"), ("canary", "process")]
+    runs += [("rollback-cut", "process"), ("dns", "day"), ("dns overlong", "day")]
+    runs += [(case, "sabotage") for case in CASES]
     with ProcessPoolExecutor(10, multiprocessing.get_context("spawn")) as pool:
-        return dict(zip(days, pool.map(play, *zip(*days, strict=True)), strict=True))
+        return dict(zip(runs, pool.map(play, *zip(*runs, strict=True)), strict=True))
 
 
-@pytest.mark.parametrize("rule", BROKEN)
-def test_a_broken_planner_is_caught_by_its_rule(played, rule):
+@pytest.mark.parametrize("rule", UNGUARDED)
+def test_a_faulty_policy_breaks_its_invariant(played, rule):
     result, verdicts = played[rule, "broken"]
     caught = [v.rule for v in verdicts if v.broken]
     assert RULES[rule] in caught, text(result, verdicts)
@@ -113,33 +117,33 @@
 
 
 @pytest.mark.parametrize("rule", RULES)
-def test_the_module_keeps_the_same_day(played, rule):
+def test_the_real_policy_keeps_all_invariants_in_the_same_scenario(played, rule):
     result, verdicts = played[rule, "kept"]
     assert not broken(result, verdicts), text(result, verdicts)
     assert result.replayed > 20
 
 
 @pytest.mark.parametrize("case", CASES, ids=lambda case: f"{case.name}-{case.kind}")
-def test_sabotage_breaks_its_rule_and_keeps_all_under_the_guard(played, case):
+def test_faulty_policies_break_their_invariant_without_the_gate_and_none_under_it(played, case):
     result, verdicts = played[case, "sabotage"]
     assert case.right(result, verdicts), text(result, verdicts)
 
 
-def test_a_planner_killed_with_half_a_push_out_keeps_the_rules_after_its_return(played):
+def test_an_instance_killed_in_mid_push_keeps_the_invariants_after_its_return(played):
     result, verdicts = played["half-push", "process"]
     assert not broken(result, verdicts), text(result, verdicts)
     streams = [s for s in result.evidence.stream_events if s.opened]
     assert len(streams) >= 2 * len(
         result.evidence.gateways
-    )  # all came back to it, and once more after the cut
+    )  # all reconnected to it, and again after their streams broke
 
 
-def test_bad_tables_are_taken_back_by_staff_on_running_planners(played):
+def test_operators_roll_back_bad_tables_on_running_instances(played):
     result, verdicts = played["rollback", "process"]
     assert not broken(result, verdicts), text(result, verdicts)
-    back = result.notes[0]
-    assert "to the last ACK" in back
-    assert not back.startswith("0 ")
+    note = result.notes[0]
+    assert "to the last ACK" in note
+    assert not note.startswith("0 ")
 
 
 def test_a_planner_killed_between_a_rollbacks_order_and_its_answers_keeps_the_rules(played):
@@ -152,38 +156,41 @@
 
 
 def test_a_bad_table_is_tried_by_a_part_of_the_gateways_first(played):
-    """Whether it goes back hangs on the errors that two gateways meet: the design note has the figures."""
+    """Whether the canary is rolled back depends on the errors that two gateways see, so both outcomes pass.
+
+    The design note has the figures.
+    """
     result, verdicts = played["canary", "process"]
     assert not broken(result, verdicts), text(result, verdicts)
     assert any("tried by 2 of 8" in note for note in result.notes), result.notes
     assert any(": back, " in note or ": on, " in note for note in result.notes), result.notes
 
 
-def test_clients_by_dns_keep_the_rules(played):
+def test_dns_clients_keep_the_invariants(played):
     result, verdicts = played["dns", "day"]
     assert not broken(result, verdicts), text(result, verdicts)
     assert len(result.evidence.dns_answers) == 6
     assert sum(t.gateway.startswith("dns") for t in result.evidence.attempts) > 100
 
 
-def test_answers_that_live_too_long_break_the_rule_on_drains(played):
+def test_dns_answers_with_too_long_a_ttl_break_the_drain_invariant(played):
     result, verdicts = played["dns overlong", "day"]
     (found,) = [v for v in verdicts if v.broken]
     assert found.rule == RULES["drain"], text(result, verdicts)
     assert all(text.startswith("dns-") for text in found.broken)
 
 
-def test_tries_go_where_the_tables_in_force_say(played):
-    """And a proxy that favours one server is caught: its tries of a server here are told as another's."""
-    evidence = played["queue", "kept"][0].evidence  # a day on which nobody is avoided
+def test_attempts_follow_the_tables_in_force(played):
+    """A proxy that favours one endpoint is detected: every fifth attempt is relabelled as sent to it."""
+    evidence = played["queue", "kept"][0].evidence  # no fault, so that no endpoint is avoided
     assert shares(evidence).p_value > 1e-4
     favoured = evidence.attempts[0].endpoint
-    bent = [replace(t, endpoint=favoured) if k % 5 == 0 else t for k, t in enumerate(evidence.attempts)]
-    assert shares(replace(evidence, attempts=bent)).p_value < 1e-6
+    relabelled = [replace(t, endpoint=favoured) if k % 5 == 0 else t for k, t in enumerate(evidence.attempts)]
+    assert shares(replace(evidence, attempts=relabelled)).p_value < 1e-6
 
 
-def test_the_days_hold_what_their_rules_look_at(played):
-    """A verdict of a day that holds nothing to look at would say nothing."""
+def test_the_scenarios_exercise_what_their_invariants_check(played):
+    """A verdict on a scenario without drains, starts or failures would prove nothing."""
     assert any(t.state == "draining" for t in played["drain", "kept"][0].evidence.observations)
     assert any(t.started_ns for t in played["cold", "kept"][0].evidence.observations)
     outcomes = played["twice", "kept"][0].outcomes
