--- a/swiftchute/proxy/xds_client.py
+++ b/swiftchute/proxy/xds_client.py
@@ -227,7 +227,7 @@
         return resources, error
 
     def _apply(self, type_url: str, resources: Resources, response: Any) -> None:
-        if not self.delta and type_url in names.WHOLE:
+        if not self.delta and type_url in names.FULL_STATE_TYPES:
             self.resources[type_url] = {}
         self.resources[type_url] |= resources
         if self.delta:
--- a/swiftchute/xds/names.py
+++ b/swiftchute/xds/names.py
@@ -13,7 +13,7 @@
 LDS = PREFIX + "envoy.config.listener.v3.Listener"
 RDS = PREFIX + "envoy.config.route.v3.RouteConfiguration"
 ORDER = (CDS, EDS, LEDS, LDS, RDS)
-WHOLE = (LDS, CDS)  # SotW answers hold the whole state of these: what is not named is gone
+FULL_STATE_TYPES = (LDS, CDS)  # SotW answers hold the whole state of these: what is not named is gone
 SHORT = {CDS: "cds", EDS: "eds", LEDS: "leds", LDS: "lds", RDS: "rds"}
 
 # A proxy that takes endpoints line by line says so in Node.client_features.
--- a/swiftchute/xds/stream.py
+++ b/swiftchute/xds/stream.py
@@ -224,7 +224,7 @@
         self, subscription: Subscription, wanted: Wanted, chosen: dict[str, Resource], now_ns: int
     ) -> AdsResponse | None:
         assigned = bool(wanted[names.LDS])
-        whole_state = not self._delta and subscription.type_url in names.WHOLE
+        whole_state = not self._delta and subscription.type_url in names.FULL_STATE_TYPES
         if whole_state and not assigned:
             return None  # an empty whole state would tell the client that nothing exists
         changed = {
--- a/swiftchute/xds/subscription.py
+++ b/swiftchute/xds/subscription.py
@@ -104,7 +104,7 @@
         given = set(given_names)
         _check_name_count(len(given))
         self._named |= bool(given)
-        wildcard = WILDCARD in given or (not self._named and self.type_url in names.WHOLE)
+        wildcard = WILDCARD in given or (not self._named and self.type_url in names.FULL_STATE_TYPES)
         given.discard(WILDCARD)
         self.unanswered |= given - self.names
         self.unanswered_all |= (wildcard and not self.wildcard) or (first and not given)
@@ -124,7 +124,7 @@
         if first:
             self._hold_initial(request.initial)
         added, dropped = set(request.subscribe), set(request.unsubscribe)
-        implicit = first and not added and not dropped and self.type_url in names.WHOLE
+        implicit = first and not added and not dropped and self.type_url in names.FULL_STATE_TYPES
         if WILDCARD in added or implicit:
             self.wildcard = True
         if WILDCARD in dropped:
