--- a/swiftchute/proxy/load_stats.py
+++ b/swiftchute/proxy/load_stats.py
@@ -6,7 +6,7 @@
 from envoy.config.endpoint.v3.load_report_pb2 import ClusterStats
 
 from swiftchute.proxy.settings import NS_PER_S
-from swiftchute.xds.load_reports import TOOK
+from swiftchute.xds.load_reports import LATENCY_METRIC
 
 MS_PER_S = 1000
 
@@ -58,7 +58,7 @@
                 total_issued_requests=load.successes + load.failures,
             )
             locality_stats.load_metric_stats.add(
-                metric_name=TOOK,
+                metric_name=LATENCY_METRIC,
                 num_requests_finished_with_metric=load.successes,
                 total_metric_value=load.latency_ms,
             )
--- a/swiftchute/xds/load_reports.py
+++ b/swiftchute/xds/load_reports.py
@@ -19,7 +19,7 @@
 from swiftchute.xds.names import operation_of
 
 MS, S = 1_000_000, 1_000_000_000
-TOOK = "swiftchute.took_ms"
+LATENCY_METRIC = "swiftchute.took_ms"
 SPAN_MOST = 3600 * S  # a report's span is a client's word: longer ones are cut
 COUNT_MOST = 10**9  # and so are its counts
 
@@ -61,7 +61,7 @@
                 )
                 invs += min(max(row.total_issued_requests, 0), COUNT_MOST) or good + bad
                 errored += bad
-                timed = [m for m in row.load_metric_stats if m.metric_name == TOOK]
+                timed = [m for m in row.load_metric_stats if m.metric_name == LATENCY_METRIC]
                 count = sum(min(m.num_requests_finished_with_metric, COUNT_MOST) for m in timed)
                 took = sum(int(min(max(m.total_metric_value, 0), 1e12) * MS) for m in timed)
                 old = met.get(server, (0, 0, 0, 0))
