--- a/swiftchute/proxy/xds_client.py
+++ b/swiftchute/proxy/xds_client.py
@@ -197,7 +197,7 @@
         node = Node(id=self.node, locality=Locality(zone=self.zone), user_agent_name=self.agent)
         node.metadata.update({"rate": self.request_rate_per_s, "fresh": fresh})
         if self.endpoint_collections:
-            node.client_features.append(names.LINES_FEATURE)
+            node.client_features.append(names.LEDS_FEATURE)
         return node
 
     def _is_new(self, type_url: str, nonce: str) -> bool:
--- a/swiftchute/xds/frontend.py
+++ b/swiftchute/xds/frontend.py
@@ -122,7 +122,7 @@
             self._check_new_proxy(node.node)
         else:  # it dialled again before its broken stream was noticed, or it is a duplicate
             self._terminate(previous, "ABORTED", f"node {node.node} opened another stream")
-        collections = delta and names.LINES_FEATURE in node.features
+        collections = delta and names.LEDS_FEATURE in node.features
         token = f"{self._options.incarnation:x}.{stream_id}"
         stream = AdsStream(delta, token, self._random.getrandbits(32), collections)
         stream.unavailable = self._controller.unavailable_endpoints
--- a/swiftchute/xds/names.py
+++ b/swiftchute/xds/names.py
@@ -17,7 +17,7 @@
 SHORT = {CDS: "cds", EDS: "eds", LEDS: "leds", LDS: "lds", RDS: "rds"}
 
 # A proxy that takes endpoints line by line says so in Node.client_features.
-LINES_FEATURE = "swiftchute.leds"
+LEDS_FEATURE = "swiftchute.leds"
 # EDS resource of the servers shut out for proxies that still hold tables of their own or of another planner.
 WITHDRAWN = "withdrawn"
 _COLLECTION = (
