--- a/swiftchute/xds/names.py
+++ b/swiftchute/xds/names.py
@@ -46,7 +46,7 @@
     return f"{_COLLECTION}{table}/{zone}/*"
 
 
-def line_name(table: str, zone: str, server: str) -> str:
+def entry_name(table: str, zone: str, server: str) -> str:
     """The name of one line, within its collection."""
     return f"{_COLLECTION}{table}/{zone}/{server}"
 
--- a/swiftchute/xds/resources.py
+++ b/swiftchute/xds/resources.py
@@ -275,7 +275,7 @@
         if collections:
             weights = whole_weights(content.entries)
             for (endpoint, zone, _), weight in zip(content.entries, weights, strict=True):
-                name = names.line_name(table, zone, endpoint)
+                name = names.entry_name(table, zone, endpoint)
                 made[names.LEDS][name] = entry(name, endpoint, weight)
         self._tables[table, collections, baseline] = (content, made)
         return made
--- a/tests/proxy/test_recorded_behaviour.py
+++ b/tests/proxy/test_recorded_behaviour.py
@@ -313,7 +313,7 @@
         entry = LbEndpoint()
         address_of(entry, endpoint)
         entry.load_balancing_weight.value = chance.randint(1, 9)
-        entries[names.line_name(chance.choice(["0.1", "0.2"]), "z", endpoint)] = entry
+        entries[names.entry_name(chance.choice(["0.1", "0.2"]), "z", endpoint)] = entry
     return entries
 
 
--- a/tests/xds/test_stream.py
+++ b/tests/xds/test_stream.py
@@ -294,12 +294,12 @@
 
 def test_lines_of_barred_servers_leave_a_foreign_table_unless_it_had_no_other():
     wire = Wire(delta=True, lines=True)
-    lines = {names.line_name("1.7", "east", s): "v" for s in (A, B)}
-    lines[names.line_name("1.9", "east", B)] = "v"
+    lines = {names.entry_name("1.7", "east", s): "v" for s in (A, B)}
+    lines[names.entry_name("1.9", "east", B)] = "v"
     wire.stream.unavailable = frozenset({B})
     wire.ask(names.LEDS, initial=lines)
     (reply,), _ = wire.want(holding({C: 1.0}))
-    assert reply.removed == (names.line_name("1.7", "east", B),)
+    assert reply.removed == (names.entry_name("1.7", "east", B),)
 
 
 def test_too_many_names_end_the_stream(sotw):
