--- a/swiftchute/xds/errors.py
+++ b/swiftchute/xds/errors.py
@@ -8,10 +8,10 @@
 
 
 class ProtocolViolationError(XdsError):
-    """The client is at fault; its stream ends with a gRPC status."""
+    """A client violated the protocol or a limit; its stream ends with a gRPC status."""
 
     def __init__(self, status: str, text: str) -> None:
-        """Create the error from a gRPC status by name and what the client did."""
+        """Create an error from the name of a gRPC status and a description of the violation."""
         super().__init__(text)
         self.status = status
         self.text = text
--- a/swiftchute/xds/grpc_transport.py
+++ b/swiftchute/xds/grpc_transport.py
@@ -1,4 +1,4 @@
-"""Additions to grpclib: raw messages, bounds on their size and on connections, and aborting them."""
+"""Extensions of grpclib: raw messages, limits on message size and connections, and aborting connections."""
 
 import asyncio
 import weakref
@@ -10,12 +10,12 @@
 
 from swiftchute.xds.errors import ProtocolViolationError
 
-HEADER_BYTES = 5  # of a gRPC message: a compression flag and four bytes of length
+HEADER_BYTES = 5  # gRPC message header: a compression flag and four bytes of length
 DEFAULT_MAX_CONNECTIONS = 10_000
 
 
 class RawCodec(CodecBase):
-    """Leaves messages as bytes; state machines without I/O decode and encode them."""
+    """Passes messages through as bytes; modules without I/O decode and encode them."""
 
     __content_subtype__ = "proto"
 
@@ -31,7 +31,7 @@
 async def receive(stream: Stream, max_bytes: int) -> bytes | None:
     """Return the next message of a stream, or None at its end.
 
-    grpclib bounds no message, so the header is read here.
+    grpclib does not limit the size of messages, so the header is read here.
 
     Raises:
         ProtocolViolationError: The message is too large or compressed; it is not read.
@@ -43,28 +43,28 @@
         return None
     length = int.from_bytes(header[1:HEADER_BYTES], "big")
     if header[0]:
-        raise ProtocolViolationError("UNIMPLEMENTED", "compressed messages are not taken")
+        raise ProtocolViolationError("UNIMPLEMENTED", "compressed messages are not supported")
     if length > max_bytes:
-        text = f"a message of {length} bytes; {max_bytes} at most"
+        text = f"message of {length} bytes, at most {max_bytes} are allowed"
         raise ProtocolViolationError("RESOURCE_EXHAUSTED", text)
     return bytes(await stream._stream.recv_data(length))
 
 
 class _RejectedConnection(asyncio.Protocol):
-    """Closes a connection past the limit unread."""
+    """Closes a connection past the limit without reading from it."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Close it."""
+        """Abort the connection."""
         cast(asyncio.Transport, transport).abort()
 
 
 class AbortableServer(Server):
-    """A server with a limit of connections that can be aborted; grpclib's own close leaves them open."""
+    """A server with a connection limit that can abort connections; grpclib's `close` leaves them open."""
 
     def __init__(
         self, *arguments: Any, max_connections: int = DEFAULT_MAX_CONNECTIONS, **options: Any
     ) -> None:
-        """Create a server; arguments and options are those of grpclib's server."""
+        """Create a server; other arguments and options are those of grpclib's `Server`."""
         super().__init__(*arguments, **options)
         self.rejected_connections = 0
         self._protocols: weakref.WeakSet[Any] = weakref.WeakSet()
@@ -72,7 +72,7 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where the started server listens."""
+        """Host and port that the started server listens on."""
         listener = cast(asyncio.Server, self._server)
         return listener.sockets[0].getsockname()[:2]
 
@@ -86,22 +86,22 @@
         return protocol
 
     def abort_connections(self) -> None:
-        """Abort all open connections, as the death of a process would."""
+        """Abort all open connections, as if the process had died."""
         for transport in self._open_transports():
             transport.abort()
 
     def pause_reading(self) -> None:
-        """Read nothing more from the open connections."""
+        """Stop reading from all open connections."""
         for transport in self._open_transports():
             transport.pause_reading()
 
     def close_listener(self) -> None:
-        """Stop listening; open connections stay."""
+        """Stop listening; open connections stay open."""
         cast(asyncio.Server, self._server).close()
 
     def _open_transports(self) -> list[asyncio.Transport]:
         connections = [protocol.connection for protocol in self._protocols]
-        return [made._transport for made in connections if made is not None and not made.is_closing()]
+        return [opened._transport for opened in connections if opened is not None and not opened.is_closing()]
 
 
 def _is_open(protocol: Any) -> bool:
--- a/swiftchute/xds/load_reports.py
+++ b/swiftchute/xds/load_reports.py
@@ -1,12 +1,12 @@
-"""Load reports (LRS) read into sums, without I/O.
+"""Decodes load reports (LRS) into totals by operation and by endpoint, without I/O.
 
     report, node = decode(data, operations)
     data = encode_response(interval_ns)
 
-Source: envoy/config/endpoint/v3/load_report.proto. A client reports by cluster and locality. Tables are laid
-out so that a cluster is one operation and a locality one server, so both sums come from any client; one that
-reports by endpoint is read by endpoint. The metric `swiftchute.took_ms` carries the time of good answers, if
-a client tells it.
+Source: envoy/config/endpoint/v3/load_report.proto. A client reports by cluster and locality. A cluster is one
+operation and a locality one endpoint, so both totals come from any client; rows by endpoint are used instead
+where a client sends them. The metric `swiftchute.took_ms` carries the latency of successful requests,
+if the client sends it.
 """
 
 from envoy.config.core.v3.address_pb2 import Address
@@ -18,60 +18,69 @@
 from swiftchute.xds.errors import ProtocolViolationError
 from swiftchute.xds.names import operation_of
 
-MS, S = 1_000_000, 1_000_000_000
+NS_PER_MS, NS_PER_S = 1_000_000, 1_000_000_000
 LATENCY_METRIC = "swiftchute.took_ms"
-SPAN_MOST = 3600 * S  # a report's span is a client's word: longer ones are cut
-COUNT_MOST = 10**9  # and so are its counts
+MAX_INTERVAL_NS = 3600 * NS_PER_S  # the client states the interval itself: longer ones are capped
+MAX_COUNT = 10**9  # the same for its counts
 
 
 def encode_response(interval_ns: int) -> bytes:
-    """The response that asks a client for all clusters, every `interval_ns`, by endpoint where it can."""
-    made = LoadStatsResponse(send_all_clusters=True, report_endpoint_granularity=True)
-    made.load_reporting_interval.FromNanoseconds(interval_ns)
-    return made.SerializeToString()
+    """Ask a client for reports of all clusters at this interval, by endpoint if it supports that."""
+    response = LoadStatsResponse(send_all_clusters=True, report_endpoint_granularity=True)
+    response.load_reporting_interval.FromNanoseconds(interval_ns)
+    return response.SerializeToString()
 
 
-def _server(address: Address) -> str:
-    at = address.socket_address
-    return f"{at.address}:{at.port_value}"
+def _endpoint(address: Address) -> str:
+    location = address.socket_address
+    return f"{location.address}:{location.port_value}"
 
 
 def decode(data: bytes, operations: frozenset[str]) -> tuple[LoadReport, Node]:
-    """Bytes of a report. Clusters of operations that are not served are passed over."""
+    """Decode a report; clusters of operations that are not served are ignored.
+
+    Raises:
+        ProtocolViolationError: The bytes are not a LoadStatsRequest.
+    """
     try:
         message = LoadStatsRequest.FromString(data)
     except DecodeError:
         raise ProtocolViolationError(
-            "INVALID_ARGUMENT", f"{len(data)} bytes that are no LoadStatsRequest"
+            "INVALID_ARGUMENT", f"cannot decode {len(data)} bytes as LoadStatsRequest"
         ) from None
-    arrived: dict[str, tuple[int, int]] = {}
-    met: dict[str, tuple[int, int, int, int]] = {}
-    span = 0
+    demand: dict[str, tuple[int, int]] = {}
+    totals: dict[str, tuple[int, int, int, int]] = {}
+    interval_ns = 0
     for cluster in message.cluster_stats:
         operation = operation_of(cluster.cluster_name)
         if operation not in operations:
             continue
-        span = max(span, min(cluster.load_report_interval.ToNanoseconds(), SPAN_MOST))
-        invs, errored = min(cluster.total_dropped_requests, COUNT_MOST), 0
+        interval_ns = max(interval_ns, min(cluster.load_report_interval.ToNanoseconds(), MAX_INTERVAL_NS))
+        requests, failures = min(cluster.total_dropped_requests, MAX_COUNT), 0
         for locality in cluster.upstream_locality_stats:
-            rows = [(_server(e.address), e) for e in locality.upstream_endpoint_stats]
-            for server, row in rows or [(locality.locality.sub_zone, locality)]:
-                good, bad = (
-                    min(n, COUNT_MOST) for n in (row.total_successful_requests, row.total_error_requests)
+            rows = [(_endpoint(e.address), e) for e in locality.upstream_endpoint_stats]
+            for endpoint, row in rows or [(locality.locality.sub_zone, locality)]:
+                succeeded, failed = (
+                    min(n, MAX_COUNT) for n in (row.total_successful_requests, row.total_error_requests)
                 )
-                invs += min(max(row.total_issued_requests, 0), COUNT_MOST) or good + bad
-                errored += bad
+                requests += min(max(row.total_issued_requests, 0), MAX_COUNT) or succeeded + failed
+                failures += failed
                 timed = [m for m in row.load_metric_stats if m.metric_name == LATENCY_METRIC]
-                count = sum(min(m.num_requests_finished_with_metric, COUNT_MOST) for m in timed)
-                took = sum(int(min(max(m.total_metric_value, 0), 1e12) * MS) for m in timed)
-                old = met.get(server, (0, 0, 0, 0))
-                if server and good + bad:
-                    met[server] = (old[0] + good + bad, old[1] + bad, old[2] + took, old[3] + count)
-        if invs:
-            old_invs, old_errored = arrived.get(operation, (0, 0))
-            arrived[operation] = (old_invs + invs, old_errored + errored)
+                count = sum(min(m.num_requests_finished_with_metric, MAX_COUNT) for m in timed)
+                latency_ns = sum(int(min(max(m.total_metric_value, 0), 1e12) * NS_PER_MS) for m in timed)
+                old = totals.get(endpoint, (0, 0, 0, 0))
+                if endpoint and succeeded + failed:
+                    totals[endpoint] = (
+                        old[0] + succeeded + failed,
+                        old[1] + failed,
+                        old[2] + latency_ns,
+                        old[3] + count,
+                    )
+        if requests:
+            old_requests, old_failures = demand.get(operation, (0, 0))
+            demand[operation] = (old_requests + requests, old_failures + failures)
     return LoadReport(
-        max(span, 0),
-        tuple(DemandEntry(op, *row) for op, row in arrived.items()),
-        tuple(EndpointEntry(server, *row) for server, row in met.items()),
+        max(interval_ns, 0),
+        tuple(DemandEntry(op, *row) for op, row in demand.items()),
+        tuple(EndpointEntry(endpoint, *row) for endpoint, row in totals.items()),
     ), message.node
--- a/swiftchute/xds/messages.py
+++ b/swiftchute/xds/messages.py
@@ -1,6 +1,6 @@
-"""Requests and replies of both forms of ADS, between the wire's bytes and plain dataclasses.
+"""Decodes requests and encodes responses of both ADS variants, SotW and delta.
 
-Source: envoy/service/discovery/v3/discovery.proto. Bytes that are no such message raise `Violation`.
+Source: envoy/service/discovery/v3/discovery.proto. Malformed messages raise `ProtocolViolationError`.
 """
 
 from collections.abc import Mapping
@@ -22,9 +22,9 @@
 
 @dataclass(frozen=True)
 class ProxyNode:
-    """Who a stream belongs to: `Node.id`, its zone, invocations a second it expects, and what it can do."""
+    """The proxy that a stream belongs to, from the `Node` of its first request."""
 
-    node: str
+    id: str
     zone: str
     request_rate: float | None  # requests per second that it expects
     fresh: bool
@@ -33,9 +33,9 @@
 
 @dataclass(frozen=True)
 class AdsRequest:
-    """A request of either form; a SotW one has `names`, a delta one has `subscribe` and `unsubscribe`."""
+    """A request of either variant; SotW uses `names`, delta `subscribe`, `unsubscribe` and `initial`."""
 
-    kind: str
+    type_url: str
     nonce: str = ""
     error: str | None = None
     names: tuple[str, ...] = ()
@@ -46,9 +46,9 @@
 
 @dataclass(frozen=True)
 class AdsResponse:
-    """A response of either form; `removed` is of the delta form only."""
+    """A response of either variant; only delta uses `removed`."""
 
-    kind: str
+    type_url: str
     version: str
     nonce: str
     resources: tuple[Resource, ...]
@@ -56,11 +56,17 @@
 
 
 def parse_node(node: Node, zones: tuple[str, ...]) -> ProxyNode:
-    """Read a node; one without id or of a zone that is not served is a `Violation`."""
+    """Return the proxy that a node describes.
+
+    Raises:
+        ProtocolViolationError: The node has no id, too long an id, or a zone that is not served.
+    """
     if not node.id:
         raise ProtocolViolationError("INVALID_ARGUMENT", "the first request carries no node id")
     if len(node.id) > 256:
-        raise ProtocolViolationError("INVALID_ARGUMENT", f"node id of {len(node.id)} characters; 256 at most")
+        raise ProtocolViolationError(
+            "INVALID_ARGUMENT", f"node id has {len(node.id)} characters, at most 256 are allowed"
+        )
     if node.locality.zone not in zones:
         raise ProtocolViolationError(
             "INVALID_ARGUMENT",
@@ -68,18 +74,22 @@
         )
     rate = node.metadata.fields["rate"].number_value if "rate" in node.metadata.fields else 0.0
     fresh = "fresh" not in node.metadata.fields or node.metadata.fields["fresh"].bool_value
-    known = rate if 0 < rate < 1e9 else None
-    return ProxyNode(node.id, node.locality.zone, known, fresh, frozenset(node.client_features))
+    request_rate = rate if 0 < rate < 1e9 else None
+    return ProxyNode(node.id, node.locality.zone, request_rate, fresh, frozenset(node.client_features))
 
 
 def decode(data: bytes, delta: bool) -> tuple[AdsRequest, Node]:
-    """Bytes of a request; the node may be empty after the first on a stream."""
+    """Decode a request; its node may be empty after the first request of a stream.
+
+    Raises:
+        ProtocolViolationError: The bytes are not a request of this variant.
+    """
     message = DeltaDiscoveryRequest() if delta else DiscoveryRequest()
     try:
         message.ParseFromString(data)
     except DecodeError:
         raise ProtocolViolationError(
-            "INVALID_ARGUMENT", f"{len(data)} bytes that are no {type(message).__name__}"
+            "INVALID_ARGUMENT", f"cannot decode {len(data)} bytes as {type(message).__name__}"
         ) from None
     error = message.error_detail.message[:500] if message.HasField("error_detail") else None
     if delta:
@@ -97,26 +107,34 @@
 
 
 @lru_cache(maxsize=1024)
-def _body(
-    kind: str, delta: bool, version: str, resources: tuple[Resource, ...], removed: tuple[str, ...]
+def _encode_without_nonce(
+    type_url: str, delta: bool, version: str, resources: tuple[Resource, ...], removed: tuple[str, ...]
 ) -> bytes:
-    """All of a response but its nonce: the same for every proxy of a group, so it is encoded once a push."""
+    """Encode all of a response but its nonce: the rest is equal for proxies with equal tables, and cached."""
     if not delta:
-        made = DiscoveryResponse(version_info=version, type_url=kind)
+        message = DiscoveryResponse(version_info=version, type_url=type_url)
         for resource in resources:
-            made.resources.add(type_url=resource.kind, value=resource.body)
-        return made.SerializeToString()
-    made = DeltaDiscoveryResponse(system_version_info=version, type_url=kind, removed_resources=removed)
+            message.resources.add(type_url=resource.type_url, value=resource.body)
+        return message.SerializeToString()
+    message = DeltaDiscoveryResponse(
+        system_version_info=version, type_url=type_url, removed_resources=removed
+    )
     for resource in resources:
-        added = made.resources.add(name=resource.name, version=resource.version)
-        added.resource.type_url, added.resource.value = resource.kind, resource.body
-    return made.SerializeToString()
+        added = message.resources.add(name=resource.name, version=resource.version)
+        added.resource.type_url, added.resource.value = resource.type_url, resource.body
+    return message.SerializeToString()
 
 
-def encode(reply: AdsResponse, delta: bool) -> bytes:
-    """Return the bytes of a response.
+def encode(response: AdsResponse, delta: bool) -> bytes:
+    """Encode a response.
 
-    Fields of a message may come in pieces and in any order (protobuf encoding page).
+    The nonce is encoded apart: fields of a message may come in pieces and in any order (protobuf encoding
+    page).
     """
-    nonce = DeltaDiscoveryResponse(nonce=reply.nonce) if delta else DiscoveryResponse(nonce=reply.nonce)
-    return _body(reply.kind, delta, reply.version, reply.resources, reply.removed) + nonce.SerializeToString()
+    nonce = DeltaDiscoveryResponse(nonce=response.nonce) if delta else DiscoveryResponse(nonce=response.nonce)
+    return (
+        _encode_without_nonce(
+            response.type_url, delta, response.version, response.resources, response.removed
+        )
+        + nonce.SerializeToString()
+    )
--- a/swiftchute/xds/resource_selection.py
+++ b/swiftchute/xds/resource_selection.py
@@ -1,4 +1,4 @@
-"""Chooses what a client should hold of a resource type: what is wanted, or what stands in for it."""
+"""Chooses what a client should hold of a resource type: the wanted resources, or substitutes for them."""
 
 from collections.abc import Collection, Iterable, Mapping
 
@@ -8,17 +8,17 @@
 
 
 class ResourceSelector:
-    """Chooses the resources of one stream; its flags say what the last choices held back."""
+    """Chooses the resources of one stream; its flags tell what the latest choices withheld."""
 
     def __init__(self, subscriptions: Mapping[str, Subscription], delta: bool, collections: bool) -> None:
-        """Choose for the subscriptions of a stream.
+        """Create a selector for the subscriptions of a stream.
 
         Args:
             subscriptions: By type URL.
             delta: Whether the stream uses incremental xDS.
-            collections: Whether the client takes endpoints one by one (LEDS).
+            collections: Whether the client takes entries as resources of their own (LEDS).
         """
-        self.unavailable: Collection[str] = frozenset()  # endpoints that drain or are removed
+        self.unavailable: Collection[str] = frozenset()  # draining or removed endpoints
         self.withheld = False  # something wanted is not sent because it was rejected
         self.retry_at_ns: int | None = None  # when a rejected resource may be sent again
         self._subscriptions = subscriptions
@@ -26,7 +26,7 @@
         self._collections = collections
 
     def reset(self) -> None:
-        """Clear the flags before the choices of another step."""
+        """Clear the flags before the choices of the next step."""
         self.withheld = False
         self.retry_at_ns = None
 
@@ -36,7 +36,7 @@
         if subscription.wildcard:
             return of_type.keys()
         if subscription.type_url == names.LEDS:
-            return [entry for name in subscription.names for entry in wanted.lines(name)]
+            return [entry for name in subscription.names for entry in wanted.entries(name)]
         return subscription.names & of_type.keys()
 
     def choose(
@@ -47,7 +47,7 @@
         Args:
             subscription: State of the type.
             wanted: Everything that the client should hold.
-            keep_held: Whether what it holds must stay until its new routes are acknowledged.
+            keep_held: Whether what the client holds must stay until it acknowledges its new routes.
             now_ns: Time of the choice.
         """
         of_type = wanted[subscription.type_url]
@@ -67,34 +67,34 @@
         return chosen
 
     def without_unavailable(self, subscription: Subscription, name: str) -> Resource | None:
-        """Return the table that the client holds less the unavailable endpoints.
+        """Return the table that the client holds without its unavailable endpoints.
 
-        Everything in it was accepted before, so it is the form least likely to be rejected, and a drain must
-        not wait behind a rejection. None if there is nothing to remove, nothing would be left, or this was
-        rejected too.
+        The client accepted everything in it before, so it is the least likely to be rejected, and a drain
+        must not wait because another version was rejected. None if there is nothing to remove, nothing would
+        be left, or this version was rejected too.
         """
         held = subscription.held.get(name)
-        if held is None or not held.lines:
+        if held is None or not held.entries:
             return None
-        entries = tuple(entry for entry in held.lines if entry[0] not in self.unavailable)
-        if not entries or len(entries) == len(held.lines):
+        entries = tuple(entry for entry in held.entries if entry[0] not in self.unavailable)
+        if not entries or len(entries) == len(held.entries):
             return None
-        reduced = assignment(name, entries, held.level)
+        reduced = assignment(name, entries, held.admission_rate)
         rejected = reduced.version in subscription.rejections[name].versions
         return None if rejected else reduced
 
     def _kept(self, subscription: Subscription) -> dict[str, Resource]:
-        """Return what is held; of entries, not those of unavailable endpoints unless a table had no other.
+        """Return what is held, without entries of unavailable endpoints unless a table has no others.
 
-        A client that rejects its new tables uses its old ones, perhaps of another instance: a drain must
-        reach it there, and the removal of an entry contains nothing that it could reject.
+        A client that rejects its new tables uses its old ones, perhaps those of another instance. A drain
+        must take effect there too, and the removal of an entry contains nothing that could be rejected.
         """
         if subscription.type_url != names.LEDS or not self.unavailable:
             return subscription.held
         kept: dict[str, Resource] = {}
         by_table: dict[str, dict[str, Resource]] = {}
         for name, resource in subscription.held.items():
-            parts = names.line_parts(name)
+            parts = names.parse_entry_name(name)
             if parts is None or parts[2] not in self.unavailable:
                 kept[name] = resource
             by_table.setdefault(parts[0] if parts else "", {})[name] = resource
@@ -105,16 +105,16 @@
         return kept
 
     def _alias(self, subscription: Subscription, name: str, wanted: Wanted) -> Resource | None:
-        """Return the client's own table under an old name that it still asks for, if it is a table's name.
+        """Return the client's current table under an old table name that it still asks for, or None.
 
-        A client that was moved, or comes from another instance, drops the old name once it holds its new
-        routes. Until then the old routes must lead somewhere, and drains must reach it.
+        A client that was moved to another table, or comes from another instance, drops the old name once it
+        holds its new routes. Until then its old routes need endpoints, and drains must take effect on them.
         """
         table = name.partition("/")[0].partition("~")[0]
         if subscription.type_url == names.CDS:
-            known = names.operation_of(name) in wanted[names.RDS] and names.is_table(table)
+            served = names.operation_of(name) in wanted[names.RDS] and names.is_table(table)
             # a delta client keeps a cluster until it is removed
-            return cluster(name, table) if known and not self._delta else None
+            return cluster(name, table) if served and not self._delta else None
         if subscription.type_url != names.EDS or self._collections or not names.is_table(name):
             return None
         return self._aliased_assignment(name, table, wanted)
@@ -129,15 +129,15 @@
         ]
         for route in [routes[op] for op in operations if op in routes] or routes.values():
             for _, cluster_name in route.refs:
-                made = wanted[names.CDS][cluster_name]
-                current = wanted[names.EDS][made.refs[0][1]]
-                return assignment(name, current.lines, current.level)
+                current_cluster = wanted[names.CDS][cluster_name]
+                current = wanted[names.EDS][current_cluster.refs[0][1]]
+                return assignment(name, current.entries, current.admission_rate)
         return None
 
     def _substitute(
         self, subscription: Subscription, name: str, wanted: Resource, now_ns: int
     ) -> Resource | None:
-        """Return what to send for a resource of which the client rejected a version: never the same again."""
+        """Return what to send for a resource with rejected versions; none of those is sent again."""
         rejections = subscription.rejections[name]
         if wanted.version not in rejections.versions:
             if now_ns >= rejections.retry_at_ns:
--- a/swiftchute/xds/resources.py
+++ b/swiftchute/xds/resources.py
@@ -2,12 +2,12 @@
 
 `Translator(settings).wanted(tables, ejected, collections)` returns all resources that a proxy with these
 tables should hold, as {type URL: {name: Resource}}. Resources are immutable and shared: a table's content is
-encoded once a change, however many proxies hold it.
+encoded once per change, however many proxies hold it.
 
-An entry of a table is a locality of its own (zone, and the endpoint as sub-zone), with the entry's weight as
-the locality's: clients that pick localities by weight then follow the table exactly, whatever their policy
-for endpoints within one, and load reports, which every client makes by locality, tell endpoints apart. A
-client that takes endpoints one by one (LEDS) is given a locality a zone, with a collection of entries.
+An entry of a table is a locality of its own (zone, and the endpoint as sub-zone) that has the entry's weight.
+Clients that pick localities by weight then follow the table exactly, whatever policy they apply within a
+locality, and load reports, which every client makes by locality, distinguish endpoints. A client that takes
+entries as resources of their own (LEDS) gets one locality per zone, with a collection of entries.
 """
 
 from collections.abc import Collection, Iterable
@@ -53,13 +53,13 @@
 from swiftchute.controller.table_contents import ProxyTables, TableContent, TableEntry
 from swiftchute.xds import names
 
-WEIGHT_UNIT = 10_000  # the module's weights have four decimals; xDS takes whole numbers of 1 or more
-WEIGHT_SUM = 2**32 - 1  # the weights of a priority may not add up to more (endpoint_components.proto)
+WEIGHT_SCALE = 10_000  # the policy's weights have four decimals; xDS weights are integers of 1 or more
+MAX_WEIGHT_SUM = 2**32 - 1  # most for the weights of a priority (endpoint_components.proto)
 MILLION = 1_000_000
-LEVEL_CATEGORY = "level"
-# retry policies as conditions and counts (route_components.proto, retry_on): 1 retries only attempts that
-# provably never ran
-_RETRIES = {
+ADMISSION_CATEGORY = "level"
+# Conditions and counts of retries by retry policy (route_components.proto, retry_on). Policy 1 retries only
+# attempts that certainly did not run.
+_RETRY_POLICIES = {
     0: ("", 0),
     1: ("refused-stream,connect-failure", 1),
     2: ("5xx,reset,connect-failure,unavailable", 1),
@@ -69,148 +69,154 @@
 
 @dataclass(frozen=True, eq=False)
 class Resource:
-    """One resource: its packed bytes, a version that is a hash of them, and what it names of other types."""
+    """One resource: its encoded bytes, their hash as version, and the resources that it refers to."""
 
-    kind: str
+    type_url: str
     name: str
     body: bytes
     version: str
-    refs: tuple[tuple[str, str], ...] = ()
-    lines: tuple[
+    refs: tuple[tuple[str, str], ...] = ()  # type URL and name
+    entries: tuple[
         TableEntry, ...
-    ] = ()  # EDS given whole: what it was made of, so that a part of it can be sent
-    level: float = 1.0
+    ] = ()  # EDS with inline endpoints: the source entries, from which a reduced resource can be made
+    admission_rate: float = 1.0
 
 
 class Wanted(dict[str, dict[str, Resource]]):
-    """All that a proxy should have, by type URL and name; shared by all proxies with the same holding."""
+    """All resources that a proxy should hold, by type URL and name; shared by proxies with equal tables."""
 
     def __init__(self) -> None:
-        """Empty of every type."""
-        super().__init__({kind: {} for kind in names.ORDER})
-        self.globs: dict[str, dict[str, Resource]] = {}
-
-    def lines(self, name: str) -> dict[str, Resource]:
-        """The lines of a collection, or the one line of this name."""
-        if name not in self.globs:
-            held = self[names.LEDS]
-            inner = (
-                {n: r for n, r in held.items() if n.startswith(name[:-1])} if name.endswith("/*") else None
+        """Start without resources of any type."""
+        super().__init__({type_url: {} for type_url in names.ORDER})
+        self.collections: dict[str, dict[str, Resource]] = {}
+
+    def entries(self, name: str) -> dict[str, Resource]:
+        """The entries of a collection, or the one entry of this name."""
+        if name not in self.collections:
+            entries = self[names.LEDS]
+            members = (
+                {n: r for n, r in entries.items() if n.startswith(name[:-1])} if name.endswith("/*") else None
             )
-            self.globs[name] = {n: held[n] for n in (name,) if n in held} if inner is None else inner
-        return self.globs[name]
+            self.collections[name] = (
+                {n: entries[n] for n in (name,) if n in entries} if members is None else members
+            )
+        return self.collections[name]
 
 
-def _resource(
-    kind: str,
+def _make_resource(
+    type_url: str,
     name: str,
     message: Message,
     refs: Iterable[tuple[str, str]] = (),
-    lines: tuple[TableEntry, ...] = (),
-    level: float = 1.0,
+    entries: tuple[TableEntry, ...] = (),
+    admission_rate: float = 1.0,
 ) -> Resource:
     body = message.SerializeToString(deterministic=True)
     version = xxhash.xxh3_64_hexdigest(body)
-    return Resource(kind, name, body, version, tuple(refs), lines, level)
+    return Resource(type_url, name, body, version, tuple(refs), entries, admission_rate)
 
 
-def whole_weights(lines: Iterable[TableEntry]) -> list[int]:
-    """Weights as whole numbers of 1 or more whose sum the protocol takes: no line is rounded away."""
-    weights = [weight * WEIGHT_UNIT for _, _, weight in lines]
-    over = sum(weights) / (WEIGHT_SUM - len(weights)) if weights else 0
-    return [max(1, int(w / over) if over > 1 else round(w)) for w in weights]
+def integer_weights(entries: Iterable[TableEntry]) -> list[int]:
+    """Return weights as integers of 1 or more within the sum that xDS allows: no entry is rounded to zero."""
+    weights = [weight * WEIGHT_SCALE for _, _, weight in entries]
+    excess_ratio = sum(weights) / (MAX_WEIGHT_SUM - len(weights)) if weights else 0
+    return [max(1, int(w / excess_ratio) if excess_ratio > 1 else round(w)) for w in weights]
 
 
-def _endpoint(server: str, weight: int, draining: bool = False) -> LbEndpoint:
-    host, _, port = server.rpartition(":")
-    at = Address(socket_address=SocketAddress(address=host.strip("[]"), port_value=int(port)))
-    made = LbEndpoint(endpoint=Endpoint(address=at), load_balancing_weight=UInt32Value(value=weight))
+def _lb_endpoint(endpoint: str, weight: int, draining: bool = False) -> LbEndpoint:
+    host, _, port = endpoint.rpartition(":")
+    address = Address(socket_address=SocketAddress(address=host.strip("[]"), port_value=int(port)))
+    message = LbEndpoint(endpoint=Endpoint(address=address), load_balancing_weight=UInt32Value(value=weight))
     if draining:
-        made.health_status = DRAINING
-    return made
+        message.health_status = DRAINING
+    return message
 
 
-def assignment(name: str, lines: tuple[TableEntry, ...], level: float) -> Resource:
-    """A table given whole: a locality a line."""
-    made = ClusterLoadAssignment(cluster_name=name)
-    for (server, zone, _), weight in zip(lines, whole_weights(lines), strict=True):
-        made.endpoints.append(
+def assignment(name: str, entries: tuple[TableEntry, ...], admission_rate: float) -> Resource:
+    """A table with inline endpoints: one locality per entry."""
+    message = ClusterLoadAssignment(cluster_name=name)
+    for (endpoint, zone, _), weight in zip(entries, integer_weights(entries), strict=True):
+        message.endpoints.append(
             LocalityLbEndpoints(
-                locality=Locality(zone=zone, sub_zone=server),
+                locality=Locality(zone=zone, sub_zone=endpoint),
                 load_balancing_weight=UInt32Value(value=weight),
-                lb_endpoints=[_endpoint(server, weight)],
+                lb_endpoints=[_lb_endpoint(endpoint, weight)],
             )
         )
-    _set_admission_rate(made, level)
-    return _resource(names.EDS, name, made, lines=lines, level=level)
+    _set_admission_rate(message, admission_rate)
+    return _make_resource(names.EDS, name, message, entries=entries, admission_rate=admission_rate)
 
 
-def _set_admission_rate(made: ClusterLoadAssignment, level: float) -> None:
-    if level < 1:
-        share = FractionalPercent(numerator=round((1 - max(level, 0)) * MILLION), denominator="MILLION")
-        made.policy.drop_overloads.add(category=LEVEL_CATEGORY, drop_percentage=share)
+def _set_admission_rate(message: ClusterLoadAssignment, admission_rate: float) -> None:
+    if admission_rate < 1:
+        drop_share = FractionalPercent(
+            numerator=round((1 - max(admission_rate, 0)) * MILLION), denominator="MILLION"
+        )
+        message.policy.drop_overloads.add(category=ADMISSION_CATEGORY, drop_percentage=drop_share)
 
 
 @lru_cache(maxsize=65_536)
 def cluster(name: str, service: str) -> Resource:
-    """The cluster of an operation on a table: its lines come by EDS, under the table's name."""
-    made = Cluster(
+    """The cluster of an operation on a table; its endpoints come by EDS, under the service name."""
+    message = Cluster(
         name=name,
         type="EDS",
         lb_policy="ROUND_ROBIN",
         lrs_server=ConfigSource(self={}, resource_api_version="V3"),
         eds_cluster_config=Cluster.EdsClusterConfig(eds_config=_ads(), service_name=service),
     )
-    made.common_lb_config.locality_weighted_lb_config.SetInParent()
-    return _resource(names.CDS, name, made, [(names.EDS, service)])
+    message.common_lb_config.locality_weighted_lb_config.SetInParent()
+    return _make_resource(names.CDS, name, message, [(names.EDS, service)])
 
 
 @lru_cache(maxsize=65_536)
-def entry(name: str, server: str, weight: int) -> Resource:
-    """One line of a table, for clients that take them one by one."""
-    return _resource(names.LEDS, name, _endpoint(server, weight))
+def entry(name: str, endpoint: str, weight: int) -> Resource:
+    """One entry of a table, for clients that take entries as resources of their own."""
+    return _make_resource(names.LEDS, name, _lb_endpoint(endpoint, weight))
 
 
-def collection_assignment(name: str, lines: tuple[TableEntry, ...], level: float) -> Resource:
-    """A table whose lines come one by one: a locality a zone, with a glob collection of lines."""
-    made, refs = ClusterLoadAssignment(cluster_name=name), []
+def collection_assignment(name: str, entries: tuple[TableEntry, ...], admission_rate: float) -> Resource:
+    """A table without inline endpoints: one locality per zone, with a glob collection of entries."""
+    message, refs = ClusterLoadAssignment(cluster_name=name), []
     table = name.partition("~")[0]
-    for zone in sorted({zone for _, zone, _ in lines}):
-        glob = names.collection(table, zone)
-        refs.append((names.LEDS, glob))
-        by_line = LedsClusterLocalityConfig(leds_config=_ads(), leds_collection_name=glob)
-        made.endpoints.append(
+    for zone in sorted({zone for _, zone, _ in entries}):
+        collection_name = names.collection(table, zone)
+        refs.append((names.LEDS, collection_name))
+        leds_config = LedsClusterLocalityConfig(leds_config=_ads(), leds_collection_name=collection_name)
+        message.endpoints.append(
             LocalityLbEndpoints(
                 locality=Locality(zone=zone),
                 load_balancing_weight=UInt32Value(value=1),
-                leds_cluster_locality_config=by_line,
+                leds_cluster_locality_config=leds_config,
             )
         )
-    _set_admission_rate(made, level)
-    return _resource(names.EDS, name, made, refs, level=level)
+    _set_admission_rate(message, admission_rate)
+    return _make_resource(names.EDS, name, message, refs, admission_rate=admission_rate)
 
 
 @lru_cache(maxsize=64)
-def ejections(servers: frozenset[str]) -> Resource:
-    """The servers shut out for proxies that are not bound, each DRAINING: a table that only takes away."""
-    made = ClusterLoadAssignment(cluster_name=names.WITHDRAWN)
-    made.endpoints.append(LocalityLbEndpoints(lb_endpoints=[_endpoint(s, 1, True) for s in sorted(servers)]))
-    return _resource(names.EDS, names.WITHDRAWN, made)
+def ejections(endpoints: frozenset[str]) -> Resource:
+    """The ejected endpoints, each DRAINING, for proxies without tables of this instance: it only removes."""
+    message = ClusterLoadAssignment(cluster_name=names.WITHDRAWN)
+    message.endpoints.append(
+        LocalityLbEndpoints(lb_endpoints=[_lb_endpoint(endpoint, 1, True) for endpoint in sorted(endpoints)])
+    )
+    return _make_resource(names.EDS, names.WITHDRAWN, message)
 
 
 def _ads() -> ConfigSource:
     return ConfigSource(ads=AggregatedConfigSource(), resource_api_version="V3")
 
 
-def _seconds(nanoseconds: int) -> Duration:
+def _duration(nanoseconds: int) -> Duration:
     return Duration(seconds=nanoseconds // 10**9, nanos=nanoseconds % 10**9)
 
 
 class Translator:
-    """Builds resources for one planner; keeps what it built of a table until the table's next change."""
+    """Builds the resources of one instance; caches those of a table until the table changes."""
 
     def __init__(self, settings: Settings) -> None:
-        """Start without resources; operations and their time-outs come from the settings."""
+        """Create a translator for the operations of the settings, with their time-outs."""
         self._settings = settings
         self._listeners = {op.name: self._listener(op.name) for op in settings.operations}
         self._operation_index = {op.name: index for index, op in enumerate(settings.operations)}
@@ -225,22 +231,22 @@
             http_filters=[HttpFilter(name="router", typed_config=_pack(Router()))],
         )
         listener = Listener(name=name, api_listener=ApiListener(api_listener=_pack(manager)))
-        return _resource(names.LDS, name, listener, [(names.RDS, name)])
+        return _make_resource(names.LDS, name, listener, [(names.RDS, name)])
 
-    def _route(self, op: Operation, cluster: str, tries: int) -> Resource:
-        key = (op.name, cluster, tries)
+    def _route(self, op: Operation, cluster: str, retry_policy: int) -> Resource:
+        key = (op.name, cluster, retry_policy)
         if key not in self._routes:
-            action = RouteAction(cluster=cluster, timeout=_seconds(op.timeout_ns))
-            self._set_retry_policy(action, op, tries)
+            action = RouteAction(cluster=cluster, timeout=_duration(op.timeout_ns))
+            self._set_retry_policy(action, op, retry_policy)
             host = VirtualHost(
                 name=op.name, domains=["*"], routes=[Route(match=RouteMatch(prefix=""), route=action)]
             )
-            made = RouteConfiguration(name=op.name, virtual_hosts=[host])
-            self._routes[key] = _resource(names.RDS, op.name, made, [(names.CDS, cluster)])
+            message = RouteConfiguration(name=op.name, virtual_hosts=[host])
+            self._routes[key] = _make_resource(names.RDS, op.name, message, [(names.CDS, cluster)])
         return self._routes[key]
 
     def _set_retry_policy(self, action: RouteAction, op: Operation, retry_policy: int) -> None:
-        conditions, count = _RETRIES[retry_policy]
+        conditions, count = _RETRY_POLICIES[retry_policy]
         if not count:
             return
         timeout_ns = int(self._settings.attempt_timeout_objectives * op.latency_objective_ns)
@@ -248,7 +254,7 @@
             RetryPolicy(
                 retry_on=conditions,
                 num_retries=UInt32Value(value=count),
-                per_try_timeout=_seconds(timeout_ns) if retry_policy > 1 else None,
+                per_try_timeout=_duration(timeout_ns) if retry_policy > 1 else None,
             )
         )
 
@@ -260,28 +266,28 @@
         Args:
             table: Name of the table.
             content: Its content.
-            collections: Whether endpoints are resources of their own.
-            baseline: Whether it is for proxies that a canary keeps at the version before.
+            collections: Whether entries are resources of their own (LEDS).
+            baseline: Whether it is for proxies that a canary keeps at the previous version.
         """
         cached = self._tables.get((table, collections, baseline))
         if cached is not None and cached[0] is content:
             return cached[1]
-        made: dict[str, dict[str, Resource]] = {names.EDS: {}, names.LEDS: {}}
-        make = collection_assignment if collections else assignment
-        for index, (level, _) in enumerate(content.admission):
+        built: dict[str, dict[str, Resource]] = {names.EDS: {}, names.LEDS: {}}
+        make_assignment = collection_assignment if collections else assignment
+        for index, (admission_rate, _) in enumerate(content.admission):
             name = self._service_name(table, content, index)
-            if name not in made[names.EDS]:
-                made[names.EDS][name] = make(name, content.entries, level)
+            if name not in built[names.EDS]:
+                built[names.EDS][name] = make_assignment(name, content.entries, admission_rate)
         if collections:
-            weights = whole_weights(content.entries)
+            weights = integer_weights(content.entries)
             for (endpoint, zone, _), weight in zip(content.entries, weights, strict=True):
                 name = names.entry_name(table, zone, endpoint)
-                made[names.LEDS][name] = entry(name, endpoint, weight)
-        self._tables[table, collections, baseline] = (content, made)
-        return made
+                built[names.LEDS][name] = entry(name, endpoint, weight)
+        self._tables[table, collections, baseline] = (content, built)
+        return built
 
     def _service_name(self, table: str, content: TableContent, index: int) -> str:
-        """Return the EDS name of an operation: one of its own where its admission rate is."""
+        """Return the EDS name of an operation: its own if its admission rate is not the first operation's."""
         own = content.admission[index][0] != content.admission[0][0]
         return f"{table}~{self._settings.operations[index].name}" if own else table
 
@@ -289,9 +295,9 @@
         """Return everything that a proxy should hold; the same object for the same tables.
 
         Args:
-            tables: Tables of the proxy; without any it is sent the ejected endpoints alone.
+            tables: Tables of the proxy; without any, it gets the ejected endpoints alone.
             ejected: Endpoints that no proxy may use.
-            collections: Whether endpoints are resources of their own.
+            collections: Whether entries are resources of their own (LEDS).
         """
         if not tables.tables_by_operation:
             return _only_ejections(frozenset(ejected))
@@ -299,14 +305,14 @@
         cached = self._wanted.get(key)
         if cached is not None and cached[0] is tables:
             return cached[1]
-        made = _only_ejections(frozenset())
+        wanted = _only_ejections(frozenset())
         for operation, table in tables.tables_by_operation:
-            self._add_operation(made, tables, operation, table, collections)
+            self._add_operation(wanted, tables, operation, table, collections)
         if cached is not None:
-            # types in which nothing changed stay the same object, so that streams skip them
-            made.update({kind: old for kind, old in cached[1].items() if old == made[kind]})
-        self._wanted[key] = (tables, made)
-        return made
+            # an unchanged type keeps its object, so that streams skip it
+            wanted.update({type_url: old for type_url, old in cached[1].items() if old == wanted[type_url]})
+        self._wanted[key] = (tables, wanted)
+        return wanted
 
     def _add_operation(
         self, wanted: Wanted, tables: ProxyTables, operation: str, table: str, collections: bool
@@ -315,8 +321,8 @@
         cluster_name = names.cluster_name(table, operation)
         wanted[names.CDS][cluster_name] = cluster(cluster_name, self._service_name(table, content, index))
         built = self.table(table, content, collections, table in tables.baseline_tables)
-        for kind in (names.EDS, names.LEDS):
-            wanted[kind] |= built[kind]
+        for type_url in (names.EDS, names.LEDS):
+            wanted[type_url] |= built[type_url]
         wanted[names.LDS][operation] = self._listeners[operation]
         retry_policy = content.admission[index][1]
         route = self._route(self._settings.operations[index], cluster_name, retry_policy)
--- a/swiftchute/xds/server.py
+++ b/swiftchute/xds/server.py
@@ -1,7 +1,8 @@
-"""The gRPC server of the xDS frontend: bytes between sockets and the frontend's state machines.
+"""The gRPC server of the xDS frontend: passes messages between sockets and the frontend's state machines.
 
-A stream has one writer, which waits on its client's flow-control window alone. What is queued for it is
-bounded by the state machine (one response a type), and a client that does not read in time is disconnected.
+Each stream has its own writer, which waits for nothing but its client's flow-control window. Its queue is
+bounded by the state machine (one pending response per type), and a client that does not read in time is
+disconnected.
 """
 
 import asyncio
@@ -25,7 +26,7 @@
 SECOND_NS = 1_000_000_000
 ADS = "/envoy.service.discovery.v3.AggregatedDiscoveryService/"
 LRS = "/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats"
-MAX_QUEUED_RESPONSES = 64  # for a client's window: five types, each with a few replaced ones
+MAX_QUEUED_RESPONSES = 64  # for a client's window: five types, each with a few superseded responses
 STOP_TIMEOUT_S = 2
 CONNECTION_WINDOW_BYTES = 2**20
 STREAM_WINDOW_BYTES = 2**18
@@ -40,7 +41,7 @@
 
 
 class _OpenStream(NamedTuple):
-    """What the writer of a stream sends, in order."""
+    """An open stream with the queue of its writer."""
 
     queue: "asyncio.Queue[bytes | _Termination]"
     delta: bool
@@ -62,11 +63,11 @@
 
         Args:
             frontend: The state machines.
-            settings: Zones, operations and the interval of load reports.
+            settings: Source of zones, operations and the interval of load reports.
             options: The `xds` block of the settings file.
-            request_round: Asks for a round of the controller.
+            request_round: Schedules a round of the controller.
             clock: Returns the time in nanoseconds.
-            log: Where refused streams are logged.
+            log: Logger for rejected streams and clients that do not read.
         """
         self.sent_bytes = 0
         self.sent_messages = 0
@@ -83,12 +84,12 @@
         self._stream_ids = itertools.count(1)
         self._streams: dict[int, _OpenStream] = {}
         self._server: AbortableServer | None = None
-        self._unidentified_streams = 0  # that have not named their node
-        self._report_streams: dict[str, int] = {}  # by node, the newest
+        self._unidentified_streams = 0  # whose node is not known yet
+        self._report_streams: dict[str, int] = {}  # newest stream id by node
 
     @property
     def rejected_connections(self) -> int:
-        """Connections past the limit, since the start."""
+        """Number of connections rejected at the limit since the start."""
         return self._server.rejected_connections if self._server else 0
 
     def __mapping__(self) -> dict[str, Handler]:
@@ -120,7 +121,7 @@
         self._server.close()
         with contextlib.suppress(asyncio.TimeoutError):
             await asyncio.wait_for(self._server.wait_closed(), STOP_TIMEOUT_S)
-        # a client would open its next stream on a connection that nobody serves
+        # on a connection left open, a client would open its next stream, which would not be served
         self._server.abort_connections()
 
     def send(self, output: FrontendOutput) -> None:
@@ -140,12 +141,12 @@
 
     @staticmethod
     def _enqueue(stream: _OpenStream, item: bytes | _Termination) -> None:
-        """Queue an item; past the limit the stream is ended with the reason."""
+        """Queue an item; if the queue is full, drop its items and end the stream with the cause."""
         queue = stream.queue
         if queue.full():
             while not queue.empty():
                 queue.get_nowait()
-            item = _Termination("RESOURCE_EXHAUSTED", f"{MAX_QUEUED_RESPONSES} replies unread")
+            item = _Termination("RESOURCE_EXHAUSTED", f"{MAX_QUEUED_RESPONSES} responses not read")
         queue.put_nowait(item)
 
     async def _serve_sotw(self, stream: Stream) -> None:
@@ -155,15 +156,17 @@
         await self._serve_ads(stream, True)
 
     async def _receive_first(self, stream: Stream) -> bytes | None:
-        """Return the first message of a stream; silent streams are bounded in number and time."""
+        """Return the first message of a stream; streams that wait for it are limited in number and time."""
         if self._unidentified_streams >= self._max_streams:
-            raise ProtocolViolationError("RESOURCE_EXHAUSTED", "too many streams without a node")
+            raise ProtocolViolationError(
+                "RESOURCE_EXHAUSTED", f"{self._max_streams} streams without a request, the maximum"
+            )
         self._unidentified_streams += 1
         try:
             async with asyncio.timeout(self._read_timeout_s):
                 return await receive(stream, self._max_message_bytes)
         except TimeoutError:
-            raise ProtocolViolationError("DEADLINE_EXCEEDED", "no first request") from None
+            raise ProtocolViolationError("DEADLINE_EXCEEDED", "first request not received in time") from None
         finally:
             self._unidentified_streams -= 1
 
@@ -191,7 +194,7 @@
         except (StreamTerminatedError, ConnectionError, AssertionError) as error:
             cause = f"the stream broke: {error or type(error).__name__}"
         except asyncio.CancelledError:
-            termination = _result(writer)
+            termination = _final_status(writer)
             cause = termination.text if termination else "the connection closed"
             if termination:
                 raise GRPCError(Status[termination.status], termination.text) from None
@@ -211,7 +214,7 @@
         return asyncio.ensure_future(self._write(stream_id, opened, stream, asyncio.current_task()))
 
     async def _write(self, stream_id: int, opened: _OpenStream, stream: Stream, reader: Any) -> _Termination:
-        """Write what is queued; return the status that the stream ends with and stop its reader."""
+        """Send what is queued until the stream has to end; cancel its reader and return the final status."""
         end = _Termination("UNAVAILABLE", "the stream broke")
         try:
             while True:
@@ -222,10 +225,10 @@
                 async with asyncio.timeout(self._read_timeout_s):
                     await stream.send_message(item)
         except TimeoutError:
-            end = _Termination("DEADLINE_EXCEEDED", f"nothing read for {self._read_timeout_s:g} s")
+            end = _Termination("DEADLINE_EXCEEDED", f"client read nothing for {self._read_timeout_s:g} s")
             self._log.warning("proxy does not read", stream=stream_id, cause=end.text)
         except (StreamTerminatedError, ConnectionError, RuntimeError) as error:
-            # uvloop reports a closed transport by RuntimeError; the reader ends by the same loss
+            # uvloop raises RuntimeError on a closed transport; the reader ends for the same cause
             end = _Termination("UNAVAILABLE", f"the stream broke: {error}")
         reader.cancel()
         return end
@@ -237,7 +240,7 @@
             if data is None:
                 return
             report, sender = load_reports.decode(data, self._operations)
-            node = messages.parse_node(sender, self._settings.zones).node
+            node = messages.parse_node(sender, self._settings.zones).id
             stream_id = next(self._stream_ids)
             self._open_report_stream(node, stream_id)
             await stream.send_message(load_reports.encode_response(self._settings.report_interval_ns))
@@ -258,15 +261,15 @@
                 del self._report_streams[node]
 
     def _open_report_stream(self, node: str, stream_id: int) -> None:
-        """Let a node report on its newest stream alone."""
+        """Accept a report stream; an older stream of the same node will be ended."""
         if node not in self._report_streams and len(self._report_streams) >= self._max_streams:
-            text = f"{len(self._report_streams)} report streams are open"
+            text = f"{len(self._report_streams)} report streams are open, the maximum"
             raise ProtocolViolationError("RESOURCE_EXHAUSTED", text)
         self._report_streams[node] = stream_id
 
 
-def _result(writer: "asyncio.Task[_Termination] | None") -> _Termination | None:
-    """Return the status that a writer ended its stream with, if it did."""
+def _final_status(writer: "asyncio.Task[_Termination] | None") -> _Termination | None:
+    """Return the status with which a writer ended its stream, if it did."""
     if writer is None or not writer.done() or writer.cancelled():
         return None
     return writer.result()
--- a/swiftchute/xds/stream.py
+++ b/swiftchute/xds/stream.py
@@ -1,4 +1,4 @@
-"""One ADS stream, SotW or delta, without I/O: requests and wanted resources in, responses and events out.
+"""The protocol state of one ADS stream, SotW or delta, without I/O.
 
     stream = AdsStream(delta=True, token="3", seed=7)
     stream.set_wanted(wanted, version="0/4/17", nonce=12, now_ns=now)
@@ -6,7 +6,7 @@
     responses, events = stream.advance(now)
 
 Call `advance` after each `on_request` and `set_wanted`, and at `retry_at_ns`. A type has at most one pending
-response; what changes meanwhile is part of the next one.
+response; changes that come meanwhile are merged into the next one.
 """
 
 import operator
@@ -23,26 +23,26 @@
 
 @dataclass(frozen=True)
 class Acknowledged:
-    """Everything up to this nonce of the controller is acknowledged."""
+    """The client holds everything up to this nonce of the controller."""
 
     nonce: int
 
 
 @dataclass(frozen=True)
 class Rejected:
-    """A NACK: the resources of the response, the client's words, and what is done about it."""
+    """A NACK: the changed resources of the response, the client's error text, and how the stream reacts."""
 
-    kind: str  # type URL
+    type_url: str
     names: tuple[str, ...]
     detail: str
-    answer: str  # "apart": sent one by one; "part": less the unavailable endpoints; "kept": stays as it is
+    answer: str  # "apart": sent one by one; "part": sent without unavailable endpoints; "kept": not sent
 
 
 @dataclass(frozen=True)
 class StaleRequest:
-    """An answer to a response that was replaced or never made; ignored."""
+    """An answer to a superseded or unknown response; it is ignored."""
 
-    kind: str  # type URL
+    type_url: str
     nonce: str
 
 
@@ -54,35 +54,35 @@
     """The state of one stream."""
 
     def __init__(self, delta: bool, token: str, seed: int, collections: bool = False) -> None:
-        """Nothing is wanted and nothing was requested.
+        """Start without wanted resources and subscriptions.
 
         Args:
-            delta: Whether it is incremental xDS.
-            token: Makes its nonces differ from those of other streams.
-            seed: Seed of the jitter of retries.
-            collections: Whether the client takes endpoints one by one (LEDS).
+            delta: Whether the stream uses incremental xDS.
+            token: Prefix of its nonces, unique among streams.
+            seed: Seed of the retry jitter.
+            collections: Whether the client takes entries as resources of their own (LEDS).
         """
         self.collections = collections
         self.subscriptions = {url: Subscription(url) for url in names.ORDER}
         self.wanted: Wanted | None = None
         self.unserved_requests = 0  # for types that are not served
-        self.unanswered_since_ns: int | None = None
+        self.unsettled_since_ns: int | None = None  # since when the client may lack something wanted
         self._delta = delta
         self._token = token
         self._random = random.Random(seed)
         self._selector = ResourceSelector(self.subscriptions, delta, collections)
         self._version = ""
-        self._nonces: list[int] = []  # of the controller, not acknowledged
+        self._nonces: list[int] = []  # the controller's, not yet acknowledged
         self._response_count = 0
 
     @property
     def retry_at_ns(self) -> int | None:
-        """When a rejected resource may be sent again, if one is held back."""
+        """When another version of a rejected resource may be sent, if one is withheld."""
         return self._selector.retry_at_ns
 
     @property
     def unavailable(self) -> Collection[str]:
-        """Endpoints that drain or are removed, whatever tables say."""
+        """Draining or removed endpoints, even if tables still have them."""
         return self._selector.unavailable
 
     @unavailable.setter
@@ -90,7 +90,7 @@
         self._selector.unavailable = endpoints
 
     def oldest_pending_ns(self) -> int | None:
-        """Return since when the oldest pending response is unanswered."""
+        """Return when the oldest pending response was made, or None."""
         pending = (s.pending.since_ns for s in self.subscriptions.values() if s.pending)
         return min(pending, default=None)
 
@@ -100,28 +100,28 @@
         Args:
             wanted: All resources.
             version: Version of the publication.
-            nonce: The controller's nonce that an acknowledgement answers, if it asked for one.
+            nonce: The controller's nonce, reported back once everything is held, if it asked for that.
             now_ns: Time of the publication.
         """
         self.wanted, self._version = wanted, version
         if nonce is not None:
             self._nonces.append(nonce)
-        if self.unanswered_since_ns is None:
-            self.unanswered_since_ns = now_ns
+        if self.unsettled_since_ns is None:
+            self.unsettled_since_ns = now_ns
 
     def on_request(self, request: AdsRequest, now_ns: int) -> list[StreamEvent]:
         """Handle a request.
 
         Raises:
-            ProtocolViolationError: The stream must end.
+            ProtocolViolationError: The request is invalid, and the stream must end.
         """
-        subscription = self.subscriptions.get(request.kind)
-        if subscription is None:  # the protocol answers no type that is not served
+        subscription = self.subscriptions.get(request.type_url)
+        if subscription is None:  # xDS: requests for types that are not served get no response
             self.unserved_requests += 1
             return []
         subscription.request_count += 1
-        if self.unanswered_since_ns is None:
-            self.unanswered_since_ns = now_ns
+        if self.unsettled_since_ns is None:
+            self.unsettled_since_ns = now_ns
         if self._delta:
             return self._on_delta_request(subscription, request, now_ns)
         return self._on_sotw_request(subscription, request, now_ns)
@@ -131,7 +131,7 @@
     ) -> list[StreamEvent]:
         if request.nonce and request.nonce != subscription.last_nonce:
             # The client will answer the newest response with the names that it wants then; an ACK of an older
-            # one must not count for the newest.
+            # response must not count for the newest.
             return [StaleRequest(subscription.type_url, request.nonce)]
         events: list[StreamEvent] = []
         if subscription.pending and request.nonce:
@@ -148,7 +148,7 @@
                 events = self._on_answer(subscription, request, now_ns)
             else:
                 events = [StaleRequest(subscription.type_url, request.nonce)]
-        # Names change with every request, a stale one too: they are given once and not repeated.
+        # Apply the names of stale requests too: a delta client sends each change of names only once.
         subscription.update_delta(request)
         return events
 
@@ -174,7 +174,7 @@
     def _on_nack(
         self, subscription: Subscription, changed: dict[str, Resource], error: str, now_ns: int
     ) -> Rejected:
-        """Leave what was held in force, and find a form that the client accepts."""
+        """Keep what the client holds, and decide what to send instead of the rejected resources."""
         if len(changed) > 1:
             subscription.isolated |= changed.keys()
             return Rejected(subscription.type_url, tuple(sorted(changed)), error, "apart")
@@ -186,7 +186,7 @@
         return Rejected(subscription.type_url, tuple(changed), error, "part" if reducible else "kept")
 
     def advance(self, now_ns: int) -> tuple[list[AdsResponse], list[StreamEvent]]:
-        """Return the responses that may be sent now, and what became of nonces."""
+        """Return the responses that may be sent now, and an acknowledgement if everything is held."""
         self._selector.reset()
         if self.wanted is None:
             return [], []
@@ -194,7 +194,7 @@
         pending = any(subscription.pending for subscription in self.subscriptions.values())
         if responses or pending or not self._is_settled(self.wanted):
             return responses, []
-        self.unanswered_since_ns = None
+        self.unsettled_since_ns = None
         events: list[StreamEvent] = [Acknowledged(self._nonces[-1])] if self._nonces else []
         self._nonces = []
         return [], events
@@ -207,7 +207,7 @@
             if not subscription.requested or subscription.pending is not None:
                 continue
             clusters = self.subscriptions[names.CDS].request_count
-            # with the same inputs there is still nothing to send
+            # skip a type that had nothing to send for the same inputs
             basis = (wanted[url], self.unavailable, subscription.request_count, clusters, keep_held)
             idle = subscription.idle_basis
             if not subscription.rejections and idle and all(map(operator.is_, basis, idle)):
@@ -224,9 +224,9 @@
         self, subscription: Subscription, wanted: Wanted, chosen: dict[str, Resource], now_ns: int
     ) -> AdsResponse | None:
         assigned = bool(wanted[names.LDS])
-        whole_state = not self._delta and subscription.type_url in names.FULL_STATE_TYPES
-        if whole_state and not assigned:
-            return None  # an empty whole state would tell the client that nothing exists
+        full_state = not self._delta and subscription.type_url in names.FULL_STATE_TYPES
+        if full_state and not assigned:
+            return None  # an empty full state would remove everything that the client has
         changed = {
             name
             for name, resource in chosen.items() - subscription.held.items()
@@ -236,8 +236,8 @@
         if subscription.isolated & changed:
             changed, unanswered = {min(subscription.isolated & changed)}, set()
         removed: tuple[str, ...] = ()
-        if whole_state:
-            sent = self._whole_state(subscription, chosen, changed)
+        if full_state:
+            sent = self._full_state(subscription, chosen, changed)
             if sent is None:
                 return None
         else:
@@ -245,16 +245,16 @@
             if self._delta and assigned:
                 removed = self._removals(subscription, chosen)
                 if removed and (subscription.isolated or subscription.rejections):
-                    sent = {}  # alone: what is added beside it might be rejected, and the removal with it
+                    sent = {}  # a rejected addition in the same response would reject the removal too
             if not sent and not removed:
                 return None
-        return self._record(subscription, dict(sorted(sent.items())), removed, whole_state, now_ns)
+        return self._record(subscription, dict(sorted(sent.items())), removed, full_state, now_ns)
 
     @staticmethod
-    def _whole_state(
+    def _full_state(
         subscription: Subscription, chosen: dict[str, Resource], changed: set[str]
     ) -> dict[str, Resource] | None:
-        """Return a whole state: what may not be sent yet is in it as the client holds it. None: no need."""
+        """Return the full state, with the held version of what may not be sent yet; None if not needed."""
         unchanged = {name: subscription.held[name] for name in chosen.keys() & subscription.held.keys()}
         sent = unchanged | {name: chosen[name] for name in changed}
         unanswered = subscription.unanswered or subscription.unanswered_all
@@ -273,20 +273,20 @@
         subscription: Subscription,
         sent: dict[str, Resource],
         removed: tuple[str, ...],
-        whole_state: bool,
+        full_state: bool,
         now_ns: int,
     ) -> AdsResponse:
-        """Make a response and remember it as pending."""
+        """Create a response and record it as pending."""
         self._response_count += 1
         nonce = f"{self._token}-{self._response_count}"
         subscription.last_nonce = nonce
-        subscription.pending = PendingResponse(nonce, now_ns, sent, removed, whole_state)
+        subscription.pending = PendingResponse(nonce, now_ns, sent, removed, full_state)
         subscription.unanswered -= sent.keys() | set(removed)
         subscription.unanswered_all = False
         return AdsResponse(subscription.type_url, self._version, nonce, tuple(sent.values()), removed)
 
     def _routes_are_current(self, wanted: Wanted) -> bool:
-        """Whether the client holds the wanted routes; until then nothing that its routes name is removed."""
+        """Whether the client holds the wanted routes; until then nothing that its routes use is removed."""
         routes = self.subscriptions[names.RDS]
         if not routes.requested:
             return False
@@ -295,9 +295,9 @@
         return bool(of_type) and all(routes.holds(of_type[name]) for name in wanted_names)
 
     def _routes_are_ready(self, wanted: Wanted) -> bool:
-        """Whether everything that new routes name is held, where the client gets clusters without asking.
+        """Whether the client holds what new routes refer to, or requests clusters by name.
 
-        A client that asks for clusters by name learns of them from the routes, and keeps the old ones
+        A client that requests clusters by name learns the names from the routes, and keeps its old clusters
         meanwhile.
         """
         if not self.subscriptions[names.CDS].wildcard:
@@ -306,7 +306,7 @@
         return self._holds_all(references, wanted, current=False)
 
     def _is_settled(self, wanted: Wanted) -> bool:
-        """Whether everything that is wanted is held, from the listeners down."""
+        """Whether the client holds everything wanted, starting from the listeners."""
         if self._selector.withheld or any(s.isolated for s in self.subscriptions.values()):
             return False
         if not wanted[names.LDS]:
@@ -316,36 +316,36 @@
         return bool(references) and self._holds_all(references, wanted, current=True)
 
     def _holds_all(self, references: set[Reference], wanted: Wanted, current: bool) -> bool:
-        """Whether the client holds these resources and all that they name in turn.
+        """Whether the client holds these resources and all that they refer to, transitively.
 
         Args:
-            references: Where to start.
+            references: The resources to start from.
             wanted: Everything that the client should hold.
-            current: Whether the wanted versions are needed, or any.
+            current: Whether the wanted versions are required; any version counts otherwise.
         """
         while references:
-            below: set[Reference] = set()
+            next_references: set[Reference] = set()
             for url, name in references:
                 subscription, resource = self.subscriptions[url], wanted[url].get(name)
                 if url == names.LEDS:
                     if name not in subscription.names:
                         return False
-                    if not self._holds_entries(subscription, wanted.lines(name), current):
+                    if not self._holds_entries(subscription, wanted.entries(name), current):
                         return False
                     continue
                 held = subscription.held.get(name)
                 outdated = current and resource is not None and not subscription.holds(resource)
                 if held is None or outdated:
                     return False
-                below.update((resource or held).refs)
-            references = below
+                next_references.update((resource or held).refs)
+            references = next_references
         return True
 
     @staticmethod
     def _holds_entries(subscription: Subscription, entries: dict[str, Resource], current: bool) -> bool:
-        if not current:  # one entry is enough for a route to be of use
+        if not current:  # a route is usable with one entry
             return not subscription.held.keys().isdisjoint(entries)
-        # as a rule they are the very same objects; those named at a reconnect are compared by version
+        # usually the same objects; those that a client listed at a reconnect are compared by version
         if entries.items() <= subscription.held.items():
             return True
         return all(subscription.holds(entry) for entry in entries.values())
--- a/swiftchute/xds/subscription.py
+++ b/swiftchute/xds/subscription.py
@@ -1,4 +1,4 @@
-"""What one ADS stream knows of one resource type: names asked for, resources held, the pending response.
+"""The state of one resource type on an ADS stream: requested names, held resources, the pending response.
 
 Source: the page "xDS REST and gRPC protocol" of the xDS documentation (versions, nonces, ACK, NACK,
 wildcards, incremental xDS).
@@ -16,9 +16,9 @@
 from swiftchute.xds.resources import Resource
 
 SECOND_NS = 1_000_000_000
-MAX_NAMES = 16_384  # that a client may subscribe to, by type: its memory here is bounded
-MAX_REJECTED_VERSIONS = 16  # of a resource, that are remembered and not sent again
-MIN_RETRY_DELAY_NS = 1 * SECOND_NS  # until a changed version follows a rejected one; doubles each time
+MAX_NAMES = 16_384  # per type that a client may subscribe to, so that its state stays bounded
+MAX_REJECTED_VERSIONS = 16  # remembered per resource, so that they are not sent again
+MIN_RETRY_DELAY_NS = 1 * SECOND_NS  # from a rejection to the next new version; doubles with each rejection
 MAX_RETRY_DELAY_NS = 64 * SECOND_NS
 MIN_JITTER_FACTOR = 0.5
 WILDCARD = "*"
@@ -26,13 +26,13 @@
 
 @dataclass
 class PendingResponse:
-    """A response that the client has not answered."""
+    """A response that the client has neither acknowledged nor rejected."""
 
     nonce: str
     since_ns: int
     resources: dict[str, Resource]
     removed: tuple[str, ...]
-    whole_state: bool  # what it does not name is gone
+    full_state: bool  # a resource that is missing from it is removed
 
 
 @dataclass
@@ -44,7 +44,7 @@
     retry_at_ns: int = 0
 
     def add(self, version: str, now_ns: int, random: Random) -> None:
-        """Note a rejected version; the next one waits longer, with jitter."""
+        """Record a rejected version; each one lengthens the delay of the next version, with jitter."""
         self.versions.append(version)
         delay_ns = int(self.next_delay_ns * random.uniform(MIN_JITTER_FACTOR, 1.0))
         self.retry_at_ns = now_ns + delay_ns
@@ -55,21 +55,21 @@
     """The state of one resource type on a stream."""
 
     def __init__(self, type_url: str) -> None:
-        """Nothing was asked for and nothing is held."""
+        """Start without requested names and held resources."""
         self.type_url = type_url
-        self.requested = False  # a request for the type came
+        self.requested = False  # a request for the type was received
         self.wildcard = False
         self.names: set[str] = set()
-        self.unanswered: set[str] = set()  # names to be answered even if nothing changed
-        self.unanswered_all = False
+        self.unanswered: set[str] = set()  # requested names that need a response even if nothing changed
+        self.unanswered_all = False  # the same for all names
         self.held: dict[str, Resource] = {}  # acknowledged
         self.last_nonce = ""
         self.pending: PendingResponse | None = None
         self.rejections: dict[str, Rejections] = {}
-        self.isolated: set[str] = set()  # rejected together: each is sent alone to find the one at fault
+        self.isolated: set[str] = set()  # rejected together: each is sent alone to find the invalid one
         self.request_count = 0
         self.idle_basis: tuple[Any, ...] | None = None  # inputs for which there was nothing to send
-        self._named = False  # SotW: names were given once, so that none means none and no longer all
+        self._named = False  # SotW: after a request with names, one without names no longer means all
 
     def holds(self, wanted: Resource) -> bool:
         """Whether the client acknowledged this version of a resource."""
@@ -77,12 +77,12 @@
         return held is wanted or (held is not None and held.version == wanted.version)
 
     def changed_by_pending(self, pending: PendingResponse) -> dict[str, Resource]:
-        """Return the resources of a response that differ from what was held before it."""
-        return {name: made for name, made in pending.resources.items() if self.held.get(name) is not made}
+        """Return the resources of a pending response that differ from those held."""
+        return {name: sent for name, sent in pending.resources.items() if self.held.get(name) is not sent}
 
     def apply(self, pending: PendingResponse) -> None:
-        """Hold what an acknowledged response carried."""
-        if pending.whole_state:
+        """Apply an acknowledged response to the held resources."""
+        if pending.full_state:
             self.held = dict(pending.resources)
         else:
             self.held |= pending.resources
@@ -90,32 +90,32 @@
             self.held.pop(name, None)
 
     def reject(self, name: str, version: str, now_ns: int, random: Random) -> None:
-        """Note that the client rejected a version of a resource."""
+        """Record that the client rejected a version of a resource."""
         self.rejections.setdefault(name, Rejections()).add(version, now_ns, random)
         self.isolated.discard(name)
 
-    def update_sotw(self, given_names: tuple[str, ...]) -> None:
-        """Take the names of a state-of-the-world request, which replace those before.
+    def update_sotw(self, requested_names: tuple[str, ...]) -> None:
+        """Replace the names by those of a state-of-the-world request.
 
         Raises:
             ProtocolViolationError: There are too many names.
         """
         first, self.requested = not self.requested, True
-        given = set(given_names)
-        _check_name_count(len(given))
-        self._named |= bool(given)
-        wildcard = WILDCARD in given or (not self._named and self.type_url in names.FULL_STATE_TYPES)
-        given.discard(WILDCARD)
-        self.unanswered |= given - self.names
-        self.unanswered_all |= (wildcard and not self.wildcard) or (first and not given)
-        for name in self.names - given:  # the client has dropped it
+        new_names = set(requested_names)
+        _check_name_count(len(new_names))
+        self._named |= bool(new_names)
+        wildcard = WILDCARD in new_names or (not self._named and self.type_url in names.FULL_STATE_TYPES)
+        new_names.discard(WILDCARD)
+        self.unanswered |= new_names - self.names
+        self.unanswered_all |= (wildcard and not self.wildcard) or (first and not new_names)
+        for name in self.names - new_names:  # the client unsubscribed from it
             self.unanswered.discard(name)
             if not wildcard:
                 self.held.pop(name, None)
-        self.names, self.wildcard = given, wildcard
+        self.names, self.wildcard = new_names, wildcard
 
     def update_delta(self, request: AdsRequest) -> None:
-        """Take the changes of names of a delta request.
+        """Apply the subscriptions and unsubscriptions of a delta request.
 
         Raises:
             ProtocolViolationError: There are too many names.
@@ -133,7 +133,7 @@
         self.names = (self.names | added) - dropped
         _check_name_count(len(self.names))
         self.unanswered = (self.unanswered | added) - dropped
-        if first:  # with versions given at a reconnect, only what differs has to be sent
+        if first:  # after a reconnect only resources that differ from the client's versions are sent
             self.unanswered -= request.initial.keys()
         for name in dropped:
             self._drop(name)
@@ -152,5 +152,5 @@
 
 def _check_name_count(count: int) -> None:
     if count > MAX_NAMES:
-        text = f"{count} names of one type; {MAX_NAMES} at most"
+        text = f"subscription to {count} names of one type, at most {MAX_NAMES} are allowed"
         raise ProtocolViolationError("RESOURCE_EXHAUSTED", text)
--- a/tests/xds/test_server.py
+++ b/tests/xds/test_server.py
@@ -155,10 +155,10 @@
         assert status is Status.INVALID_ARGUMENT
         assert "zone 'moon' is none of north, south, west" in text
         status, text = await refused(address, [b"\xff\xff\xff\xff"])
-        assert "4 bytes that are no DiscoveryRequest" in text
+        assert "cannot decode 4 bytes as DiscoveryRequest" in text
         assert await refused(address, [b"x" * 4096]) == (
             Status.RESOURCE_EXHAUSTED,
-            "a message of 4096 bytes; 2048 at most",
+            "message of 4096 bytes, at most 2048 are allowed",
         )
         reader, writer = await asyncio.open_connection(*address)
         writer.write(b"GET / HTTP/1.1\r\n\r\n" * 50)
@@ -191,7 +191,7 @@
         place.list.write_text(json.dumps(rows))
         good = FakeGateway(XdsClient("good", "north", 5.0, delta=False), [address], 1)
         good.start()
-        with pytest.raises(GRPCError, match="nothing read for 1 s"):
+        with pytest.raises(GRPCError, match="client read nothing for 1 s"):
             await _unread(address, place.service.xds_frontend)
         assert good.connected_to
         await until(lambda: good.client.tables and len(good.client.table("lot-estimate").weights) == 2000)
@@ -335,7 +335,7 @@
             gateway.start()
         await until(lambda: all(g.client.tables for g in gateways))
         status, text = await refused(address, XdsClient("third", "north", 1.0).open_stream(True)[:1], "Delta")
-        assert (status, text) == (Status.RESOURCE_EXHAUSTED, "2 streams are open, the most allowed")
+        assert (status, text) == (Status.RESOURCE_EXHAUSTED, "2 streams are open, the maximum")
         idle = [await asyncio.open_connection(*address) for _ in range(4)]
         for reader, _ in idle[2:]:  # with the two gateways' connections, these are past twice the streams
             try:
