--- a/tests/xds/test_frontend.py
+++ b/tests/xds/test_frontend.py
@@ -1,4 +1,4 @@
-"""The streams of one frontend, without sockets."""
+"""Acknowledgement time-outs of the streams of a frontend, without sockets."""
 
 import pytest
 
@@ -13,8 +13,8 @@
 
 
 @pytest.fixture
-def owing(scripted_controller):
-    """A frontend with one stream that owes the acknowledgement of its clusters: (frontend, response)."""
+def unacknowledged(scripted_controller):
+    """A frontend with one stream whose clusters are not acknowledged: (frontend, response)."""
     controller, policy = scripted_controller
     frontend = XdsFrontend(controller, controller.settings, FrontendOptions(1, ACK_TIMEOUT_NS, 1.0, 10), 7)
     frontend.open_stream(1, ProxyNode("p", "east", 1.0, True, frozenset()), False, START)
@@ -25,14 +25,14 @@
         ("request_ack", 5, False),
     ]
     output = frontend.publish(controller.run_round(START), START)
-    if not output.responses:  # the egress queue sends a little later
+    if not output.responses:  # the egress queue sends it in the next round
         output = frontend.publish(controller.run_round(START + S), START + S)
     ((_, response),) = output.responses
     return frontend, response
 
 
-def test_an_acknowledgement_that_waits_while_the_process_is_stopped_keeps_its_stream(owing):
-    frontend, response = owing
+def test_an_acknowledgement_received_after_the_process_was_stopped_keeps_the_stream(unacknowledged):
+    frontend, response = unacknowledged
     resumed_ns = START + S + 2 * ACK_TIMEOUT_NS
     assert not frontend.publish(RoundOutput(), resumed_ns).terminations
     frontend.on_request(1, AdsRequest(names.CDS, nonce=response.nonce), resumed_ns)
@@ -40,8 +40,8 @@
     assert frontend.is_connected("p")
 
 
-def test_a_stream_that_acknowledges_nothing_is_ended_by_the_second_check(owing):
-    frontend, _ = owing
+def test_a_stream_that_acknowledges_nothing_is_ended_by_the_second_check(unacknowledged):
+    frontend, _ = unacknowledged
     late_ns = START + S + 2 * ACK_TIMEOUT_NS
     frontend.publish(RoundOutput(), late_ns)
     (termination,) = frontend.publish(RoundOutput(), late_ns + CHECK_INTERVAL_NS).terminations
