--- a/swiftchute/admin/__init__.py
+++ b/swiftchute/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The admin interface: operators send commands to a running instance over a Unix socket of its own."""
+"""The admin interface: operators send commands to a running instance over its own Unix socket."""
--- a/swiftchute/admin/client.py
+++ b/swiftchute/admin/client.py
@@ -22,7 +22,7 @@
         **arguments: Arguments of the command.
 
     Raises:
-        NoReplyError: Nobody listens, no reply came in time, or the reply is an error.
+        NoReplyError: Nothing listens at the path, no reply came in time, or the reply is an error.
     """
     try:
         data = _exchange(path, protocol.encode_request(command, **arguments), timeout)
@@ -40,12 +40,12 @@
     with socket.socket(socket.AF_UNIX) as connection:
         connection.settimeout(timeout)
         connection.connect(path)
-        with contextlib.suppress(BrokenPipeError):  # rejected before it was read: the cause can be received
+        with contextlib.suppress(BrokenPipeError):  # closed by the server: the cause can still be received
             connection.sendall(request)
         data = b""
         while not data.endswith(b"\n"):
             received = connection.recv(RECEIVE_BYTES)
             if not received:
-                raise NoReplyError(f"{path}: the planner ended the connection")
+                raise NoReplyError(f"{path}: connection closed before the reply was complete")
             data += received
         return data
--- a/swiftchute/admin/errors.py
+++ b/swiftchute/admin/errors.py
@@ -8,11 +8,11 @@
 
 
 class RequestError(AdminError):
-    """Received bytes are not a request; the text says why."""
+    """The received bytes are not a valid request; the text names the cause."""
 
 
 class CommandRejectedError(AdminError):
-    """A command cannot be carried out; the text says why."""
+    """A command cannot be executed; the text names the cause."""
 
 
 class NoReplyError(AdminError):
--- a/swiftchute/admin/protocol.py
+++ b/swiftchute/admin/protocol.py
@@ -36,35 +36,35 @@
     """Splits the received bytes of one connection into requests."""
 
     def __init__(self, max_line_bytes: int = MAX_LINE_BYTES) -> None:
-        """Start without received bytes; a longer line is an error."""
+        """Create a parser that rejects lines longer than this limit."""
         self._max_line_bytes = max_line_bytes
         self._remainder = b""
 
     def feed(self, data: bytes) -> list[Request]:
-        """Return the requests that are complete now.
+        """Add received bytes and return the requests that they complete.
 
         Raises:
-            RequestError: A line is too long or is not a request.
+            RequestError: A line is too long or not a valid request.
         """
         *lines, self._remainder = (self._remainder + data).split(b"\n")
         if any(len(line) > self._max_line_bytes for line in [*lines, self._remainder]):
-            raise RequestError(f"a line of more than {self._max_line_bytes} bytes")
+            raise RequestError(f"a line has more than {self._max_line_bytes} bytes")
         try:
             return [msgspec.json.decode(line, type=Request) for line in lines if line.strip()]
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            raise RequestError(f"not a request: {error}") from None
+            raise RequestError(f"not a valid request: {error}") from None
 
 
 def encode_request(command: str, **arguments: Any) -> bytes:
-    """Return a request as it goes over the socket."""
+    """Encode a request as a line."""
     return msgspec.json.encode(Request(command, arguments)) + b"\n"
 
 
 def encode_result(result: Any) -> bytes:
-    """Return a successful reply as it goes over the socket."""
+    """Encode the reply of a successful command as a line."""
     return msgspec.json.encode({"result": result}) + b"\n"
 
 
 def encode_error(cause: str) -> bytes:
-    """Return an error reply as it goes over the socket."""
+    """Encode an error reply as a line."""
     return msgspec.json.encode({"error": cause}) + b"\n"
--- a/swiftchute/admin/server.py
+++ b/swiftchute/admin/server.py
@@ -1,8 +1,8 @@
-"""The admin server: a Unix socket that only the user who runs the instance, and root, may use.
+"""The admin server: a Unix socket that only the user of the process, and root, may use.
 
-The socket file is created for its owner alone. The peer's user is read from the kernel (SO_PEERCRED) as
-well, since in a directory that others may write to the file could be replaced. Connections are bounded, idle
-ones are closed, and a client that does not read its replies is disconnected.
+The socket file is accessible to its owner alone. The user of a client is read from the kernel as well
+(SO_PEERCRED), because the file could be replaced in a directory that others may write to. Connections are
+limited in number, idle ones are closed, and a client that does not read its replies is disconnected.
 """
 
 import asyncio
@@ -19,7 +19,7 @@
 
 MAX_CONNECTIONS = 16
 IDLE_TIMEOUT_S = 30.0  # without a request
-MAX_UNREAD_BYTES = 8 * 2**20  # replies that may wait for a client
+MAX_UNREAD_BYTES = 8 * 2**20  # of replies that a client has not read
 PROBE_TIMEOUT_S = 1.0
 SOCKET_UMASK = 0o177  # read and write for the owner alone
 
@@ -36,19 +36,19 @@
         self._idle_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Accept the client, or close the connection with the cause."""
+        """Accept the client, or send the cause and close the connection."""
         self._transport = cast(asyncio.Transport, transport)
         user = _peer_user_id(transport.get_extra_info("socket"))
         if user not in (0, os.geteuid()):
-            self._close(f"user {user} may not control this planner")
+            self._close(f"user {user} may not control this instance")
         elif len(self._server.connections) >= MAX_CONNECTIONS:
-            self._close(f"{MAX_CONNECTIONS} callers at once, the most allowed")
+            self._close(f"{MAX_CONNECTIONS} connections are open, the maximum")
         else:
             self._server.connections.add(self)
             self._restart_idle_timer()
 
     def data_received(self, data: bytes) -> None:
-        """Execute the requests that are complete."""
+        """Execute the requests that the data completes."""
         if self not in self._server.connections:
             return
         self._restart_idle_timer()
@@ -68,13 +68,13 @@
             self._idle_timer.cancel()
 
     def abort(self) -> None:
-        """Close the connection at once; replies that were not sent are lost."""
+        """Close the connection immediately; unsent replies are lost."""
         self._transport.abort()
 
     def _restart_idle_timer(self) -> None:
         if self._idle_timer is not None:
             self._idle_timer.cancel()
-        cause = f"nothing asked for {IDLE_TIMEOUT_S:g} s"
+        cause = f"no request received for {IDLE_TIMEOUT_S:g} s"
         self._idle_timer = asyncio.get_running_loop().call_later(IDLE_TIMEOUT_S, self._close, cause)
 
     def _close(self, cause: str) -> None:
@@ -102,7 +102,7 @@
         command = self._commands.get(request.command)
         if command is None:
             names = ", ".join(sorted(self._commands))
-            return protocol.encode_error(f"no command {request.command!r}; there are {names}")
+            return protocol.encode_error(f"unknown command {request.command!r}; known commands: {names}")
         try:
             return protocol.encode_result(command(**request.arguments))
         except (CommandRejectedError, TypeError, ValueError) as error:
@@ -112,7 +112,7 @@
         """Listen at the path.
 
         Raises:
-            OSError: Another instance listens there, or the path is not a socket.
+            OSError: Another instance listens at the path, or it exists and is not a socket.
         """
         self._remove_stale_socket()
         loop = asyncio.get_running_loop()
@@ -124,7 +124,7 @@
 
     async def stop(self) -> None:
         """Stop listening and close all connections."""
-        if self._listener is None:  # never started: the socket may be another instance's
+        if self._listener is None:  # not started: the socket file may be another instance's
             return
         self._listener.close()
         for connection in list(self.connections):
@@ -133,12 +133,12 @@
             os.unlink(self._path)
 
     def _remove_stale_socket(self) -> None:
-        """Remove the socket of an instance that was killed."""
+        """Remove the socket file that a killed instance left behind."""
         with contextlib.suppress(FileNotFoundError):
             if not stat.S_ISSOCK(os.lstat(self._path).st_mode):
-                raise OSError(f"{self._path} is there and is no socket")
+                raise OSError(f"{self._path}: exists and is not a socket")
             if _accepts_connections(self._path):
-                raise OSError(f"{self._path}: another planner listens there")
+                raise OSError(f"{self._path}: another instance listens on this socket")
             os.unlink(self._path)
 
 
--- a/tests/admin/test_server.py
+++ b/tests/admin/test_server.py
@@ -1,4 +1,4 @@
-"""The control socket: who may speak, what is no request, and what a running planner answers."""
+"""The admin socket: permitted users, invalid requests, and the commands of a running instance."""
 
 import asyncio
 import json
@@ -26,18 +26,18 @@
 
 
 @pytest.fixture
-def served(tmp_path):
-    """Runs a coroutine beside a control socket."""
+def with_server(tmp_path):
+    """A function that runs a coroutine while an admin server listens at its attribute `path`."""
     path = str(tmp_path / "c.sock")
 
-    def run(play, commands=COMMANDS):
+    def run(use_server, commands=COMMANDS):
         async def main():
-            control = AdminServer(path, commands)
-            await control.start()
+            admin_server = AdminServer(path, commands)
+            await admin_server.start()
             try:
-                return await play(control)
+                return await use_server(admin_server)
             finally:
-                await control.stop()
+                await admin_server.stop()
 
         return uvloop.run(main())
 
@@ -45,84 +45,86 @@
     return run
 
 
-def asked(path, *arguments, **named):
-    return asyncio.to_thread(call, path, *arguments, **named)
+def call_in_thread(path, *arguments, **keywords):
+    return asyncio.to_thread(call, path, *arguments, **keywords)
 
 
-@pytest.mark.parametrize("cut", range(1, 40))
-def test_a_request_in_two_pieces_is_complete_with_the_second(cut):
-    session, data = protocol.RequestParser(), protocol.encode_request("add", a=1, b=2)
-    found = session.feed(data[:cut]) + session.feed(data[cut:])
-    assert [(r.command, r.arguments) for r in found] == [("add", {"a": 1, "b": 2})]
+@pytest.mark.parametrize("split_at", range(1, 40))
+def test_a_request_in_two_pieces_is_complete_with_the_second(split_at):
+    parser, data = protocol.RequestParser(), protocol.encode_request("add", a=1, b=2)
+    requests = parser.feed(data[:split_at]) + parser.feed(data[split_at:])
+    assert [(r.command, r.arguments) for r in requests] == [("add", {"a": 1, "b": 2})]
 
 
 @pytest.mark.parametrize("data", [b"{\n", b"[]\n", b'{"command": 3}\n', b'{"comand": "x"}\n', b"\xff\n"])
 def test_bytes_that_are_not_a_request_are_an_error(data):
-    with pytest.raises(RequestError, match="not a request"):
+    with pytest.raises(RequestError, match="not a valid request"):
         protocol.RequestParser().feed(data)
 
 
 def test_a_line_over_the_limit_is_an_error():
-    session = protocol.RequestParser(max_line_bytes=100)
+    parser = protocol.RequestParser(max_line_bytes=100)
     with pytest.raises(RequestError, match="more than 100 bytes"):
-        session.feed(b"x" * 101)
+        parser.feed(b"x" * 101)
 
 
-def test_commands_return_results_and_errors(served):
-    async def play(control):
-        assert stat.S_IMODE(os.stat(served.path).st_mode) == 0o600
-        assert await asked(served.path, "add", a=2, b=3) == 5
-        for command, named, cause in (
-            ("subtract", {}, "no command 'subtract'; there are add, deny"),
+def test_commands_return_results_and_errors(with_server):
+    async def use_server(admin_server):
+        assert stat.S_IMODE(os.stat(with_server.path).st_mode) == 0o600
+        assert await call_in_thread(with_server.path, "add", a=2, b=3) == 5
+        for command, keywords, cause in (
+            ("subtract", {}, "unknown command 'subtract'; known commands: add, deny"),
             ("deny", {}, "deny: not today"),
             ("add", {"a": 1}, "missing 1 required"),
         ):
             with pytest.raises(NoReplyError, match=cause):
-                await asked(served.path, command, **named)
+                await call_in_thread(with_server.path, command, **keywords)
 
-    served(play)
-    assert not os.path.exists(served.path)
+    with_server(use_server)
+    assert not os.path.exists(with_server.path)
 
 
-def test_another_user_is_rejected(served, monkeypatch):
-    monkeypatch.setattr(server, "_peer_user_id", lambda opened: 12345)
+def test_another_user_is_rejected(with_server, monkeypatch):
+    monkeypatch.setattr(server, "_peer_user_id", lambda connection: 12345)
 
-    async def play(control):
-        with pytest.raises(NoReplyError, match="user 12345 may not"):
-            await asked(served.path, "add", a=2, b=3)
+    async def use_server(admin_server):
+        with pytest.raises(NoReplyError, match="user 12345 may not control this instance"):
+            await call_in_thread(with_server.path, "add", a=2, b=3)
 
-    served(play)
+    with_server(use_server)
 
 
-def test_connections_past_the_limit_and_idle_ones_are_closed(served, monkeypatch):
+def test_connections_past_the_limit_and_idle_ones_are_closed(with_server, monkeypatch):
     monkeypatch.setattr(server, "IDLE_TIMEOUT_S", 0.3)
 
-    async def play(control):
-        held = [await asyncio.open_unix_connection(served.path) for _ in range(server.MAX_CONNECTIONS)]
+    async def use_server(admin_server):
+        connections = [
+            await asyncio.open_unix_connection(with_server.path) for _ in range(server.MAX_CONNECTIONS)
+        ]
         await asyncio.sleep(0.05)
-        with pytest.raises(NoReplyError, match="16 callers at once"):
-            await asked(served.path, "add", a=2, b=3)
-        for reader, writer in held:
-            assert b"nothing asked" in await asyncio.wait_for(reader.read(), 5)
+        with pytest.raises(NoReplyError, match="16 connections are open, the maximum"):
+            await call_in_thread(with_server.path, "add", a=2, b=3)
+        for reader, writer in connections:
+            assert b"no request received" in await asyncio.wait_for(reader.read(), 5)
             writer.close()
-        assert await asked(served.path, "add", a=2, b=3) == 5
+        assert await call_in_thread(with_server.path, "add", a=2, b=3) == 5
 
-    served(play)
+    with_server(use_server)
 
 
-def test_a_stale_socket_is_replaced_and_one_in_use_is_not(served, tmp_path):
-    with socket.socket(socket.AF_UNIX) as left:
-        left.bind(served.path)  # closed without unlink, as a kill leaves it
+def test_a_stale_socket_is_replaced_and_one_in_use_is_not(with_server, tmp_path):
+    with socket.socket(socket.AF_UNIX) as stale:
+        stale.bind(with_server.path)  # closed without unlink, as after a kill
 
-    async def play(control):
-        assert await asked(served.path, "add", a=2, b=3) == 5
-        with pytest.raises(OSError, match="another planner listens there"):
-            await asyncio.to_thread(lambda: asyncio.run(AdminServer(served.path, {}).start()))
+    async def use_server(admin_server):
+        assert await call_in_thread(with_server.path, "add", a=2, b=3) == 5
+        with pytest.raises(OSError, match="another instance listens on this socket"):
+            await asyncio.to_thread(lambda: asyncio.run(AdminServer(with_server.path, {}).start()))
 
-    served(play)
+    with_server(use_server)
     (tmp_path / "c.sock").write_text("a file")
-    with pytest.raises(OSError, match="is no socket"):
-        served(play)
+    with pytest.raises(OSError, match="exists and is not a socket"):
+        with_server(use_server)
 
 
 def test_explain_fails_without_a_running_instance_or_a_socket(tmp_path):
@@ -137,28 +139,30 @@
     assert (result.exit_code, "control.socket: missing" in result.stderr) == (2, True)
 
 
-def test_explain_names_the_rule_that_changes_an_entry(served, tmp_path, controller_with_warming_endpoint):
-    controller, now, cold = controller_with_warming_endpoint
+def test_explain_names_the_rule_that_changes_an_entry(
+    with_server, tmp_path, controller_with_warming_endpoint
+):
+    controller, now, warming = controller_with_warming_endpoint
 
-    async def play(control):
+    async def use_server(admin_server):
         with open("examples/planner.hcl", encoding="utf-8") as source:
             text = source.read()
         path = tmp_path / "p.hcl"
-        path.write_text(text.replace("/tmp/swiftchute-planner.sock", served.path))
+        path.write_text(text.replace("/tmp/swiftchute-planner.sock", with_server.path))
 
-        def run(*more):
-            return CliRunner().invoke(main, ["guard", "explain", str(path), *more])
+        def run(*options):
+            return CliRunner().invoke(main, ["guard", "explain", str(path), *options])
 
-        plain, found = await asyncio.to_thread(run), await asyncio.to_thread(run, "--json")
-        assert plain.exit_code == 0, plain.output
-        assert f"{cold}: " in plain.output
-        assert "cold budget: " in plain.output
-        table = json.loads(found.output)["tables"][0]
-        (held,) = [line for line in table["lines"] if line["server"] == cold]
-        assert (held["why"], held["out"] < held["ordered"]) == ("cold budget", True)
+        as_text, as_json = await asyncio.to_thread(run), await asyncio.to_thread(run, "--json")
+        assert as_text.exit_code == 0, as_text.output
+        assert f"{warming}: " in as_text.output
+        assert "cold budget: " in as_text.output
+        table = json.loads(as_json.output)["tables"][0]
+        (limited,) = [line for line in table["lines"] if line["server"] == warming]
+        assert (limited["why"], limited["out"] < limited["ordered"]) == ("cold budget", True)
 
-    served(
-        play,
+    with_server(
+        use_server,
         {
             "guard.explain": lambda table: {
                 "enforced": True,
@@ -169,41 +173,45 @@
     )
 
 
-def test_operators_list_compare_and_roll_back_versions(served, tmp_path, controller_with_warming_endpoint):
-    controller, now, cold = controller_with_warming_endpoint
+def test_operators_list_compare_and_roll_back_versions(
+    with_server, tmp_path, controller_with_warming_endpoint
+):
+    controller, now, warming = controller_with_warming_endpoint
     controller.run_round(now + 2 * 10**9)
-    kicked = []
-    commands = AdminCommands(controller, lambda: now + 3 * 10**9, lambda: kicked.append(1)).by_name()
+    requested_rounds = []
+    commands = AdminCommands(
+        controller, lambda: now + 3 * 10**9, lambda: requested_rounds.append(1)
+    ).by_name()
     path = tmp_path / "p.hcl"
     with open("examples/planner.hcl", encoding="utf-8") as source:
-        path.write_text(source.read().replace("/tmp/swiftchute-planner.sock", served.path))
+        path.write_text(source.read().replace("/tmp/swiftchute-planner.sock", with_server.path))
 
-    async def play(control):
-        async def said(*words, code=0):
+    async def use_server(admin_server):
+        async def run_cli(*arguments, code=0):
             result = await asyncio.to_thread(
-                CliRunner().invoke, main, ["tables", words[0], str(path), *words[1:]]
+                CliRunner().invoke, main, ["tables", arguments[0], str(path), *arguments[1:]]
             )
             assert result.exit_code == code, result.output
             return result.output
 
-        assert "start" in await said("log")
-        shown = await said("show", "0.1")
+        assert "start" in await run_cli("log")
+        shown = await run_cli("show", "0.1")
         assert "a east: 1" in shown
-        assert ", ordered 100" in shown  # the cold server's line, capped by the guard
-        assert "held at" in await said("pin", "0.1", "--for", "5")
-        assert "(pin) for 5.0 s more" in await said("show", "0.1")
-        assert "going back to" in await said("rollback", "0.1", "~0", "--levels")
-        assert "(rollback) for 600.0 s more" in await said("show", "0.1")
-        assert "0 -> " not in await said("diff", "0.1", "~0", "~0")
-        assert "released 0.1" in await said("release", "0.1")
-        assert len(kicked) == 3
-        for words, cause in (
+        assert ", ordered 100" in shown  # the warming endpoint's entry, capped by the safety gate
+        assert "held at" in await run_cli("pin", "0.1", "--for", "5")
+        assert "(pin) for 5.0 s more" in await run_cli("show", "0.1")
+        assert "going back to" in await run_cli("rollback", "0.1", "~0", "--levels")
+        assert "(rollback) for 600.0 s more" in await run_cli("show", "0.1")
+        assert "0 -> " not in await run_cli("diff", "0.1", "~0", "~0")
+        assert "released 0.1" in await run_cli("release", "0.1")
+        assert len(requested_rounds) == 3
+        for arguments, cause in (
             (("release", "0.1"), "table 0.1 is not pinned"),
             (("rollback", "0.1", "~7"), "no entry ~7"),
             (("rollback", "0.9", "~1"), "no proxy is on a table '0.9'; in use are 0.1"),
             (("pin", "0.1", "--for", "0"), "a pin lasts 1 to 86400 s"),
             (("show", "0.1", "ffff"), "no kept version"),
         ):
-            assert cause in await said(*words, code=2)
+            assert cause in await run_cli(*arguments, code=2)
 
-    served(play, commands)
+    with_server(use_server, commands)
