--- a/swiftchute/xds/messages.py
+++ b/swiftchute/xds/messages.py
@@ -110,7 +110,7 @@
 def _encode_without_nonce(
     type_url: str, delta: bool, version: str, resources: tuple[Resource, ...], removed: tuple[str, ...]
 ) -> bytes:
-    """Encode all of a response but its nonce: the rest is equal for proxies with equal tables, and cached."""
+    """Encode all but the nonce: it is equal for proxies with equal tables, so it is encoded once per push."""
     if not delta:
         message = DiscoveryResponse(version_info=version, type_url=type_url)
         for resource in resources:
--- a/swiftchute/xds/names.py
+++ b/swiftchute/xds/names.py
@@ -20,9 +20,8 @@
 LEDS_FEATURE = "swiftchute.leds"
 # EDS resource with the ejected endpoints, for proxies that still use their own tables or another instance's.
 WITHDRAWN = "withdrawn"
-_COLLECTION_PREFIX = (
-    "xdstp:///envoy.config.endpoint.v3.LbEndpoint/"  # xDS name scheme (xRFC TP1), a glob collection per zone
-)
+# xDS name scheme (xRFC TP1), with a glob collection per zone.
+_COLLECTION_PREFIX = "xdstp:///envoy.config.endpoint.v3.LbEndpoint/"
 
 
 def is_table(name: str) -> bool:
--- a/swiftchute/xds/resources.py
+++ b/swiftchute/xds/resources.py
@@ -76,9 +76,7 @@
     body: bytes
     version: str
     refs: tuple[tuple[str, str], ...] = ()  # type URL and name
-    entries: tuple[
-        TableEntry, ...
-    ] = ()  # EDS with inline endpoints: the source entries, from which a reduced resource can be made
+    entries: tuple[TableEntry, ...] = ()  # of EDS with inline endpoints, so that a part of them can be sent
     admission_rate: float = 1.0
 
 
