--- a/swiftchute/proxy/xds_client.py
+++ b/swiftchute/proxy/xds_client.py
@@ -198,7 +198,7 @@
         node = Node(id=self.node, locality=Locality(zone=self.zone), user_agent_name=self.agent)
         node.metadata.update({"rate": self.request_rate_per_s, "fresh": fresh})
         if self.endpoint_collections:
-            node.client_features.append(names.LINES_FEATURE)
+            node.client_features.append(names.LEDS_FEATURE)
         return node
 
     def _accept_nonce(self, type_url: str, nonce: str) -> bool:
@@ -228,7 +228,7 @@
         return resources, error
 
     def _apply(self, type_url: str, resources: Resources, response: Any) -> None:
-        if not self.delta and type_url in names.WHOLE:
+        if not self.delta and type_url in names.FULL_STATE_TYPES:
             self.resources[type_url] = {}
         self.resources[type_url] |= resources
         if self.delta:
--- a/tests/proxy/test_recorded_behaviour.py
+++ b/tests/proxy/test_recorded_behaviour.py
@@ -318,7 +318,7 @@
         entry = LbEndpoint()
         set_address(entry, endpoint)
         entry.load_balancing_weight.value = rng.randint(1, 9)
-        entries[names.line_name(rng.choice(["0.1", "0.2"]), "z", endpoint)] = entry
+        entries[names.entry_name(rng.choice(["0.1", "0.2"]), "z", endpoint)] = entry
     return entries
 
 
