--- a/swiftchute/dns/__init__.py
+++ b/swiftchute/dns/__init__.py
@@ -1,1 +1,1 @@
-"""The DNS front: the same tables as SRV and address answers. Cores without I/O, and a UDP and TCP shell."""
+"""The DNS frontend: serves tables as SRV and address records. Only `server` does I/O, on UDP and TCP."""
--- a/swiftchute/dns/answer_cache.py
+++ b/swiftchute/dns/answer_cache.py
@@ -1,13 +1,13 @@
-"""Cache of composed answers: a question is looked up, copied and given its message id. No I/O, no clock.
+"""Cache of composed answers: a reply is a cached answer under the header of its query. No I/O, no clock.
 
 Example:
     cache = AnswerCache(records, usage_by_operation)
-    reply = cache.answer(query, view, limit_bytes, now_ns)  # bytes; None: the name is not under the origin
+    reply = cache.answer(query, view, limit_bytes, now_ns)  # bytes; None if the name is not under the origin
 
-An answer is made once per version, question and view. From then on it is a header, the question as it came
-(its case is kept) and the sections, whose owner names are pointers at the question.
-The size that the client accepts decides which of three forms is sent: all records, the answer section
-without the additional addresses, or no records with TC set, so that the client repeats the query by TCP.
+An answer is composed once per version, question and view. Each reply consists of a header, the question as
+received (its case is kept) and the sections, whose owner names are compression pointers to the question.
+The size that the client accepts selects one of three forms: all records; the answer section without the
+additional addresses; or no records with TC set, so that the client retries over TCP.
 """
 
 import io
@@ -29,16 +29,16 @@
 from swiftchute.dns.records import LookupResult, ZoneRecords
 
 NS_PER_S = 1_000_000_000
-MAX_ANSWERS_ENTRIES = 20_000  # of one version; past it all are dropped and made again on demand
+MAX_CACHED_ANSWERS = 20_000  # per version; when it is full, all are evicted and composed again on demand
 
 
 @dataclass(slots=True)
 class AnswerUsage:
-    """Use of the answers for an operation of a zone.
+    """How much the answers for an operation of a zone are used.
 
     Attributes:
-        answers: How often one was asked for.
-        cached_until_ns: When the last copy in a resolver's cache expires.
+        answers: Number of queries for them.
+        cached_until_ns: When the last copy in the cache of a resolver expires.
     """
 
     answers: int = 0
@@ -50,13 +50,13 @@
     """The answer to one question.
 
     Attributes:
-        result: The records it is made of.
+        result: The records that it contains.
         code: Its response code.
-        usage: Where its use is counted; None for answers that do not depend on a table.
-        variants: The forms with all records, sent in turn; None where one is not made yet.
-        without_additional: The form without additional addresses; None while it is not made.
+        usage: The counters of its use; None for answers that do not depend on a table.
+        variants: The forms with all records, sent in rotation; None for each that is not rendered yet.
+        without_additional: The form without additional addresses; None if it is not rendered yet.
         variant_index: The variant that was sent last.
-        admission_rate: The share of queries that are answered, 0 to 1.
+        admission_rate: The fraction of queries that are answered, 0 to 1.
     """
 
     result: LookupResult
@@ -72,21 +72,21 @@
     """The answers of one version of the records.
 
     Attributes:
-        records: The records that the answers are made of.
-        usage_by_operation: The use of answers by (zone, operation); it is shared by all versions.
+        records: The records that the answers contain.
+        usage_by_operation: The use of answers by (zone, operation), shared by the caches of all versions.
     """
 
     def __init__(
         self, records: ZoneRecords, usage_by_operation: dict[tuple[str, str], AnswerUsage], seed: int = 0
     ) -> None:
-        """Create an empty cache; `seed` is that of the draws for admission."""
+        """Create an empty cache; `seed` is for the random choice of admitted queries."""
         self.records = records
         self.usage_by_operation = usage_by_operation
         self._random = random.Random(seed)
         self._ttl_ns = records.ttl_s * NS_PER_S
         self._answers: dict[tuple[bytes, int, str], _CachedAnswer] = {}
         self._origin_wire = records.names.origin.to_digestable()
-        # The SOA record has its names in full, as it follows questions of any length.
+        # The SOA record is not compressed, because it follows questions of different lengths.
         soa = io.BytesIO()
         records.soa().to_wire(soa)
         self._denial = Sections(b"\0\0\0\1\0\0", soa.getvalue())
@@ -97,14 +97,14 @@
 
         Args:
             query: The query.
-            view: The zone that names without a zone stand for.
+            view: The zone that is meant by names without a zone.
             limit_bytes: The largest reply that the client accepts.
-            now_ns: The present time.
+            now_ns: The current time.
         """
         name = query.name.lower()
         answer = self._answers.get((name, query.record_type, view))
         if answer is None:
-            if not is_under(name, self._origin_wire):
+            if not is_subdomain(name, self._origin_wire):
                 return None
             answer = self._add(name, query.record_type, view)
         if answer.usage is not None:
@@ -125,16 +125,16 @@
         return compose_reply(query, answer.code, sections)
 
     def _add(self, name: bytes, record_type: int, view: str) -> _CachedAnswer:
-        """Make the answer to a question under the origin; it is cached if the name exists."""
-        if not self.records.exists(name):  # there is no bound to such names
+        """Compose the answer to a question under the origin, and cache it if the name exists."""
+        if not self.records.exists(name):  # not cached: the number of such names is unbounded
             return self._no_such_name
-        answer = self._make(name, record_type, view)
-        if len(self._answers) >= MAX_ANSWERS_ENTRIES:
+        answer = self._compose(name, record_type, view)
+        if len(self._answers) >= MAX_CACHED_ANSWERS:
             self._answers.clear()
         self._answers[name, record_type, view] = answer
         return answer
 
-    def _make(self, name: bytes, record_type: int, view: str) -> _CachedAnswer:
+    def _compose(self, name: bytes, record_type: int, view: str) -> _CachedAnswer:
         result = self.records.lookup(name, record_type, view)
         if not result.known:
             return _CachedAnswer(result, dns.rcode.SERVFAIL, variants=[EMPTY_SECTIONS])
@@ -148,7 +148,7 @@
         return answer
 
     def _next_variant(self, answer: _CachedAnswer) -> Sections:
-        """Return the form with all records whose turn it is."""
+        """Return the next variant in the rotation; render it if needed."""
         index = answer.variant_index = (answer.variant_index + 1) % len(answer.variants)
         sections = answer.variants[index]
         if sections is None:
@@ -163,8 +163,8 @@
         return _join_records(result.records, result.additional)
 
 
-def is_under(name: bytes, origin: bytes) -> bool:
-    """Return whether a name is the origin or under it; both are in wire form and lower case."""
+def is_subdomain(name: bytes, origin: bytes) -> bool:
+    """Return whether a name is the origin or a subdomain of it; both are in wire form and lower case."""
     offset = 0
     while len(name) - offset > len(origin):
         offset += name[offset] + 1
@@ -172,14 +172,14 @@
 
 
 def render_rrsets(rrsets: Iterable[dns.rrset.RRset]) -> Sections:
-    """Return an answer section of these sets of records, with all names in full."""
+    """Return an answer section of these RRsets, without name compression."""
     rendered = io.BytesIO()
     count = sum(rrset.to_wire(rendered) for rrset in rrsets)
     return Sections(count.to_bytes(2, "big") + bytes(4), rendered.getvalue())
 
 
 def _join_records(answer: Iterable[bytes], additional: Iterable[bytes] = ()) -> Sections:
-    """Return sections of records in wire form whose owner names are pointers at the question."""
+    """Return the sections of records in wire form whose owner names point to the question."""
     answer, additional = tuple(answer), tuple(additional)
     counts = len(answer).to_bytes(2, "big") + b"\0\0" + len(additional).to_bytes(2, "big")
     return Sections(counts, b"".join((*answer, *additional)))
--- a/swiftchute/dns/errors.py
+++ b/swiftchute/dns/errors.py
@@ -10,17 +10,17 @@
 
 
 class DomainNameError(DnsError, ValueError):
-    """A name that DNS cannot represent or that has two meanings; the text gives the name and the cause."""
+    """A name that DNS cannot represent or that is ambiguous; the text gives the name and the cause."""
 
 
 class QueryError(DnsError):
-    """A query that cannot be answered as asked.
+    """A message that is not a valid query or asks for something that is not served.
 
     Attributes:
-        reply: The message that answers the query; None if it must not be answered at all.
+        reply: The error reply to send; None if no reply must be sent.
     """
 
     def __init__(self, reply: bytes | None) -> None:
-        """Create the error from the reply to send; None sends nothing."""
-        super().__init__("no answer" if reply is None else dns.rcode.to_text(dns.rcode.Rcode(reply[3] & 15)))
+        """Create the error from the reply to send, or None to send nothing."""
+        super().__init__("no reply" if reply is None else dns.rcode.to_text(dns.rcode.Rcode(reply[3] & 15)))
         self.reply = reply
--- a/swiftchute/dns/frontend.py
+++ b/swiftchute/dns/frontend.py
@@ -1,15 +1,15 @@
-"""The DNS frontend without I/O: the views of zones as proxies of the controller.
+"""The DNS frontend without I/O: serves a view per zone, each a proxy of the controller.
 
 Example:
     frontend = DnsFrontend(controller, settings, dns_settings, seed, wall_clock_offset_ns)
-    frontend.start(now_ns)                                  # the views connect
-    frontend.publish(controller.run_round(now_ns), now_ns)  # apply pushes; `due_ns` is the next call
+    frontend.start(now_ns)                                  # connect the views
+    frontend.publish(controller.run_round(now_ns), now_ns)  # apply pushes; call again at `due_ns`
     frontend.queries.answer_datagram(data, source, view, now_ns)
 
-A view is a proxy like any other: the controller assigns and pushes tables to it, and they pass the safety
-rules. Only its acknowledgement differs: a view has acknowledged a version once no answer of an earlier
-version can be in any cache, which is its time to live after the last one was given. So whatever the policy
-and the safety rules do about proxies that have not acknowledged holds for resolvers too.
+A view is a proxy like any other: the controller assigns and pushes tables to it, and the safety rules apply.
+Only its acknowledgement differs: a view acknowledges a version once no answer of an earlier version can be in
+any cache, which is one TTL after the last such answer was sent. So whatever the policy and the safety rules
+do about proxies that have not acknowledged also covers resolvers.
 """
 
 from dataclasses import dataclass, field
@@ -29,8 +29,8 @@
 
 NS_PER_S = 1_000_000_000
 CHECK_INTERVAL_NS = NS_PER_S // 4  # between measurements of the query rate
-DELIVERY_ALLOWANCE_NS = NS_PER_S // 4  # a resolver counts the time to live from when the answer arrives
-QUERY_RATE_SMOOTHING = 0.5  # the weight of the newest measurement
+DELIVERY_ALLOWANCE_NS = NS_PER_S // 4  # a resolver counts the TTL from the arrival of the answer
+QUERY_RATE_SMOOTHING = 0.5  # weight of the newest measurement
 _SERIAL_MASK = 0xFFFFFFFF
 
 ViewTablesByZone = dict[str, dict[str, ViewTable]]
@@ -44,8 +44,8 @@
         zone: The zone.
         contents: The table contents that were pushed to it, by operation.
         nonce: The newest nonce that it has not acknowledged; None if there is none.
-        awaits_expiry: Whether it was pushed to, and answers of before may still be in caches.
-        expires_at_ns: When the answers of before the newest version have expired.
+        awaits_expiry: Whether it received a push and earlier answers may still be cached.
+        expires_at_ns: When all answers of earlier versions have expired.
     """
 
     zone: str
@@ -56,15 +56,15 @@
 
 
 class DnsFrontend:
-    """The views of all zones for one incarnation.
+    """The views of all zones, for one incarnation.
 
     Attributes:
         controller: The controller.
         dns_settings: The values of the `dns` block.
-        wall_clock_offset_ns: Wall clock minus the clock of the controller, fixed. Serials are at least the
-            seconds of the wall clock, so that they are past those of earlier incarnations.
-        queries: Answers queries.
-        ttl_policy: Decides how long answers live.
+        wall_clock_offset_ns: Wall clock minus the clock of the controller, constant. Serials are at least
+            the wall clock in seconds, so that they exceed those of earlier incarnations.
+        queries: The handler of queries.
+        ttl_policy: Decides the TTL of answers.
         journal: The contents of zone transfers.
         secondaries: The secondary name servers.
     """
@@ -80,7 +80,7 @@
         """Create the views of all zones in the settings; none is connected yet.
 
         Raises:
-            DomainNameError: The origin, an operation or a zone cannot be represented in names.
+            DomainNameError: The origin, an operation or a zone cannot be represented in domain names.
         """
         self.controller = controller
         self.dns_settings = dns_settings
@@ -118,7 +118,7 @@
 
     @staticmethod
     def proxy_id(zone: str) -> str:
-        """Return the proxy id of the view of a zone; the xDS frontend rejects nodes of such an id."""
+        """Return the proxy id of the view of a zone; the xDS frontend rejects nodes with such an id."""
         return f"dns/{zone}"
 
     def start(self, now_ns: int) -> None:
@@ -128,7 +128,7 @@
             self._connect(proxy, view, fresh=True)
 
     def publish(self, output: RoundOutput, now_ns: int) -> None:
-        """Apply the pushes of a round, and acknowledge versions whose earlier answers have expired."""
+        """Apply the pushes of a round, and acknowledge versions once all earlier answers have expired."""
         self._published_at_ns = now_ns
         for proxy in output.overflowed_proxies:
             self._reconnect(proxy)
@@ -146,7 +146,7 @@
 
     @property
     def due_ns(self) -> int:
-        """When `publish` is to be called at the latest."""
+        """The latest time for the next call of `publish`."""
         check_interval_ns = max(CHECK_INTERVAL_NS, self._settings.report_interval_ns // 4)
         times_ns = [self._checked_at_ns + check_interval_ns]
         for view in self._view_by_proxy.values():
@@ -161,7 +161,7 @@
         return self.secondaries.due_notifies(now_ns)
 
     def on_notify_reply(self, source: str, data: bytes) -> None:
-        """A datagram came to where NOTIFY messages are sent from."""
+        """Handle a datagram received on the socket that sends NOTIFY messages."""
         self.secondaries.on_notify_reply(source, data)
 
     def _connect(self, proxy: str, view: _View, fresh: bool) -> None:
@@ -169,7 +169,7 @@
         self.controller.on_proxy_connected(proxy, view.zone, request_rate, fresh)
 
     def _reconnect(self, proxy: str) -> None:
-        """Connect a view anew whose messages exceed the egress queue; it serves what it has meanwhile."""
+        """Reconnect a view whose messages overflowed the egress queue; it keeps serving its tables."""
         view = self._view_by_proxy.get(proxy)
         if view is None:
             return
@@ -178,13 +178,13 @@
         self._connect(proxy, view, fresh=False)
 
     def _apply_push(self, proxy: str, nonce: int | None) -> bool:
-        """Apply a push to a view; return whether its contents were set."""
+        """Apply a push to a view; return whether its contents were replaced."""
         view = self._view_by_proxy.get(proxy)
         if view is None:
             return False
         tables = self.controller.tables_of(proxy)
         assigned = bool(tables.tables_by_operation)
-        if assigned:  # an unassigned view serves what it had
+        if assigned:  # a view without tables keeps serving its last contents
             view.contents = {
                 operation: tables.contents[table] for operation, table in tables.tables_by_operation
             }
@@ -194,7 +194,7 @@
         return assigned
 
     def _check_ttl(self, now_ns: int) -> bool:
-        """Measure the query rate and decide the time to live; return whether answers have to change."""
+        """Measure the query rate and decide the TTL; return whether answers have to change."""
         self._measure_query_rate(now_ns)
         if now_ns - self._reported_at_ns >= self._settings.report_interval_ns:
             self._report_load(now_ns)
@@ -220,7 +220,7 @@
         self._measured_answers = answers
 
     def _report_load(self, now_ns: int) -> None:
-        """Report the demand of each view; each answer stands for a fixed number of requests."""
+        """Report the load of each view; each answer counts as a fixed number of requests."""
         window_ns = now_ns - self._reported_at_ns
         self._reported_at_ns = now_ns
         for proxy, view in self._view_by_proxy.items():
@@ -237,9 +237,9 @@
                 self.controller.on_load_report(proxy, LoadReport(window_ns, tuple(demand), ()), now_ns)
 
     def _available_entries(self, content: TableContent) -> TableEntries:
-        """Return the entries of endpoints that neither drain nor are removed; all if there is no other.
+        """Return the entries of endpoints that are neither draining nor removed, or all if none remain.
 
-        The endpoint list may be ahead of the push.
+        The endpoint list may be newer than the pushed contents.
         """
         available = tuple(entry for entry in content.entries if entry.endpoint not in self._unavailable)
         return available or content.entries
@@ -254,7 +254,7 @@
         return tables
 
     def _collect_admission_rates(self) -> dict[tuple[str, str], float]:
-        """Return the share of queries that are answered, by zone and operation, if load is shed."""
+        """Return the admission rates by zone and operation; none if the frontend does not shed load."""
         if not self.dns_settings.sheds_load:
             return {}
         rates = {}
@@ -265,14 +265,14 @@
         return rates
 
     def _update_answers(self, now_ns: int) -> None:
-        """Make new answers of what the views hold, if the present ones were made of something else."""
+        """Replace the answers if the contents of the views, or what else they depend on, have changed."""
         tables, admission_rates = self._collect_tables(), self._collect_admission_rates()
         warming_up = self.controller.warming_endpoints(now_ns)
         if not tables:
             return
         old = self.queries.cache.records if self.queries.cache else None
-        present = (old.ttl_s, old.admission_rates, old.warming_up) if old else None
-        if present == (self._ttl_s, admission_rates, warming_up) and tables == self._tables:
+        current = (old.ttl_s, old.admission_rates, old.warming_up) if old else None
+        if current == (self._ttl_s, admission_rates, warming_up) and tables == self._tables:
             return
         if tables != self._tables:
             self.ttl_policy.on_answers_changed(now_ns)
@@ -292,7 +292,7 @@
         self.secondaries.on_serial_changed(serial, now_ns)
 
     def _extend_expiry(self, tables: ViewTablesByZone) -> None:
-        """Wait for the answers given so far by the views whose tables change."""
+        """For each view whose tables change, wait until the answers sent so far have expired."""
         for view in self._view_by_proxy.values():
             if tables.get(view.zone) == self._tables.get(view.zone):
                 continue
@@ -307,7 +307,7 @@
             view.expires_at_ns = max(view.expires_at_ns, cached_until_ns + DELIVERY_ALLOWANCE_NS)
 
     def _acknowledge_expired(self, now_ns: int) -> None:
-        """Acknowledge for the views whose earlier answers have expired."""
+        """Acknowledge the pushes of views whose earlier answers have expired."""
         obsolete_at_ns = self.secondaries.obsolete_at_ns()
         for proxy, view in self._view_by_proxy.items():
             if not view.awaits_expiry or now_ns < max(view.expires_at_ns, obsolete_at_ns):
--- a/swiftchute/dns/query.py
+++ b/swiftchute/dns/query.py
@@ -1,13 +1,13 @@
 """Parsing of queries and composition of replies. No I/O.
 
-Plain queries are parsed by hand, all others by dnspython. A query is plain if it is a standard query of one
-question with at most an OPT record without options beside it.
+Plain queries are parsed by this module itself, all others by dnspython. A query is plain if it is a standard
+query with one question and nothing else but, optionally, an OPT record without options.
 
 Example:
     query = parse_plain_query(data) or parse_query(data)
     reply = compose_reply(query, dns.rcode.NOERROR, sections)
 
-Sources: RFC 1035, section 4; EDNS0 by RFC 6891; client subnets by RFC 7871.
+References: RFC 1035, section 4; EDNS0 in RFC 6891; client subnets in RFC 7871.
 """
 
 import ipaddress
@@ -26,17 +26,17 @@
 
 HEADER_BYTES = 12
 OPT_RECORD_BYTES = 11  # without options
-MIN_PAYLOAD_BYTES = 512  # what every client accepts in a datagram (RFC 1035, section 4.2.1)
-MAX_PAYLOAD_BYTES = 1232  # fits the least IPv6 MTU of 1280 bytes without its IP and UDP headers
+MIN_PAYLOAD_BYTES = 512  # every client accepts this much over UDP (RFC 1035, section 4.2.1)
+MAX_PAYLOAD_BYTES = 1232  # the minimum IPv6 MTU of 1280 bytes less the IP and UDP headers
 
 _HEADER = struct.Struct("!HHHHHH")
-_MIN_QUERY_BYTES = HEADER_BYTES + 5  # with the root as its name
+_MIN_QUERY_BYTES = HEADER_BYTES + 5  # a question for the root
 _MAX_NAME_BYTES = 255
 _MAX_LABEL_BYTES = 63  # larger lengths are compression pointers
 
 _QR, _AA, _TC, _RD = 0x8000, 0x0400, 0x0200, 0x0100
 _OPCODE_MASK = 0x7800
-_OPT_PREFIX = b"\x00\x00\x29"  # the name of the root and the type OPT
+_OPT_PREFIX = b"\x00\x00\x29"  # the root name and the type OPT
 
 Network = ipaddress.IPv4Network | ipaddress.IPv6Network
 
@@ -46,8 +46,8 @@
     """The records of a reply in wire form.
 
     Attributes:
-        counts: The three counts of the header: answer, authority and additional records, two bytes each.
-        records: The records of the three sections, one after another.
+        counts: The header counts of answer, authority and additional records, two bytes each.
+        records: The records of the three sections, concatenated.
     """
 
     counts: bytes = b"\x00" * 6
@@ -59,18 +59,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Query:
-    """One question of a client.
+    """A query with one question.
 
     Attributes:
         message_id: The id of the message, two bytes.
         recursion_desired: Whether the client set RD.
-        question: The question section in wire form, in the case of the client.
-        name: The name of the question in wire form, in the case of the client.
+        question: The question section in wire form, with the case as received.
+        name: The name of the question in wire form, with the case as received.
         record_type: The type of the question.
         record_class: The class of the question.
-        payload_size_bytes: The datagram size of the OPT record; 0 if there is none.
-        subnet: The subnet of the client's own client, if given.
-        serial: The serial that an IXFR query holds, if any.
+        payload_size_bytes: The UDP payload size in the OPT record, at least 512; 0 without an OPT record.
+        subnet: The subnet in the client subnet option (ECS), if any.
+        serial: The serial in an IXFR query, if any.
         reply_options: The options of the OPT record of the reply in wire form.
     """
 
@@ -87,7 +87,7 @@
 
     @property
     def datagram_limit_bytes(self) -> int:
-        """The largest reply by datagram that both sides accept."""
+        """The largest reply over UDP that both sides accept."""
         return min(self.payload_size_bytes, MAX_PAYLOAD_BYTES) or MIN_PAYLOAD_BYTES
 
 
@@ -125,7 +125,7 @@
 
 
 def _find_name_end(data: bytes) -> int | None:
-    """Return the offset behind the uncompressed name of the question; None if there is no such name."""
+    """Return the offset after the uncompressed name of the question; None if there is no such name."""
     offset, end = HEADER_BYTES, len(data)
     while offset < end and data[offset]:
         if data[offset] > _MAX_LABEL_BYTES:
@@ -138,7 +138,7 @@
 
 
 def _parse_plain_opt(data: bytes, start: int) -> int | None:
-    """Return the payload size of an OPT record of version 0 without options that ends the message."""
+    """Return the payload size of a final OPT record of version 0 without options; None for other data."""
     if len(data) != start + OPT_RECORD_BYTES or data[start : start + 3] != _OPT_PREFIX:
         return None
     version, options_length = data[start + 6], data[start + 9 :]
@@ -148,7 +148,7 @@
 
 
 def compose_error(data: bytes, code: int) -> bytes | None:
-    """Return a reply that is only a header, to a message that may not be parsed; None if it is no query."""
+    """Return a header-only error reply to a possibly malformed message; None if it is not a query."""
     if not _is_query(data):
         return None
     flags = _QR | (int.from_bytes(data[2:4], "big") & (_OPCODE_MASK | _RD)) | code
@@ -163,13 +163,14 @@
     """Return the query of any message.
 
     Raises:
-        QueryError: The message is no query, malformed, signed, or of an opcode or EDNS version not served.
+        QueryError: The message is not a query, is malformed or signed, or its opcode or EDNS version is
+            not supported.
     """
     message = _parse_message(data)
     question = message.question[0]
     name = question.name.to_digestable()
     name_end = HEADER_BYTES + len(name)
-    if data[HEADER_BYTES:name_end].lower() != name:  # a compressed name cannot be repeated as it is
+    if data[HEADER_BYTES:name_end].lower() != name:  # a compressed name cannot be copied into the reply
         raise QueryError(compose_error(data, dns.rcode.FORMERR))
     subnet, reply_options = _parse_options(message, data)
     query = Query(
@@ -190,7 +191,7 @@
 
 
 def _parse_message(data: bytes) -> dns.message.Message:
-    """Return the message of one question in `data`; raise `QueryError` if it is none."""
+    """Return the message with one question in `data`; raise `QueryError` if it is not one."""
     if not _is_query(data):
         raise QueryError(None)
     if data[2] & (_OPCODE_MASK >> 8):
@@ -207,7 +208,7 @@
 
 
 def _parse_options(message: dns.message.Message, data: bytes) -> tuple[Network | None, bytes]:
-    """Return the subnet of the last ECS option, and the option that answers it; raise `QueryError`."""
+    """Return the subnet of the last ECS option and the option for the reply; may raise `QueryError`."""
     subnet: Network | None = None
     reply_options = b""
     for option in message.options:
@@ -217,14 +218,14 @@
             subnet = ipaddress.ip_network((option.address, option.srclen), strict=False)
         except ValueError:
             raise QueryError(compose_error(data, dns.rcode.FORMERR)) from None
-        # The scope is the given prefix: the answer holds for all of it (RFC 7871, section 7.2.1).
+        # The scope equals the given prefix: the answer is valid for all of it (RFC 7871, section 7.2.1).
         echoed = dns.edns.ECSOption(option.address, option.srclen, option.srclen).to_wire() or b""
         reply_options = struct.pack("!HH", dns.edns.OptionType.ECS, len(echoed)) + echoed
     return subnet, reply_options
 
 
 def _parse_serial(message: dns.message.Message) -> int | None:
-    """Return the serial of the SOA record that an IXFR query holds; None if there is none."""
+    """Return the serial of the SOA record in an IXFR query; None if there is none."""
     if message.question[0].rdtype != dns.rdatatype.IXFR:
         return None
     soa = [rrset for rrset in message.authority if rrset.rdtype == dns.rdatatype.SOA]
@@ -232,13 +233,13 @@
 
 
 def compose_reply(query: Query, code: int, sections: Sections, truncated: bool = False) -> bytes:
-    """Return the reply: header, the question as it came, sections, and an OPT record if the query had one.
+    """Return the reply: header, question as received, sections, and an OPT record if the query had one.
 
     Args:
-        query: The query that is answered.
-        code: The response code; its upper bits go into the OPT record.
+        query: The query to answer.
+        code: The response code; its upper bits are stored in the OPT record.
         sections: The records of the reply.
-        truncated: Whether TC is set, so that the client repeats the query by TCP.
+        truncated: Whether to set TC, so that the client retries over TCP.
     """
     flags = _QR | _AA | (_RD if query.recursion_desired else 0) | (_TC if truncated else 0) | (code & 15)
     if code in (dns.rcode.REFUSED, dns.rcode.SERVFAIL, dns.rcode.BADVERS):
--- a/swiftchute/dns/query_handler.py
+++ b/swiftchute/dns/query_handler.py
@@ -1,9 +1,9 @@
-"""Replies to queries, from the answers that the frontend published. No I/O, no clock.
+"""Replies to queries over UDP and TCP from the published answers. No I/O, no clock.
 
 Example:
     handler = QueryHandler(names, settings, journal, secondaries)
-    reply = handler.answer_datagram(data, source, view, now_ns)  # bytes; None: no reply
-    replies = handler.answer_stream(data, source, view, now_ns)  # of a message that came by TCP
+    reply = handler.answer_datagram(data, source, view, now_ns)  # bytes, or None for no reply
+    replies = handler.answer_stream(data, source, view, now_ns)  # to a message received over TCP
 """
 
 from collections.abc import Sequence
@@ -32,7 +32,7 @@
 
 MAX_TCP_MESSAGE_BYTES = 65_535
 _TRANSFER_TYPES = (dns.rdatatype.AXFR, dns.rdatatype.IXFR)
-_DROP, _TRUNCATE = Verdict.DROP, Verdict.TRUNCATE  # members are slow to look up per message
+_DROP, _TRUNCATE = Verdict.DROP, Verdict.TRUNCATE  # enum attributes are slow to look up for each message
 _META_TYPES = (dns.rdatatype.OPT, dns.rdatatype.TSIG)
 
 
@@ -40,10 +40,10 @@
     """Answers the queries of all views.
 
     Attributes:
-        cache: The answers of the newest version; None before there is one.
-        limiter: The rate limits for datagrams.
-        subnets: The zone of clients by their subnet, the longest prefix first.
-        counts: Messages by the names that they have in the log.
+        cache: The answers of the newest version; None before the first.
+        limiter: The rate limiter for queries over UDP.
+        subnets: Client subnets and their zones, the longest prefix first.
+        counts: Numbers of messages, by the names of the counters in the log.
     """
 
     def __init__(
@@ -68,13 +68,13 @@
         self._secondaries = secondaries
 
     def answer_datagram(self, data: bytes, source: str, view: str, now_ns: int) -> bytes | None:
-        """Return the reply to a datagram; None if there is to be none.
+        """Return the reply to a message received over UDP; None if it gets no reply.
 
         Args:
             data: The message.
-            source: The IP address that it came from.
-            view: The zone whose address it came to.
-            now_ns: The present time.
+            source: The IP address of the sender.
+            view: The zone whose view is served at the receiving address.
+            now_ns: The current time.
         """
         self.counts["queries"] += 1
         verdict = self.limiter.check(source, now_ns)
@@ -92,7 +92,7 @@
         return self._answer(query, view, query.datagram_limit_bytes, now_ns)
 
     def answer_stream(self, data: bytes, source: str, view: str, now_ns: int) -> list[bytes]:
-        """Return the replies to a message that came by TCP; the arguments are as for a datagram."""
+        """Return the replies to a message received over TCP; arguments as in `answer_datagram`."""
         self.counts["queries"] += 1
         self.limiter.mark_verified(source, now_ns)
         try:
@@ -117,7 +117,7 @@
         if query.reply_options:
             if self.subnets:
                 view = self._view_of_subnet(query.subnet, view)
-            else:  # a server that ignores subnets does not echo them (RFC 7871, section 7.2.1)
+            else:  # a server that ignores subnets must not echo them (RFC 7871, section 7.2.1)
                 query = replace(query, reply_options=b"")
         if self.cache is None:
             return compose_reply(query, dns.rcode.SERVFAIL, EMPTY_SECTIONS)
@@ -129,20 +129,20 @@
         return compose_reply(query, dns.rcode.REFUSED, EMPTY_SECTIONS)
 
     def _view_of_subnet(self, subnet: Network | None, default_view: str) -> str:
-        """Return the zone of the longest listed prefix that holds a subnet."""
+        """Return the zone of the longest configured prefix that contains a subnet."""
         if subnet is None:
             return default_view
         for network, zone in self.subnets:
-            # Only networks of one IP version can be compared.
+            # Only networks of the same IP version can be compared.
             if network.version == subnet.version and subnet.subnet_of(network):  # type: ignore[arg-type]
                 return zone
         return default_view
 
     def _transfer(self, query: Query, source: str, view: str, now_ns: int, by_tcp: bool) -> list[bytes]:
-        """Return the messages of a transfer, at least one.
+        """Return the messages that answer a transfer query, at least one.
 
-        An AXFR by datagram is malformed. An IXFR too large for a datagram gets only the SOA record, so that
-        the secondary repeats it by TCP (RFC 1995, section 2).
+        AXFR over UDP gets FORMERR. An IXFR that is too large for UDP gets only the SOA record, so that the
+        secondary retries over TCP (RFC 1995, section 2).
         """
         if not self._secondaries.may_transfer(view, source) or query.name.lower() != self._origin_wire:
             return [self._refuse(query)]
--- a/swiftchute/dns/records.py
+++ b/swiftchute/dns/records.py
@@ -28,7 +28,7 @@
 from dns.rdtypes.IN.SRV import SRV
 
 from swiftchute.controller.table_contents import TableEntry
-from swiftchute.dns.names import NameKind, NameOwner, OriginNames, endpoint_address
+from swiftchute.dns.names import NameInfo, NameKind, OriginNames, endpoint_address
 from swiftchute.dns.srv_weights import draw_answers, srv_weights
 
 IN = dns.rdataclass.IN
@@ -41,7 +41,7 @@
 _SRV_FIELDS_BYTES = 6  # priority, weight and port
 _IP_VERSIONS = (4, 6)
 _IP_VERSION_BY_TYPE: Mapping[int, int] = {dns.rdatatype.A: 4, dns.rdatatype.AAAA: 6}
-_NO_OWNER = NameOwner(NameKind.EMPTY_NON_TERMINAL)
+_NO_INFO = NameInfo(NameKind.EMPTY_NON_TERMINAL)
 
 
 @dataclass(frozen=True, slots=True)
@@ -132,7 +132,7 @@
 
     def exists(self, name: bytes) -> bool:
         """Return whether a name, in wire form and lower case, exists."""
-        return name in self._endpoint_by_target or name in self.names.owners
+        return name in self._endpoint_by_target or name in self.names.info_by_name
 
     def entries(self, operation: str, zone: str) -> TableEntries | None:
         """Return the entries of an operation for a zone; None if nothing is known of them yet."""
@@ -186,19 +186,19 @@
             record_type: The type of the question.
             view: The zone that names without a zone stand for.
         """
-        owner = self.names.owners.get(name, _NO_OWNER)
-        zone = owner.zone or view
-        serves_table = owner.kind in (NameKind.SERVICE, NameKind.HOST)
-        if serves_table and self.entries(owner.operation, zone) is None:
+        info = self.names.info_by_name.get(name, _NO_INFO)
+        zone = info.zone or view
+        serves_table = info.kind in (NameKind.SERVICE, NameKind.HOST)
+        if serves_table and self.entries(info.operation, zone) is None:
             return LookupResult(known=False)
         if record_type == dns.rdatatype.ANY:
-            has_records = owner.kind is not NameKind.EMPTY_NON_TERMINAL or name in self._endpoint_by_target
+            has_records = info.kind is not NameKind.EMPTY_NON_TERMINAL or name in self._endpoint_by_target
             return LookupResult((self._any_answer(name),)) if has_records else LookupResult()
         if serves_table:
-            return self._lookup_operation(owner, record_type, zone)
-        if owner.kind is NameKind.ORIGIN:
+            return self._lookup_operation(info, record_type, zone)
+        if info.kind is NameKind.ORIGIN:
             return self._lookup_origin(record_type)
-        if owner.kind is NameKind.NAME_SERVER:
+        if info.kind is NameKind.NAME_SERVER:
             endpoint = self.layout.name_server_address
         else:
             endpoint = self._endpoint_by_target.get(name, "")
@@ -213,14 +213,14 @@
             return LookupResult((self.ns(),))
         return LookupResult()
 
-    def _lookup_operation(self, owner: NameOwner, record_type: int, zone: str) -> LookupResult:
-        operation = owner.operation
-        if owner.kind is NameKind.SERVICE and record_type == dns.rdatatype.SRV:
+    def _lookup_operation(self, info: NameInfo, record_type: int, zone: str) -> LookupResult:
+        operation = info.operation
+        if info.kind is NameKind.SERVICE and record_type == dns.rdatatype.SRV:
             records = self.srv_records(operation, zone)
             additional = self._target_addresses(operation, zone)
             return LookupResult(records=records, additional=additional, operation=operation, zone=zone)
         ip_version = _IP_VERSION_BY_TYPE.get(record_type)
-        if owner.kind is NameKind.HOST and ip_version:
+        if info.kind is NameKind.HOST and ip_version:
             draws = tuple(self.draws(operation, zone, ip_version))
             return LookupResult(draws=draws, operation=operation, zone=zone)
         return LookupResult()
