--- a/swiftchute/dns/rate_limit.py
+++ b/swiftchute/dns/rate_limit.py
@@ -1,13 +1,13 @@
-"""Rate limits for answers by datagram, whose source address may be forged. No I/O, no clock.
+"""Rate limits for answers over UDP, where source addresses may be forged. No I/O, no clock.
 
 Example:
     limiter = RateLimiter(answers_per_s=200.0, truncate_every=2, unknown_answers_per_s=1000.0)
     limiter.check("192.0.2.7", now_ns)         # a Verdict
-    limiter.mark_verified("192.0.2.7", now_ns)  # it came by TCP, so its address is not forged
+    limiter.mark_verified("192.0.2.7", now_ns)  # it sent a query over TCP, so its address is not forged
 
-Each network prefix has a rate of answers. Prefixes not seen before share one rate, so that a flood from
-forged addresses gets few answers whatever number of prefixes it uses; a source that comes by TCP is known
-from then on. Of the queries beyond a rate every `truncate_every`-th is truncated and the others are dropped.
+Each known network prefix has its own rate of answers. Unknown prefixes share one rate, so that a flood from
+forged addresses gets few answers no matter how many prefixes it uses. A query over TCP makes its prefix
+known. Of the queries beyond a rate, every `truncate_every`-th gets a truncated reply; the others are dropped.
 """
 
 import enum
@@ -18,28 +18,28 @@
 NS_PER_S = 1_000_000_000
 IPV4_PREFIX_BITS = 24
 IPV6_PREFIX_BITS = 56
-MAX_KNOWN_PREFIXES_ENTRIES = 50_000  # past it the one that was silent for longest becomes unknown again
-MAX_CACHED_PREFIXES_ENTRIES = 65_536
-BURST_NS = 2 * NS_PER_S  # how long an unused rate accumulates
+MAX_KNOWN_PREFIXES = 50_000  # beyond it, the least recently seen prefix becomes unknown again
+MAX_CACHED_PREFIXES = 65_536
+BURST_NS = 2 * NS_PER_S  # for how long unused capacity accumulates
 
 
 class Verdict(enum.StrEnum):
-    """What a query by datagram gets; the values are the names of the counters."""
+    """How a query over UDP is handled; the values are the names of counters in the log."""
 
     ANSWER = "answer"
-    TRUNCATE = "cut"  # a header with TC alone, so that the client repeats the query by TCP
+    TRUNCATE = "cut"  # an empty reply with TC set, so that the client retries over TCP
     DROP = "drop"
 
 
-_ANSWER = Verdict.ANSWER  # members are slow to look up per message
+_ANSWER = Verdict.ANSWER  # enum attributes are slow to look up for each message
 
 
-@lru_cache(maxsize=MAX_CACHED_PREFIXES_ENTRIES)
+@lru_cache(maxsize=MAX_CACHED_PREFIXES)
 def network_prefix(source: str) -> str:
-    """Return the network that a source address is counted with.
+    """Return the network prefix that a source address is counted under.
 
     Raises:
-        ValueError: The source is no IP address.
+        ValueError: The source is not an IP address.
     """
     address = ipaddress.ip_address(source.partition("%")[0])
     bits = IPV4_PREFIX_BITS if address.version == 4 else IPV6_PREFIX_BITS
@@ -47,10 +47,10 @@
 
 
 class _Bucket:
-    """A rate of answers that accumulates for `BURST_NS`.
+    """A token bucket with a capacity of `BURST_NS` of unused time.
 
     Attributes:
-        rejected: Queries beyond the rate.
+        rejected: Number of queries beyond the rate.
     """
 
     __slots__ = ("_used_until_ns", "rejected")
@@ -60,7 +60,7 @@
         self.rejected = 0
 
     def take(self, cost_ns: int, now_ns: int) -> bool:
-        """Take one answer of the cost of `cost_ns`; return whether there was one."""
+        """Take an answer that costs `cost_ns` of unused time; return whether enough was left."""
         start_ns = max(self._used_until_ns, now_ns - BURST_NS)
         if start_ns + cost_ns > now_ns:
             return False
@@ -69,10 +69,10 @@
 
 
 class RateLimiter:
-    """Limits answers per network prefix; the number of known prefixes is bounded.
+    """Limits answers per network prefix, for a bounded number of known prefixes.
 
     Attributes:
-        verdict_counts: How often each verdict was given.
+        verdict_counts: Number of queries with each verdict.
     """
 
     def __init__(
@@ -81,24 +81,25 @@
         """Create the limiter.
 
         Args:
-            answers_per_s: The rate of each known prefix; 0 means no limit.
-            truncate_every: Which of the queries beyond a rate are truncated; 0 drops all.
-            unknown_answers_per_s: The rate that all unknown prefixes share.
+            answers_per_s: The rate for each known prefix; 0 means no limit at all.
+            truncate_every: One in this many queries beyond a rate is truncated, the others are dropped; 0
+                drops all.
+            unknown_answers_per_s: The rate shared by all unknown prefixes.
         """
         self._cost_ns = int(NS_PER_S / answers_per_s) if answers_per_s else 0
         self._unknown_cost_ns = int(NS_PER_S / unknown_answers_per_s)
         self._truncate_every = truncate_every
-        self._bucket_by_prefix: OrderedDict[str, _Bucket] = OrderedDict()  # longest silent first
+        self._bucket_by_prefix: OrderedDict[str, _Bucket] = OrderedDict()  # least recently seen first
         self._unknown_bucket = _Bucket(-BURST_NS)
         self.verdict_counts = dict.fromkeys(Verdict, 0)
 
     @property
     def known_prefixes(self) -> list[str]:
-        """The known prefixes, the one that was silent for longest first."""
+        """The known prefixes, the least recently seen first."""
         return list(self._bucket_by_prefix)
 
     def check(self, source: str, now_ns: int) -> Verdict:
-        """Return what a query by datagram from this source gets."""
+        """Return the verdict on a query over UDP from this source."""
         if not self._cost_ns:
             return _ANSWER
         prefix = network_prefix(source)
@@ -117,12 +118,12 @@
         return self._count(Verdict.TRUNCATE if truncates else Verdict.DROP)
 
     def mark_verified(self, source: str, now_ns: int) -> None:
-        """Make the prefix of a source known, because its address is not forged."""
+        """Mark the prefix of a source as known, because the source address is verified."""
         if self._cost_ns and network_prefix(source) not in self._bucket_by_prefix:
             self._add_known(network_prefix(source), now_ns)
 
     def _add_known(self, prefix: str, now_ns: int) -> None:
-        if len(self._bucket_by_prefix) >= MAX_KNOWN_PREFIXES_ENTRIES:
+        if len(self._bucket_by_prefix) >= MAX_KNOWN_PREFIXES:
             self._bucket_by_prefix.popitem(last=False)
         self._bucket_by_prefix[prefix] = _Bucket(now_ns)
 
--- a/swiftchute/dns/srv_weights.py
+++ b/swiftchute/dns/srv_weights.py
@@ -1,11 +1,12 @@
-"""Weights of a table in answers: SRV weights, and draws for answers without weights. No I/O.
+"""Weights of table entries in answers: SRV weights, and draws for address answers. No I/O.
 
 Example:
-    srv_weights(entries)                                     # 1 to 65535 each, nearly in proportion
-    draw_answers(entries, endpoints_per_draw=4, min_draws=256)  # first places in proportion to the weights
+    srv_weights(entries)  # 1 to 65535 each, approximately in proportion
+    draw_answers(entries, endpoints_per_draw=4, min_draws=256)  # endpoints are first in proportion to weights
 
-A draw cannot represent a small weight: a resolver that caches one sends all of its requests to the few
-endpoints in it. So the caller leaves out endpoints that are warming up.
+Address records have no weights, so address answers rotate through draws: short lists of endpoints, of which
+most clients use the first. A draw cannot represent a small weight: a resolver that caches one sends all of
+its requests to the few endpoints in it. So the caller leaves out endpoints that are warming up.
 """
 
 from collections.abc import Sequence
@@ -13,7 +14,7 @@
 from swiftchute.controller.table_contents import TableEntry
 from swiftchute.versions.encoding import WEIGHT_SCALE
 
-MIN_SRV_WEIGHT = 1  # weight 0 means that there is no choice to make (RFC 2782)
+MIN_SRV_WEIGHT = 1  # weight 0 means that there is no server selection to do (RFC 2782)
 MAX_SRV_WEIGHT = 65_535  # 16 bits (RFC 2782)
 MAX_DRAWS = 1024
 
@@ -21,8 +22,8 @@
 def srv_weights(entries: Sequence[TableEntry]) -> list[int]:
     """Return the SRV weight of each entry.
 
-    Weights are the units of the stored table while they fit, so that one changed entry is one changed record;
-    otherwise all are scaled down together. No entry is lost: each has at least `MIN_SRV_WEIGHT`.
+    If they fit, the weights are the weight units of the stored table, so that one changed entry changes one
+    record; otherwise all are scaled down together. Each weight is at least `MIN_SRV_WEIGHT`.
     """
     units = [entry.weight * WEIGHT_SCALE for entry in entries]
     divisor = max(max(units, default=0.0) / MAX_SRV_WEIGHT, 1.0)
@@ -30,9 +31,9 @@
 
 
 def apportion(weights: Sequence[float], total: int) -> list[int]:
-    """Divide `total` in proportion to the weights by the largest remainders; each part is at least 1.
+    """Divide `total` in proportion to the weights by the largest remainder method; each part is at least 1.
 
-    The parts add up to more than `total` where the least part of 1 requires it.
+    The sum of the parts exceeds `total` if the minimum of 1 requires it.
     """
     weight_sum = sum(weights)
     exact = [weight / weight_sum * total for weight in weights]
@@ -48,13 +49,13 @@
 
 
 def draw_answers(entries: Sequence[TableEntry], endpoints_per_draw: int, min_draws: int) -> list[list[str]]:
-    """Return draws in which endpoints stand first in proportion to their weights, evenly spread.
+    """Return draws in which endpoints are first in proportion to their weights, evenly spread.
 
     Args:
         entries: The entries to draw from.
-        endpoints_per_draw: How many endpoints a draw has, if there are as many; the first is followed by
-            others drawn in the same way.
-        min_draws: How many draws are made at least, up to `MAX_DRAWS`.
+        endpoints_per_draw: The number of endpoints in a draw, if there are that many; the endpoints after
+            the first are chosen in the same way.
+        min_draws: The minimum number of draws, up to `MAX_DRAWS`.
     """
     if not entries:
         return []
@@ -62,7 +63,7 @@
     smallest_share = min(entry.weight for entry in entries) / sum(entry.weight for entry in entries)
     draw_count = min(max(min_draws, len(entries), round(1 / smallest_share)), MAX_DRAWS)
     first_places = apportion([entry.weight for entry in entries], draw_count)
-    # Each endpoint stands at even distances, so that any stretch of draws holds all in proportion.
+    # Each endpoint appears at even distances, so that any run of draws contains all in proportion.
     positions = sorted(
         ((turn + 0.5) / count, index) for index, count in enumerate(first_places) for turn in range(count)
     )
@@ -71,7 +72,7 @@
 
 
 def _take_distinct(order: Sequence[str], start: int, count: int) -> list[str]:
-    """Return the first `count` distinct endpoints of a cyclic order from `start` on."""
+    """Return the first `count` distinct endpoints of a cyclic order, beginning at `start`."""
     picked: dict[str, None] = {}
     for step in range(len(order)):
         picked[order[(start + step) % len(order)]] = None
--- a/swiftchute/dns/zone_transfer.py
+++ b/swiftchute/dns/zone_transfer.py
@@ -2,11 +2,11 @@
 
 Example:
     journal = ZoneJournal(history, names, layout, ttl_s)
-    journal.record(serial, tables_by_zone, warming_up)  # what the views hold from now on, by version
-    journal.transfer(view, since_serial)                # the answer sections of the messages
+    journal.record(serial, tables_by_zone, warming_up)  # the views serve these tables from now on
+    journal.transfer(view, since_serial)                # the answer section of each message
 
-The history of a zone is that of its tables: the journal holds serials and the versions that were in force;
-contents come from the version history. IXFR by RFC 1995 (condensed to one difference), AXFR by RFC 5936.
+The journal maps each serial to the table versions that were served under it; contents are loaded from the
+version history. IXFR follows RFC 1995 (condensed to one difference), AXFR follows RFC 5936.
 """
 
 from collections import OrderedDict
@@ -21,8 +21,8 @@
 from swiftchute.versions.encoding import WEIGHT_SCALE
 from swiftchute.versions.history import VersionHistory
 
-MAX_JOURNAL_ENTRIES = 256  # serials that a difference can be given from; past it the whole zone is sent
-MAX_RECORDS_PER_MESSAGE = 200  # about ten kilobytes
+MAX_JOURNAL_ENTRIES = 256  # serials that IXFR can start from; for older ones the whole zone is sent
+MAX_RECORDS_PER_MESSAGE = 200  # about 10 kB
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,7 +30,7 @@
     """The table of an operation as a view serves it.
 
     Attributes:
-        version: Its version; empty if the entries are those of no version.
+        version: Its version; empty if the entries match no version.
         entries: Its entries.
     """
 
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _JournalEntry:
-    """What the views held at a serial: by zone and operation a version, or entries without one."""
+    """What the views served at a serial: by zone and operation a version, or entries that match none."""
 
     tables: Mapping[str, Mapping[str, bytes | TableEntries]]
     warming_up: frozenset[str]
@@ -53,11 +53,11 @@
     """The serials of one incarnation, newest last.
 
     Attributes:
-        entries: What the views held, by serial.
+        entries: What the views served, by serial.
     """
 
     def __init__(self, history: VersionHistory, names: OriginNames, layout: RecordLayout, ttl_s: int) -> None:
-        """Create an empty journal; `ttl_s` is that of all records in transfers, so that it never differs."""
+        """Create an empty journal; `ttl_s` is constant in transfers, so that it causes no differences."""
         self.entries: OrderedDict[int, _JournalEntry] = OrderedDict()
         self._history = history
         self._names = names
@@ -65,7 +65,7 @@
         self._ttl_s = ttl_s
 
     def record(self, serial: int, tables: ViewTables, warming_up: frozenset[str]) -> None:
-        """Add a serial with what the views hold from now on."""
+        """Add a serial with the tables that the views serve from now on."""
         stored = {
             zone: {operation: self._version_or_entries(table) for operation, table in by_operation.items()}
             for zone, by_operation in tables.items()
@@ -81,11 +81,11 @@
 
     @property
     def serial(self) -> int:
-        """The newest serial; 0 before there is one."""
+        """The newest serial; 0 before the first."""
         return next(reversed(self.entries), 0)
 
     def records(self, serial: int) -> ZoneRecords | None:
-        """Return the records of a serial; None if it, or a version in it, is no longer retained."""
+        """Return the records of a serial; None if it or one of its versions is no longer retained."""
         journal_entry = self.entries.get(serial)
         if journal_entry is None:
             return None
@@ -114,8 +114,8 @@
 
         Args:
             view: The zone whose view is transferred.
-            since_serial: The serial that the secondary holds. The transfer holds the difference from it; only
-                the SOA record if nothing changed; the whole zone if it is None or no longer retained.
+            since_serial: The serial that the secondary holds. The transfer contains the difference from it;
+                only the SOA record if nothing changed; the whole zone if it is None or no longer retained.
         """
         new = self.records(self.serial)
         if new is None:
@@ -133,7 +133,7 @@
 
 
 def _split_rrsets(rrsets: list[dns.rrset.RRset]) -> dict[tuple[object, ...], dns.rrset.RRset]:
-    """Return sets of one record each, by name, type and data."""
+    """Return an RRset for each single record, by name, type and data."""
     return {
         (rrset.name, rrset.rdtype, rdata): dns.rrset.from_rdata(rrset.name, rrset.ttl, rdata)
         for rrset in rrsets
--- a/tests/dns/test_frontend.py
+++ b/tests/dns/test_frontend.py
@@ -385,7 +385,7 @@
 
 
 def test_the_prefix_that_was_silent_for_longest_is_evicted(monkeypatch):
-    monkeypatch.setattr(rate_limit, "MAX_KNOWN_PREFIXES_ENTRIES", 3)
+    monkeypatch.setattr(rate_limit, "MAX_KNOWN_PREFIXES", 3)
     limiter = RateLimiter(100.0, unknown_answers_per_s=1e6)
     for k in range(10):
         limiter.check(f"10.0.{k}.1", NOW_NS + k)
