--- a/swiftchute/dns/records.py
+++ b/swiftchute/dns/records.py
@@ -1,13 +1,13 @@
-"""The resource records under an origin, made of the tables of the views of zones. No I/O, no clock.
+"""The resource records under an origin, made from the tables of the zones' views. No I/O, no clock.
 
 Example:
     records = ZoneRecords(names, entries_by_zone, warming_up, ttl_s, serial, layout)
     records.lookup(name, record_type, view)  # a LookupResult, for a name that exists
-    records.all_records(view)                # every record, as a transfer holds them
+    records.all_records(view)                # all records, for a zone transfer
 
-A view says which zone the names without a zone stand for. SRV records follow RFC 2782, with the addresses of
-the targets beside them; SOA records of denials RFC 2308; the short answer to ANY RFC 8482. Draws of addresses
-leave out endpoints that are warming up while there are others (see `srv_weights`).
+A view is the zone that is meant by names without a zone. SRV records follow RFC 2782 and are sent with the
+addresses of their targets; SOA records in negative answers follow RFC 2308; the short answer to ANY follows
+RFC 8482. Draws of addresses omit endpoints that are warming up while there are others (see `srv_weights`).
 """
 
 import struct
@@ -34,7 +34,7 @@
 IN = dns.rdataclass.IN
 TableEntries = tuple[TableEntry, ...]
 
-_QUESTION_NAME = 0xC00C  # a compression pointer at the name of the question, which follows the header
+_QUESTION_NAME = 0xC00C  # a compression pointer to the name of the question, right after the header
 _QUESTION_NAME_BYTES = _QUESTION_NAME.to_bytes(2, "big")
 _RECORD_FIELDS = struct.Struct("!HHIH")  # type, class, TTL, length
 _SRV_RECORD = struct.Struct("!HHHIHHHH")  # owner, type, class, TTL, length, priority, weight, port
@@ -46,16 +46,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordLayout:
-    """How records are laid out.
+    """Settings of the records.
 
     Attributes:
-        addresses_per_answer: Endpoints in an answer without weights.
-        min_draws: Draws of addresses that take turns, at least.
-        remote_entries: "shared": entries of other zones count by weight; "spare": they have a lower priority,
-            so that clients use them once no endpoint of the zone answers.
+        addresses_per_answer: Number of endpoints in an address answer.
+        min_draws: Minimum number of address draws to rotate through.
+        remote_entries: "shared": entries of other zones are used by weight; "spare": they have a lower
+            priority, so that clients use them only if no endpoint of the zone answers.
         refresh_s: The refresh and retry time of the SOA record.
         expire_s: The expire time of the SOA record.
-        name_server_address: Our own `address:port`; empty if it is not given out.
+        name_server_address: The `address:port` of this server; empty if it is not published.
     """
 
     addresses_per_answer: int = 4
@@ -68,16 +68,16 @@
 
 @dataclass(frozen=True, slots=True)
 class LookupResult:
-    """What answers a question; without any record it is a denial.
+    """The records that answer a question; without any, the answer is negative (no data).
 
     Attributes:
-        rrsets: Sets of records with their names in full.
+        rrsets: RRsets to send without name compression.
         records: Records in wire form whose owner is the name of the question.
         additional: The addresses of the targets of `records`, in wire form.
-        draws: Endpoints of address answers that take turns; their records are made when their turn comes.
+        draws: The endpoints of each address answer in the rotation; records are made when an answer is sent.
         operation: The operation that the answer depends on; empty if none.
         zone: The zone that the answer depends on; empty if none.
-        known: False if nothing is known of the operation yet (SERVFAIL).
+        known: False if there is no table of the operation yet (SERVFAIL).
     """
 
     rrsets: tuple[dns.rrset.RRset, ...] = ()
@@ -90,7 +90,7 @@
 
 
 class _SrvTarget(msgspec.Struct, frozen=True, gc=False):
-    """The fields of an SRV record, with the endpoint in place of its name."""
+    """The fields of an SRV record, with the endpoint instead of its domain name."""
 
     endpoint: str
     priority: int
@@ -104,12 +104,12 @@
 
     Attributes:
         names: The names under the origin.
-        entries_by_zone: By zone and operation the entries that a proxy of that zone would hold.
+        entries_by_zone: The table entries for a proxy of a zone, by zone and operation.
         warming_up: Endpoints that are warming up.
-        ttl_s: The time to live of all records.
+        ttl_s: The TTL of all records.
         serial: The serial of the SOA record.
-        layout: How records are laid out.
-        admission_rates: By zone and operation the share of queries that are answered, 0 to 1; others have 1.
+        layout: Settings of the records.
+        admission_rates: The fraction of queries to answer, 0 to 1, by zone and operation; 1 if absent.
     """
 
     names: OriginNames
@@ -121,7 +121,7 @@
     admission_rates: Mapping[tuple[str, str], float] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        """Index the names of targets; records are made on demand."""
+        """Index the names of SRV targets; records are made on demand."""
         target_wire = self.names.target_wire
         self._endpoint_by_target = {
             target_wire(endpoint): endpoint
@@ -135,18 +135,18 @@
         return name in self._endpoint_by_target or name in self.names.info_by_name
 
     def entries(self, operation: str, zone: str) -> TableEntries | None:
-        """Return the entries of an operation for a zone; None if nothing is known of them yet."""
+        """Return the entries of an operation for a zone; None if there is no table yet."""
         return self.entries_by_zone.get(zone, {}).get(operation)
 
     def soa(self) -> dns.rrset.RRset:
-        """Return the SOA record; its last field is how long a denial may be cached."""
+        """Return the SOA record; its last field is how long a negative answer may be cached."""
         names, layout = self.names, self.layout
         times = (layout.refresh_s, layout.refresh_s, layout.expire_s, self.ttl_s)
         rdata = SOA(IN, dns.rdatatype.SOA, names.name_server, names.mailbox, self.serial, *times)
         return dns.rrset.from_rdata(names.origin, self.ttl_s, rdata)
 
     def ns(self) -> dns.rrset.RRset:
-        """Return the NS record, of the one name server that is given out."""
+        """Return the NS record, with the only name server that is published."""
         rdata = NS(IN, dns.rdatatype.NS, self.names.name_server)
         return dns.rrset.from_rdata(self.names.origin, self.ttl_s, rdata)
 
@@ -160,14 +160,14 @@
         return tuple(records)
 
     def address_record(self, endpoint: str, owner: bytes = _QUESTION_NAME_BYTES) -> bytes:
-        """Return the address record of an endpoint; `owner` is its name in wire form."""
+        """Return the address record of an endpoint; `owner` is the owner name in wire form."""
         address = endpoint_address(endpoint)
         record_type = dns.rdatatype.A if address.version == 4 else dns.rdatatype.AAAA
         fields = _RECORD_FIELDS.pack(record_type, IN, self.ttl_s, len(address.packed))
         return owner + fields + address.packed
 
     def draws(self, operation: str, zone: str, ip_version: int) -> list[tuple[str, ...]]:
-        """Return the endpoints of the address answers that take turns, all of one IP version."""
+        """Return the endpoints of each address answer in the rotation, all of the same IP version."""
         entries = [
             entry
             for entry in self.entries(operation, zone) or ()
@@ -179,12 +179,12 @@
         return [tuple(endpoints) for endpoints in draws]
 
     def lookup(self, name: bytes, record_type: int, view: str) -> LookupResult:
-        """Return what answers a question for a name that exists.
+        """Return the records that answer a question for an existing name.
 
         Args:
             name: The name in wire form and lower case.
             record_type: The type of the question.
-            view: The zone that names without a zone stand for.
+            view: The zone that is meant by names without a zone.
         """
         info = self.names.info_by_name.get(name, _NO_INFO)
         zone = info.zone or view
@@ -226,7 +226,7 @@
         return LookupResult()
 
     def all_records(self, view: str) -> list[dns.rrset.RRset]:
-        """Return every record but the SOA; addresses of an operation are those of the first draw."""
+        """Return all records but the SOA; the addresses of an operation are those of its first draw."""
         rrsets: list[dns.rrset.RRset] = [self.ns()]
         endpoint_by_address: dict[str, str] = {}
         for name_zone in (None, *self.names.zones):
@@ -279,7 +279,7 @@
         ]
 
     def _target_addresses(self, operation: str, zone: str) -> tuple[bytes, ...]:
-        """Return the addresses of the targets of an operation, one per name: ports of an address share it."""
+        """Return the addresses of the targets of an operation, one per name (that of all ports)."""
         endpoint_by_target = {
             self.names.target_wire(endpoint): endpoint
             for endpoint, _, _ in self.entries(operation, zone) or ()
@@ -287,7 +287,7 @@
         return tuple(self.address_record(endpoint, name) for name, endpoint in endpoint_by_target.items())
 
     def _address_rrset(self, owner: dns.name.Name, endpoints: tuple[str, ...]) -> dns.rrset.RRset:
-        """Return the addresses of these endpoints in this order, as most clients use the first."""
+        """Return the addresses of endpoints in the given order, because most clients use the first."""
         rdatas: list[dns.rdata.Rdata] = []
         for endpoint in endpoints:
             address = endpoint_address(endpoint)
--- a/swiftchute/dns/secondaries.py
+++ b/swiftchute/dns/secondaries.py
@@ -1,14 +1,14 @@
-"""The listed secondary name servers: NOTIFY messages to them, and what they still serve. No I/O, no clock.
+"""The configured secondary name servers: NOTIFY messages, and the serials they serve. No I/O, no clock.
 
 Example:
     secondaries = SecondaryServers([("north", ("127.0.0.1", 53))], origin, expire_ns, ttl_ns, seed)
     secondaries.on_serial_changed(serial, now_ns)
     secondaries.due_notifies(now_ns)               # the NOTIFY messages to send now
     secondaries.on_serial_seen("north", "127.0.0.1", serial, newest_serial, now_ns)
-    secondaries.obsolete_at_ns()                   # when nobody serves an older serial
+    secondaries.obsolete_at_ns()                   # from when on no older serial is in use
 
-NOTIFY by RFC 1996. A secondary that does not transfer a change serves the old zone until its expire time;
-until then the change is not acknowledged.
+NOTIFY follows RFC 1996. A secondary that does not transfer a change serves the old zone until that expires;
+the change is not acknowledged before.
 """
 
 import random
@@ -27,9 +27,9 @@
 from swiftchute.dns.settings import Address
 
 NS_PER_S = 1_000_000_000
-MAX_NOTIFY_ATTEMPTS = 5  # of each serial
+MAX_NOTIFY_ATTEMPTS = 5  # per serial and secondary
 FIRST_RETRY_NS = NS_PER_S // 2  # the interval doubles with each attempt
-RETRY_JITTER = (0.75, 1.25)  # the factors that an interval is multiplied with at random
+RETRY_JITTER = (0.75, 1.25)  # range of the random factor of each interval
 _NO_MESSAGE_ID = -1
 _NOTIFY_REPLY_BITS = 0xA0  # QR and opcode NOTIFY in the third byte of the header
 _REPLY_BITS_MASK = 0xF8
@@ -48,13 +48,13 @@
     """One secondary of a view.
 
     Attributes:
-        address: Where NOTIFY messages go.
+        address: The address that NOTIFY messages are sent to.
         serial: The serial that it holds.
-        serial_seen_at_ns: When it was last known to hold `serial`; None if nothing is known of it.
-        outdated_since_ns: When the first serial came that it does not hold; None if it holds the newest.
-        attempts: NOTIFY messages sent of the newest serial.
+        serial_seen_at_ns: When it was last known to hold `serial`; None if it never was.
+        outdated_since_ns: When the first serial that it lacks was created; None if it holds the newest.
+        attempts: Number of NOTIFY messages sent for the newest serial.
         notify_due_ns: When the next NOTIFY is due; None if none is.
-        message_id: The id of the last NOTIFY.
+        message_id: The message id of the last NOTIFY.
     """
 
     address: Address
@@ -67,15 +67,15 @@
 
 
 class SecondaryServers:
-    """The listed secondaries by view; others may not transfer a zone.
+    """The configured secondaries of each view; no other host may transfer a zone.
 
     Attributes:
-        unanswered_notifies: Serials whose last NOTIFY to a secondary was not answered.
+        unanswered_notifies: Number of times that a secondary answered no NOTIFY for a serial.
     """
 
     def __init__(
         self,
-        listed: Collection[tuple[str, Address]],
+        configured: Collection[tuple[str, Address]],
         origin: dns.name.Name,
         expire_ns: int,
         ttl_ns: int,
@@ -84,11 +84,11 @@
         """Create the secondaries.
 
         Args:
-            listed: View and address of each.
+            configured: The view and the address of each secondary.
             origin: The name of the zone.
             expire_ns: How long a secondary serves a zone that it cannot refresh.
-            ttl_ns: The time to live of the records that it serves.
-            seed: Of the message ids and the intervals between attempts.
+            ttl_ns: The TTL of the records that it serves.
+            seed: The random seed for message ids and the intervals between attempts.
         """
         self.unanswered_notifies = 0
         self._origin = origin
@@ -96,7 +96,7 @@
         self._ttl_ns = ttl_ns
         self._random = random.Random(seed)
         self._secondaries_by_source: dict[tuple[str, str], list[_Secondary]] = {}  # by view and host
-        for view, address in listed:
+        for view, address in configured:
             self._secondaries_by_source.setdefault((view, address[0]), []).append(_Secondary(address))
 
     def may_transfer(self, view: str, host: str) -> bool:
@@ -113,7 +113,7 @@
                     secondary.outdated_since_ns = now_ns
 
     def on_serial_seen(self, view: str, host: str, serial: int, newest_serial: int, now_ns: int) -> None:
-        """A secondary of a view was given a serial, or asked with it."""
+        """Record that a secondary of a view holds a serial, because it was sent it or asked with it."""
         for secondary in self._secondaries_by_source.get((view, host), ()):
             secondary.serial = serial
             secondary.serial_seen_at_ns = now_ns
@@ -121,7 +121,7 @@
                 secondary.outdated_since_ns = secondary.notify_due_ns = None
 
     def obsolete_at_ns(self) -> int:
-        """Return when no secondary, and no resolver that asked one, uses a serial before the newest."""
+        """Return from when on no secondary or resolver behind one uses a serial before the newest."""
         latest_ns = 0
         for secondaries in self._secondaries_by_source.values():
             for secondary in secondaries:
@@ -129,7 +129,7 @@
                     continue  # it has not transferred a zone from this incarnation
                 if secondary.outdated_since_ns is not None:
                     # It may have refreshed just before the new serial: it serves the old zone until that
-                    # expires, and its last answer is cached for the time to live.
+                    # expires, and resolvers cache its last answer for the TTL.
                     obsolete_ns = secondary.outdated_since_ns + self._expire_ns + self._ttl_ns
                 else:
                     obsolete_ns = secondary.serial_seen_at_ns + self._ttl_ns
@@ -137,7 +137,7 @@
         return latest_ns
 
     def due_notifies(self, now_ns: int) -> list[Notify]:
-        """Return the NOTIFY messages to send now: at most `MAX_NOTIFY_ATTEMPTS` per serial and secondary."""
+        """Return the NOTIFY messages to send now, at most `MAX_NOTIFY_ATTEMPTS` per serial and secondary."""
         notifies = []
         for secondaries in self._secondaries_by_source.values():
             for secondary in secondaries:
@@ -162,13 +162,13 @@
         return message.to_wire()
 
     def on_notify_reply(self, host: str, data: bytes) -> None:
-        """A datagram came to where NOTIFY messages are sent from; a reply ends the attempts."""
+        """Handle a datagram received on the socket that sends NOTIFY messages; a reply ends the attempts."""
         if len(data) < HEADER_BYTES or data[2] & _REPLY_BITS_MASK != _NOTIFY_REPLY_BITS:
             return
         message_id = int.from_bytes(data[:2], "big")
-        for (_, listed_host), secondaries in self._secondaries_by_source.items():
+        for (_, secondary_host), secondaries in self._secondaries_by_source.items():
             for secondary in secondaries:
-                if listed_host == host and secondary.message_id == message_id:
+                if secondary_host == host and secondary.message_id == message_id:
                     secondary.notify_due_ns = None
 
     @property
--- a/swiftchute/dns/server.py
+++ b/swiftchute/dns/server.py
@@ -1,8 +1,8 @@
-"""The sockets of the DNS frontend: datagrams and TCP connections for the address of each view.
+"""The sockets of the DNS frontend: UDP and TCP on the address of each view.
 
-On TCP each message follows its length (RFC 1035, section 4.2.2; RFC 7766). A connection without a whole
-message for the idle timeout is closed, whatever single bytes it sends; beyond the maximum of connections the
-one that was idle for longest is closed; a client that does not read its replies is not read from.
+Over TCP, each message is prefixed with its length (RFC 1035, section 4.2.2; RFC 7766). A connection without a
+complete message for the idle timeout is closed, even if it sends single bytes. When the maximum number of
+connections is exceeded, the longest idle one is closed. A client that does not read replies is not read from.
 """
 
 import asyncio
@@ -17,12 +17,12 @@
 from swiftchute.dns.settings import Address
 
 LENGTH_PREFIX_BYTES = 2
-MAX_UNREAD_REPLIES_BYTES = 256 * 1024  # replies that wait for a client to read them
-LISTEN_BACKLOG = 1024  # TCP connections that wait to be accepted
+MAX_UNREAD_REPLIES_BYTES = 256 * 1024  # replies that a client has not read yet
+LISTEN_BACKLOG = 1024  # TCP connections waiting to be accepted
 
 
 class _DatagramProtocol(asyncio.DatagramProtocol):
-    """Answers the datagrams of one view."""
+    """Answers the queries over UDP for one view."""
 
     def __init__(self, server: "DnsServer", view: str) -> None:
         self._view = view
@@ -71,7 +71,7 @@
     def _process_buffer(self) -> None:
         while not self._writing_paused and len(self._buffer) >= LENGTH_PREFIX_BYTES:
             length = int.from_bytes(self._buffer[:LENGTH_PREFIX_BYTES], "big")
-            if length < HEADER_BYTES:  # empty messages would keep a connection from being idle
+            if length < HEADER_BYTES:  # otherwise empty messages would keep an idle connection open
                 self._transport.abort()
                 return
             end = LENGTH_PREFIX_BYTES + length
@@ -101,26 +101,26 @@
         self._server.on_disconnected(self)
 
     def abort(self) -> None:
-        """Close the connection at once."""
+        """Close the connection immediately, without flushing."""
         self._transport.abort()
 
 
 class DnsServer:
-    """Listens for a frontend: on the main address for the view of our own zone, on others for other views.
+    """Serves a frontend: the view of the local zone on the main address, other views on other addresses.
 
     Attributes:
         frontend: The frontend.
         clock: Returns the time of the controller in nanoseconds.
-        connections: The open TCP connections by the time of their last message, the oldest first.
-        addresses: The address of each view that is served.
-        closed: Connections closed by the server, by the names of the causes in the log.
+        connections: The open TCP connections with the time of their last message, the oldest first.
+        addresses: The listen address of each served view.
+        closed: Number of connections closed by the server, by cause, as named in the log.
     """
 
     def __init__(self, frontend: DnsFrontend, zone: str, clock: Callable[[], int], log: Any) -> None:
-        """Create a server that does not listen yet.
+        """Create a server that is not listening yet.
 
         Args:
-            frontend: The frontend; its settings give the addresses.
+            frontend: The frontend, whose settings contain the addresses.
             zone: The zone whose view the main address serves.
             clock: Returns the time of the controller in nanoseconds.
             log: The logger.
@@ -142,12 +142,12 @@
         """Listen on all addresses and connect the views to the controller.
 
         Raises:
-            DnsError: The settings give no main address.
-            OSError: An address cannot be listened on; nothing listens then.
+            DnsError: The settings contain no main address.
+            OSError: Listening on an address failed; all sockets are closed.
         """
         settings = self.frontend.dns_settings
         if settings.listen_address is None:
-            raise DnsError("dns.listen: not set, and the DNS server has no other main address")
+            raise DnsError("dns.listen is not set: the DNS server has no main address to listen on")
         try:
             for view, address in ((self._zone, settings.listen_address), *settings.view_addresses):
                 await self._listen(view, address)
@@ -160,7 +160,7 @@
         self.frontend.start(self.clock())
 
     async def _listen(self, view: str, address: Address) -> None:
-        """Serve a view by TCP and, on the same port, by datagram."""
+        """Serve a view over TCP and, on the same port, over UDP."""
         loop = asyncio.get_running_loop()
         host, port = address
         server = await loop.create_server(
@@ -187,7 +187,7 @@
             connection.abort()
 
     def publish(self, output: RoundOutput, now_ns: int) -> None:
-        """Apply the output of a round, send the NOTIFY messages that are due and close idle connections."""
+        """Apply the output of a round, send due NOTIFY messages and close idle connections."""
         self.frontend.publish(output, now_ns)
         for notify in self.frontend.due_notifies(now_ns):
             self._notify_transport.sendto(notify.data, notify.address)
@@ -202,23 +202,23 @@
 
     @property
     def due_ns(self) -> int:
-        """When `publish` is to be called at the latest."""
+        """The latest time for the next call of `publish`."""
         return self.frontend.due_ns
 
     def on_connected(self, connection: _StreamProtocol) -> None:
-        """A client connected; beyond the maximum the connection that was idle for longest is closed."""
+        """Add a connection; at the maximum, the connection that was idle for longest is closed."""
         if len(self.connections) >= self._max_connections:
             self._close(next(iter(self.connections)), "streams_past_bound")
         self.connections[connection] = self.clock()
 
     def on_message(self, connection: _StreamProtocol) -> None:
-        """A connection received a whole message."""
+        """Note that a connection received a complete message."""
         if connection in self.connections:
             self.connections[connection] = self.clock()
             self.connections.move_to_end(connection)
 
     def on_disconnected(self, connection: _StreamProtocol) -> None:
-        """A connection was closed by either side."""
+        """Remove a connection that either side closed."""
         self.connections.pop(connection, None)
 
     def _close(self, connection: _StreamProtocol, cause: str) -> None:
@@ -228,7 +228,7 @@
 
     @property
     def counts(self) -> dict[str, int]:
-        """Counts by the names that they have in the log."""
+        """The counters, by their names in the log."""
         queries = self.frontend.queries
         counts = queries.counts | self.closed
         for verdict, count in queries.limiter.verdict_counts.items():
--- a/swiftchute/dns/settings.py
+++ b/swiftchute/dns/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the DNS frontend. This module alone maps the keys of the `dns` block to names in code."""
+"""Settings of the DNS frontend. Only this module maps the keys of the `dns` block to names in code."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -16,25 +16,25 @@
     """Values of the `dns` block.
 
     Attributes:
-        origin: The domain name that all names are under.
-        listen_address: Where the view of our own zone is served; None if DNS is off.
-        view_addresses: Where the views of zones are served besides, by zone.
-        subnets: The zone of clients by their subnet.
-        secondaries: The name servers that may transfer the view of a zone.
-        max_ttl_s: The longest time to live.
-        max_queries_per_s: Queries beyond which answers live as long as they may.
-        answers_per_s: Answers by datagram to each network prefix; 0 means no limit.
-        truncate_every: Which of the queries beyond a limit are truncated instead of dropped; 0 drops all.
-        unknown_answers_per_s: Answers by datagram to all unknown network prefixes together.
-        addresses_per_answer: Endpoints in an answer without weights.
-        min_draws: Draws of addresses that take turns, at least.
+        origin: The parent domain of all names.
+        listen_address: The address that serves the view of the local zone; None if DNS is disabled.
+        view_addresses: Further addresses, with the zone whose view each serves.
+        subnets: Client subnets, with the zone whose view they get.
+        secondaries: The name servers that may transfer a zone's view, with that zone.
+        max_ttl_s: The longest TTL.
+        max_queries_per_s: The query rate beyond which the TTL is at its limit.
+        answers_per_s: The rate of answers over UDP to each network prefix; 0 means no limit.
+        truncate_every: One in this many queries beyond a rate is truncated, the others dropped; 0 drops all.
+        unknown_answers_per_s: The rate of answers over UDP to all unknown network prefixes together.
+        addresses_per_answer: Number of endpoints in an address answer.
+        min_draws: Minimum number of address draws to rotate through.
         remote_entries: "shared" or "spare" (see `RecordLayout`).
-        sheds_load: Whether queries are answered SERVFAIL in proportion to the admission rate.
+        sheds_load: Whether queries rejected by the admission rate are answered with SERVFAIL.
         expire_ns: How long a secondary serves a zone that it cannot refresh.
-        request_rate_per_s: The request rate that a view is taken to have before its first load report.
-        requests_per_answer: Requests that an answer stands for in load reports.
-        max_connections: TCP connections at a time.
-        idle_timeout_ns: How long a TCP connection may be without a whole message.
+        request_rate_per_s: The request rate assumed for a view before its first load report.
+        requests_per_answer: Number of requests that an answer counts as in load reports.
+        max_connections: Maximum number of simultaneous TCP connections.
+        idle_timeout_ns: How long a TCP connection may go without a complete message.
     """
 
     origin: str
@@ -59,7 +59,7 @@
 
     @classmethod
     def from_block(cls, block: Mapping[str, Any]) -> "DnsSettings":
-        """Return the settings of a checked `dns` block."""
+        """Return the settings of a validated `dns` block."""
         return cls(
             origin=block["origin"],
             listen_address=block["listen"],
