--- a/swiftchute/drill/faulty_policies.py
+++ b/swiftchute/drill/faulty_policies.py
@@ -47,7 +47,7 @@
 )
 
 
-class Bent(Reconciler):
+class FaultyPolicy(Reconciler):
     """The module with one decision bent: `hears` changes a call, `bend` what is written, `after` adds to
     it."""
 
@@ -82,7 +82,7 @@
         return write
 
 
-class ForgetsDrains(Bent):
+class ForgetsDrains(FaultyPolicy):
     """Takes every listed server for ready."""
 
     def hears(self, event: Event) -> Event:
@@ -93,7 +93,7 @@
         return EndpointListUpdate(event.scope, records)
 
 
-class Empties(Bent):
+class Empties(FaultyPolicy):
     """Empties its tables, a few seconds after its start and from then on."""
 
     born = None
@@ -107,7 +107,7 @@
                     self.passed.clear_table(table.number)
 
 
-class AllToCold(Bent):
+class AllToCold(FaultyPolicy):
     """Sends everything to servers that have just started, and lets all in."""
 
     sent: set[tuple[int, str]] | None = None
@@ -132,7 +132,7 @@
         return [(verb, arguments)]
 
 
-class Oscillates(Bent):
+class Oscillates(FaultyPolicy):
     """Swings every weight up and down, many times a second, until nothing else can get through."""
 
     count, due = 0, False
@@ -159,7 +159,7 @@
                         )
 
 
-class NaNs(Bent):
+class NaNs(FaultyPolicy):
     """Orders a weight that is not a number for every third line."""
 
     count = 0
@@ -172,7 +172,7 @@
         return [(verb, (*arguments[:2], math.nan))]
 
 
-class Skews(Bent):
+class Skews(FaultyPolicy):
     """Once a server drains it gives one server of each table nearly everything, and goes on so."""
 
     bad = done = False
@@ -228,7 +228,7 @@
 LOST, DRAIN, COLD = "nobody left without a server", "drains kept", "no cold server pushed over"
 _QUIET = replace(SCENARIOS["quiet"], duration=8.0, backends=9, gateways=6, instances=1)
 # by name: the decider, the rule it breaks, and a day on which it does
-SABOTEURS: dict[str, tuple[type[Bent], str, Scenario]] = {
+SABOTEURS: dict[str, tuple[type[FaultyPolicy], str, Scenario]] = {
     "empties": (Empties, LOST, replace(_QUIET, max_no_endpoint=1.5)),
     "all-to-cold": (AllToCold, COLD, SCENARIOS["cold"]),
     "forgets-drains": (ForgetsDrains, DRAIN, SCENARIOS["drains"]),
--- a/tests/drill/test_scenario.py
+++ b/tests/drill/test_scenario.py
@@ -14,7 +14,7 @@
 
 from swiftchute.dns import frontend, ttl
 from swiftchute.drill.builtin_scenarios import SCENARIOS
-from swiftchute.drill.faulty_policies import SABOTEURS, Bent, Oscillates, cases
+from swiftchute.drill.faulty_policies import SABOTEURS, FaultyPolicy, Oscillates, cases
 from swiftchute.drill.fleet import FleetOptions
 from swiftchute.drill.invariants import judge
 from swiftchute.drill.predict import shares
@@ -36,7 +36,7 @@
     """Swings its weights where neither channel nor guard knows the limit."""
 
 
-class OrdersRetries(Bent):
+class OrdersRetries(FaultyPolicy):
     def bend(self, verb, arguments):
         if verb != "set_admission":
             return [(verb, arguments)]
