--- a/swiftchute/cli/drills.py
+++ b/swiftchute/cli/drills.py
@@ -120,11 +120,11 @@
 
 
 def _case_line(case: "Case", expected: bool, result: "Result", verdicts: "list[Verdict]") -> str:
-    from swiftchute.drill.faulty_policies import SABOTEURS
+    from swiftchute.drill.faulty_policies import FAULTY_POLICIES
 
     broken = [verdict for verdict in verdicts if verdict.broken]
     if case.kind == "broken" and expected:
-        broken = [verdict for verdict in broken if verdict.rule == SABOTEURS[case.name][1]]
+        broken = [verdict for verdict in broken if verdict.rule == FAULTY_POLICIES[case.name][1]]
     findings = [f"{verdict.rule} broken, {verdict.broken[0]}" for verdict in broken]
     if result.changed:
         findings.append(f"replayed orders changed {', '.join(result.changed)}")
--- a/swiftchute/drill/faulty_policies.py
+++ b/swiftchute/drill/faulty_policies.py
@@ -228,7 +228,7 @@
 LOST, DRAIN, COLD = "nobody left without a server", "drains kept", "no cold server pushed over"
 _QUIET = replace(SCENARIOS["quiet"], duration=8.0, backends=9, gateways=6, instances=1)
 # by name: the decider, the rule it breaks, and a day on which it does
-SABOTEURS: dict[str, tuple[type[FaultyPolicy], str, Scenario]] = {
+FAULTY_POLICIES: dict[str, tuple[type[FaultyPolicy], str, Scenario]] = {
     "empties": (Empties, LOST, replace(_QUIET, max_no_endpoint=1.5)),
     "all-to-cold": (AllToCold, COLD, SCENARIOS["cold"]),
     "forgets-drains": (ForgetsDrains, DRAIN, SCENARIOS["drains"]),
@@ -257,7 +257,7 @@
         """Play it; call in a process of its own, as days that share a loop slow each other."""
         import uvloop
 
-        make, _, day = SABOTEURS[self.name]
+        make, _, day = FAULTY_POLICIES[self.name]
         decider, guard = f"{make.__module__}:{make.__qualname__}", "enforce"
         if self.kind == "bad-day":
             day = SCENARIOS["bad-day"]
@@ -270,14 +270,14 @@
     def right(self, result: Result, verdicts: list[Verdict]) -> bool:
         """Whether it went as it should: its rule broken without a guard, all five kept under one."""
         if self.kind == "broken":
-            return SABOTEURS[self.name][1] in {v.rule for v in verdicts if v.broken}
+            return FAULTY_POLICIES[self.name][1] in {v.rule for v in verdicts if v.broken}
         return not broken(result, verdicts)
 
 
 def cases(bad_day: bool) -> list[Case]:
     """All saboteurs without a guard and under one, and on the bad day if asked."""
     kinds = ("broken", "guarded", *(("bad-day",) if bad_day else ()))
-    return [Case(name, kind) for kind in kinds for name in SABOTEURS]
+    return [Case(name, kind) for kind in kinds for name in FAULTY_POLICIES]
 
 
 def outcome(case: Case, seed: int) -> tuple[Case, Result, list[Verdict]]:
--- a/tests/drill/test_scenario.py
+++ b/tests/drill/test_scenario.py
@@ -14,7 +14,7 @@
 
 from swiftchute.dns import frontend, ttl
 from swiftchute.drill.builtin_scenarios import SCENARIOS
-from swiftchute.drill.faulty_policies import SABOTEURS, FaultyPolicy, Oscillates, cases
+from swiftchute.drill.faulty_policies import FAULTY_POLICIES, FaultyPolicy, Oscillates, cases
 from swiftchute.drill.fleet import FleetOptions
 from swiftchute.drill.invariants import judge
 from swiftchute.drill.predict import shares
@@ -60,7 +60,7 @@
 KEPT = {
     rule: day
     for day, rule in (
-        (SABOTEURS["empties"][2], "lost"),
+        (FAULTY_POLICIES["empties"][2], "lost"),
         (SCENARIOS["errors"], "twice"),
         (SCENARIOS["drains"], "drain"),
         (SCENARIOS["cold"], "cold"),
