--- a/swiftchute/drill/faulty_policies.py
+++ b/swiftchute/drill/faulty_policies.py
@@ -63,7 +63,7 @@
         """What the module is told in place of an event."""
         return event
 
-    def bend(self, verb: str, arguments: tuple[Any, ...]) -> list[tuple[str, tuple[Any, ...]]]:
+    def alter_command(self, verb: str, arguments: tuple[Any, ...]) -> list[tuple[str, tuple[Any, ...]]]:
         """The verbs written in place of one."""
         return [(verb, arguments)]
 
@@ -76,7 +76,7 @@
             raise AttributeError(verb)
 
         def write(*arguments: Any) -> None:
-            for name, changed in self.bend(verb, arguments):
+            for name, changed in self.alter_command(verb, arguments):
                 getattr(self.passed, name)(*changed)
 
         return write
@@ -123,7 +123,7 @@
                         self.sent.add((table.number, n))
                         self.passed.set_weight(table.number, n, 1000.0)
 
-    def bend(self, verb: str, arguments: tuple[Any, ...]) -> list[tuple[str, tuple[Any, ...]]]:
+    def alter_command(self, verb: str, arguments: tuple[Any, ...]) -> list[tuple[str, tuple[Any, ...]]]:
         """Keep cold servers' lines as they were made, and levels at all."""
         if verb == "set_weight" and self.state.endpoints[arguments[1]].started_ns and arguments[2]:
             return []
@@ -164,7 +164,7 @@
 
     count = 0
 
-    def bend(self, verb: str, arguments: tuple[Any, ...]) -> list[tuple[str, tuple[Any, ...]]]:
+    def alter_command(self, verb: str, arguments: tuple[Any, ...]) -> list[tuple[str, tuple[Any, ...]]]:
         """Every third line's weight is NaN."""
         self.count += verb == "set_weight"
         if verb != "set_weight" or self.count % 3 or not arguments[2]:
@@ -190,7 +190,7 @@
             n for n, s in self.state.endpoints.items() if s.zone == zone and s.state == "ready"
         )
 
-    def bend(self, verb: str, arguments: tuple[Any, ...]) -> list[tuple[str, tuple[Any, ...]]]:
+    def alter_command(self, verb: str, arguments: tuple[Any, ...]) -> list[tuple[str, tuple[Any, ...]]]:
         """A heavy line stays heavy."""
         if self.bad and verb == "set_weight" and arguments[2] and self.heavy(arguments[1]):
             return [(verb, (*arguments[:2], 500.0))]
--- a/tests/drill/test_scenario.py
+++ b/tests/drill/test_scenario.py
@@ -37,7 +37,7 @@
 
 
 class OrdersRetries(FaultyPolicy):
-    def bend(self, verb, arguments):
+    def alter_command(self, verb, arguments):
         if verb != "set_admission":
             return [(verb, arguments)]
         return [(verb, (*arguments[:3], 2))]
