--- a/swiftchute/cli/drills.py
+++ b/swiftchute/cli/drills.py
@@ -112,8 +112,8 @@
     jobs = max((os.cpu_count() or 2) // 2, 1)  # each is a few processes
     with ProcessPoolExecutor(jobs, multiprocessing.get_context("spawn")) as pool:
         cases = faulty_policies.cases(bad_day)
-        for case, result, verdicts in pool.map(faulty_policies.outcome, cases, [seed] * len(cases)):
-            expected = case.right(result, verdicts)
+        for case, result, verdicts in pool.map(faulty_policies.play_case, cases, [seed] * len(cases)):
+            expected = case.as_expected(result, verdicts)
             failures += not expected
             click.echo(_case_line(case, expected, result, verdicts))
     return EXIT_FAILED if failures else 0
--- a/swiftchute/drill/faulty_policies.py
+++ b/swiftchute/drill/faulty_policies.py
@@ -1,6 +1,6 @@
 """Sabotage: deciders that each do one thing wrong, played without a guard and under one.
 
-    for case in cases(bad_day=True): outcome = case.play(seed)
+    for case in cases(bad_day=True): result, verdicts = case.play(seed)
 
 `swiftchute serve CONFIG --decider swiftchute.drill.faulty_policies:Empties` runs one in a planner. Each
 breaks one of the five rules where no guard stands between it and the gateways; under the guard all five must
@@ -267,7 +267,7 @@
             result = uvloop.run(Runner(day, seed, folder, FleetOptions(decider, safety_mode=guard)).run())
         return result, judge(result.evidence)
 
-    def right(self, result: Result, verdicts: list[Verdict]) -> bool:
+    def as_expected(self, result: Result, verdicts: list[Verdict]) -> bool:
         """Whether it went as it should: its rule broken without a guard, all five kept under one."""
         if self.kind == "broken":
             return FAULTY_POLICIES[self.name][1] in {v.rule for v in verdicts if v.broken}
@@ -280,6 +280,6 @@
     return [Case(name, kind) for kind in kinds for name in FAULTY_POLICIES]
 
 
-def outcome(case: Case, seed: int) -> tuple[Case, Result, list[Verdict]]:
+def play_case(case: Case, seed: int) -> tuple[Case, Result, list[Verdict]]:
     """A case played, for pools of processes."""
     return (case, *case.play(seed))
--- a/tests/drill/test_scenario.py
+++ b/tests/drill/test_scenario.py
@@ -122,7 +122,7 @@
 @pytest.mark.parametrize("case", CASES, ids=lambda case: f"{case.name}-{case.kind}")
 def test_sabotage_breaks_its_rule_and_keeps_all_under_the_guard(played, case):
     result, verdicts = played[case, "sabotage"]
-    assert case.right(result, verdicts), text(result, verdicts)
+    assert case.as_expected(result, verdicts), text(result, verdicts)
 
 
 def test_a_planner_killed_with_half_a_push_out_keeps_the_rules_after_its_return(played):
