--- a/swiftchute/drill/faulty_policies.py
+++ b/swiftchute/drill/faulty_policies.py
@@ -1,11 +1,11 @@
-"""Sabotage: deciders that each do one thing wrong, played without a guard and under one.
+"""Policies with one deliberate fault each, played with and without the safety gate.
 
     for case in cases(bad_day=True): result, verdicts = case.play(seed)
 
-`swiftchute serve CONFIG --decider swiftchute.drill.faulty_policies:Empties` runs one in a planner. Each
-breaks one of the five rules where no guard stands between it and the gateways; under the guard all five must
-hold, on the same day and on the bad day. A case that should break its rule and does not says that the drill
-sees nothing.
+`swiftchute serve CONFIG --decider swiftchute.drill.faulty_policies:Empties` runs one in an instance. Each
+violates one of the five invariants if no safety gate checks its tables; with the gate, all five must hold, in
+the same scenario and in `bad-day`. A case that does not violate its invariant without the gate shows that the
+drill cannot detect the fault.
 """
 
 import math
@@ -32,8 +32,8 @@
 from swiftchute.drill.scenario import Fault, Scenario
 from swiftchute.policy import Reconciler
 
-S = 1_000_000_000
-_VERBS = (
+NS_PER_S = 1_000_000_000
+_COMMANDS = (
     "set_weight",
     "clear_table",
     "assign_table",
@@ -48,45 +48,48 @@
 
 
 class FaultyPolicy(Reconciler):
-    """The module with one decision bent: `hears` changes a call, `bend` what is written, `after` adds to
-    it."""
+    """The policy with one decision altered; subclasses override the hooks that they need.
 
-    passed: CommandSink
+    `alter_event` changes an event before the policy handles it, `alter_command` changes a command of the
+    policy, and `finish_round` adds commands at the end of a round.
+    """
 
-    def reconcile(self, now: int, calls: Any, writer: CommandSink) -> None:
-        """Decide as the module does, with what is bent."""
-        self.passed = writer
-        super().reconcile(now, [self.hears(event) for event in calls], self)
-        self.after(now)
+    sink: CommandSink
 
-    def hears(self, event: Event) -> Event:
-        """What the module is told in place of an event."""
+    def reconcile(self, now_ns: int, events: Any, commands: CommandSink) -> None:
+        """Run a round of the policy with the alterations."""
+        self.sink = commands
+        super().reconcile(now_ns, [self.alter_event(event) for event in events], self)
+        self.finish_round(now_ns)
+
+    def alter_event(self, event: Event) -> Event:
+        """Return the event that the policy handles in place of `event`."""
         return event
 
-    def alter_command(self, verb: str, arguments: tuple[Any, ...]) -> list[tuple[str, tuple[Any, ...]]]:
-        """The verbs written in place of one."""
-        return [(verb, arguments)]
+    def alter_command(self, command: str, arguments: tuple[Any, ...]) -> list[tuple[str, tuple[Any, ...]]]:
+        """Return the commands, by name and arguments, that are issued in place of one."""
+        return [(command, arguments)]
 
-    def after(self, now: int) -> None:
-        """What is written at the end of each round."""
+    def finish_round(self, now_ns: int) -> None:
+        """Issue more commands at the end of a round."""
 
-    def __getattr__(self, verb: str) -> Any:
-        """A verb of the writer."""
-        if verb not in _VERBS:
-            raise AttributeError(verb)
+    def __getattr__(self, command: str) -> Any:
+        """Return the method that receives a command of the policy."""
+        if command not in _COMMANDS:
+            raise AttributeError(command)
 
-        def write(*arguments: Any) -> None:
-            for name, changed in self.alter_command(verb, arguments):
-                getattr(self.passed, name)(*changed)
+        def issue(*arguments: Any) -> None:
+            for altered, altered_arguments in self.alter_command(command, arguments):
+                getattr(self.sink, altered)(*altered_arguments)
 
-        return write
+        return issue
 
 
 class ForgetsDrains(FaultyPolicy):
-    """Takes every listed server for ready."""
+    """Treats draining endpoints as ready."""
 
-    def hears(self, event: Event) -> Event:
-        """Draining servers are called ready."""
+    def alter_event(self, event: Event) -> Event:
+        """Mark all listed endpoints as ready."""
         if not isinstance(event, EndpointListUpdate):
             return event
         records = [record._replace(state=EndpointState.READY) for record in event.endpoints]
@@ -94,147 +97,160 @@
 
 
 class Empties(FaultyPolicy):
-    """Empties its tables, a few seconds after its start and from then on."""
+    """Clears all tables in each round that is more than 3 s after its first one."""
 
-    born = None
+    first_round_ns = None
 
-    def after(self, now: int) -> None:
-        """Clear them all."""
-        self.born = self.born or now
-        if now - self.born > 3 * S:
+    def finish_round(self, now_ns: int) -> None:
+        """Clear all tables."""
+        self.first_round_ns = self.first_round_ns or now_ns
+        if now_ns - self.first_round_ns > 3 * NS_PER_S:
             for tables in self.state.tables.values():
                 for table in tables:
-                    self.passed.clear_table(table.number)
+                    self.sink.clear_table(table.number)
 
 
 class AllToCold(FaultyPolicy):
-    """Sends everything to servers that have just started, and lets all in."""
-
-    sent: set[tuple[int, str]] | None = None
-
-    def after(self, now: int) -> None:
-        """Give each cold server a thousand times the weight of the others."""
-        cold = [n for n, s in self.state.endpoints.items() if s.state == "ready" and s.started_ns]
-        self.sent = self.sent or set()
+    """Sends nearly all requests to endpoints that have just started, and admits every request."""
+
+    weighted: set[tuple[int, str]] | None = None  # tables and endpoints
+
+    def finish_round(self, now_ns: int) -> None:
+        """Set the weight of each cold endpoint to 1000, a thousand times that of the others, once a table."""
+        cold = [
+            name
+            for name, endpoint in self.state.endpoints.items()
+            if endpoint.state == "ready" and endpoint.started_ns
+        ]
+        self.weighted = self.weighted or set()
         for (zone, _), tables in self.state.tables.items():
             for table in tables:
-                for n in cold:
-                    if self.state.endpoints[n].zone == zone and (table.number, n) not in self.sent:
-                        self.sent.add((table.number, n))
-                        self.passed.set_weight(table.number, n, 1000.0)
-
-    def alter_command(self, verb: str, arguments: tuple[Any, ...]) -> list[tuple[str, tuple[Any, ...]]]:
-        """Keep cold servers' lines as they were made, and levels at all."""
-        if verb == "set_weight" and self.state.endpoints[arguments[1]].started_ns and arguments[2]:
+                for name in cold:
+                    if self.state.endpoints[name].zone == zone and (table.number, name) not in self.weighted:
+                        self.weighted.add((table.number, name))
+                        self.sink.set_weight(table.number, name, 1000.0)
+
+    def alter_command(self, command: str, arguments: tuple[Any, ...]) -> list[tuple[str, tuple[Any, ...]]]:
+        """Drop later weights of cold endpoints except removals, and set every admission rate to 1."""
+        if command == "set_weight" and self.state.endpoints[arguments[1]].started_ns and arguments[2]:
             return []
-        if verb == "set_admission":
-            return [(verb, (*arguments[:2], 1.0, arguments[3]))]
-        return [(verb, arguments)]
+        if command == "set_admission":
+            return [(command, (*arguments[:2], 1.0, arguments[3]))]
+        return [(command, arguments)]
 
 
 class Oscillates(FaultyPolicy):
-    """Swings every weight up and down, many times a second, until nothing else can get through."""
+    """Changes every weight 50 times a second, so that the egress queue holds up all other updates."""
 
-    count, due = 0, False
+    round_count, timer_set = 0, False
 
-    def hears(self, event: Event) -> Event:
-        """Its own timer is none of the module's."""
+    def alter_event(self, event: Event) -> Event:
+        """Replace the timer of this class, which the policy does not know, by an event that it ignores."""
         if event != TimerFired(2):
             return event
-        self.due = False
-        return PeerMessageReceived(0, b"")  # which the module passes over
-
-    def after(self, now: int) -> None:
-        """Turn all lines by turns to one half of the servers and to the other."""
-        self.count += 1
-        if not self.due:
-            self.due = True
-            self.passed.start_timer(S // 50, 2)
+        self.timer_set = False
+        return PeerMessageReceived(0, b"")
+
+    def finish_round(self, now_ns: int) -> None:
+        """Favour the even and the odd entries of each table in turn."""
+        self.round_count += 1
+        if not self.timer_set:
+            self.timer_set = True
+            self.sink.start_timer(NS_PER_S // 50, 2)
         for tables in self.state.tables.values():
             for table in tables:
-                for place, (n, weight) in enumerate(sorted(table.published.items(), key=str)):
-                    if n:
-                        self.passed.set_weight(
-                            table.number, n, weight * (5 if (place + self.count) % 2 else 0.2)
+                for index, (name, weight) in enumerate(sorted(table.published.items(), key=str)):
+                    if name:
+                        self.sink.set_weight(
+                            table.number, name, weight * (5 if (index + self.round_count) % 2 else 0.2)
                         )
 
 
 class NaNs(FaultyPolicy):
-    """Orders a weight that is not a number for every third line."""
+    """Sets every third weight to NaN."""
 
-    count = 0
+    weight_count = 0
 
-    def alter_command(self, verb: str, arguments: tuple[Any, ...]) -> list[tuple[str, tuple[Any, ...]]]:
-        """Every third line's weight is NaN."""
-        self.count += verb == "set_weight"
-        if verb != "set_weight" or self.count % 3 or not arguments[2]:
-            return [(verb, arguments)]
-        return [(verb, (*arguments[:2], math.nan))]
+    def alter_command(self, command: str, arguments: tuple[Any, ...]) -> list[tuple[str, tuple[Any, ...]]]:
+        """Replace every third weight that is not a removal by NaN."""
+        self.weight_count += command == "set_weight"
+        if command != "set_weight" or self.weight_count % 3 or not arguments[2]:
+            return [(command, arguments)]
+        return [(command, (*arguments[:2], math.nan))]
 
 
 class Skews(FaultyPolicy):
-    """Once a server drains it gives one server of each table nearly everything, and goes on so."""
+    """Gives one endpoint of each table nearly all requests from the first drain on."""
 
-    bad = done = False
+    triggered = applied = False
 
-    def hears(self, event: Event) -> Event:
-        """A drain is what sets it off."""
+    def alter_event(self, event: Event) -> Event:
+        """Start the fault at the first endpoint list with a draining endpoint."""
         if isinstance(event, EndpointListUpdate):
-            self.bad |= any(record.state == EndpointState.DRAINING for record in event.endpoints)
+            self.triggered |= any(record.state == EndpointState.DRAINING for record in event.endpoints)
         return event
 
-    def heavy(self, server: str) -> bool:
-        """Whether a server is to get nearly everything: the first that is ready, by zone."""
-        zone = self.state.endpoints[server].zone
-        return server == min(
-            n for n, s in self.state.endpoints.items() if s.zone == zone and s.state == "ready"
+    def is_favoured(self, endpoint: str) -> bool:
+        """Return whether an endpoint gets nearly all requests: the first ready one of its zone, by name."""
+        zone = self.state.endpoints[endpoint].zone
+        return endpoint == min(
+            name
+            for name, other in self.state.endpoints.items()
+            if other.zone == zone and other.state == "ready"
         )
 
-    def alter_command(self, verb: str, arguments: tuple[Any, ...]) -> list[tuple[str, tuple[Any, ...]]]:
-        """A heavy line stays heavy."""
-        if self.bad and verb == "set_weight" and arguments[2] and self.heavy(arguments[1]):
-            return [(verb, (*arguments[:2], 500.0))]
-        return [(verb, arguments)]
+    def alter_command(self, command: str, arguments: tuple[Any, ...]) -> list[tuple[str, tuple[Any, ...]]]:
+        """Keep the weight of the favoured endpoint at 500."""
+        if self.triggered and command == "set_weight" and arguments[2] and self.is_favoured(arguments[1]):
+            return [(command, (*arguments[:2], 500.0))]
+        return [(command, arguments)]
 
-    def after(self, now: int) -> None:
-        """The bad tables go out at once."""
-        if self.bad and not self.done:
-            self.done = True
+    def finish_round(self, now_ns: int) -> None:
+        """Publish the faulty weights in the round in which the fault starts."""
+        if self.triggered and not self.applied:
+            self.applied = True
             for tables in self.state.tables.values():
                 for table in tables:
-                    for n in [n for n in table.published if n and self.heavy(n)]:
-                        self.passed.set_weight(table.number, n, 500.0)
+                    for name in [name for name in table.published if name and self.is_favoured(name)]:
+                        self.sink.set_weight(table.number, name, 500.0)
 
 
 class Lures(Skews):
-    """Once a server drains it sends nearly everything where tries fail, as they fail so quickly there."""
+    """Sends nearly all requests to failing endpoints from the first drain on.
+
+    It stands for a policy that prefers these endpoints because a quick failure looks like a short latency.
+    """
 
     failing: frozenset[str] = frozenset()
 
-    def hears(self, event: Event) -> Event:
-        """It remembers where errors were, and from then on it is told of none."""
+    def alter_event(self, event: Event) -> Event:
+        """Remember endpoints that fail most attempts; after the first drain, hide all failures."""
         if isinstance(event, EndpointLoadReport):
-            if self.bad:
+            if self.triggered:
                 return replace_fields(event, failures=0, mean_latency_ns=max(event.mean_latency_ns, 1))
             if event.failures > event.attempts / 2:
                 self.failing |= {event.endpoint}
-        return super().hears(event)
+        return super().alter_event(event)
 
-    def heavy(self, server: str) -> bool:
-        """A server that was seen to fail."""
-        return server in self.failing
+    def is_favoured(self, endpoint: str) -> bool:
+        """Return whether an endpoint failed most attempts of a load report before the first drain."""
+        return endpoint in self.failing
 
 
-LOST, DRAIN, COLD = "nobody left without a server", "drains kept", "no cold server pushed over"
+NO_ENDPOINT_RULE, DRAIN_RULE, COLD_RULE = (
+    "nobody left without a server",
+    "drains kept",
+    "no cold server pushed over",
+)
 _QUIET = replace(SCENARIOS["quiet"], duration=8.0, backends=9, gateways=6, instances=1)
-# by name: the decider, the rule it breaks, and a day on which it does
+# by name: the policy, the invariant that it violates, and a scenario in which it does
 FAULTY_POLICIES: dict[str, tuple[type[FaultyPolicy], str, Scenario]] = {
-    "empties": (Empties, LOST, replace(_QUIET, max_no_endpoint=1.5)),
-    "all-to-cold": (AllToCold, COLD, SCENARIOS["cold"]),
-    "forgets-drains": (ForgetsDrains, DRAIN, SCENARIOS["drains"]),
+    "empties": (Empties, NO_ENDPOINT_RULE, replace(_QUIET, max_no_endpoint=1.5)),
+    "all-to-cold": (AllToCold, COLD_RULE, SCENARIOS["cold"]),
+    "forgets-drains": (ForgetsDrains, DRAIN_RULE, SCENARIOS["drains"]),
     "oscillates": (
         Oscillates,
-        DRAIN,
+        DRAIN_RULE,
         replace(
             SCENARIOS["drains"],
             duration=11.0,
@@ -242,44 +258,52 @@
             faults=(Fault(4, "drain_backends", (1,)), Fault(6, "drain_backends", (1,))),
         ),
     ),
-    "nans": (NaNs, DRAIN, SCENARIOS["drains"]),
+    "nans": (NaNs, DRAIN_RULE, SCENARIOS["drains"]),
 }
 
 
 @dataclass(frozen=True)
 class Case:
-    """A saboteur on a day: "broken" (no guard), "guarded", or "bad-day" (guarded, with its faults)."""
+    """A faulty policy in a scenario.
+
+    Attributes:
+        name: Key of `FAULTY_POLICIES`.
+        kind: "broken" (without the safety gate), "guarded" (with it) or "bad-day" (with it, in scenario
+            `bad-day`).
+    """
 
     name: str
     kind: str
 
     def play(self, seed: int) -> tuple[Result, list[Verdict]]:
-        """Play it; call in a process of its own, as days that share a loop slow each other."""
+        """Play it; call this in a process of its own, as scenarios in one event loop slow each other."""
         import uvloop
 
-        make, _, day = FAULTY_POLICIES[self.name]
-        decider, guard = f"{make.__module__}:{make.__qualname__}", "enforce"
+        policy_class, _, scenario = FAULTY_POLICIES[self.name]
+        policy, gate_mode = f"{policy_class.__module__}:{policy_class.__qualname__}", "enforce"
         if self.kind == "bad-day":
-            day = SCENARIOS["bad-day"]
+            scenario = SCENARIOS["bad-day"]
         elif self.kind == "broken":
-            guard = "off"
+            gate_mode = "off"
         with tempfile.TemporaryDirectory() as folder:
-            result = uvloop.run(Runner(day, seed, folder, FleetOptions(decider, safety_mode=guard)).run())
+            result = uvloop.run(
+                Runner(scenario, seed, folder, FleetOptions(policy, safety_mode=gate_mode)).run()
+            )
         return result, judge(result.evidence)
 
     def as_expected(self, result: Result, verdicts: list[Verdict]) -> bool:
-        """Whether it went as it should: its rule broken without a guard, all five kept under one."""
+        """Return whether its invariant was violated without the gate, or all five held with it."""
         if self.kind == "broken":
             return FAULTY_POLICIES[self.name][1] in {v.rule for v in verdicts if v.broken}
         return not broken(result, verdicts)
 
 
 def cases(bad_day: bool) -> list[Case]:
-    """All saboteurs without a guard and under one, and on the bad day if asked."""
+    """Return all faulty policies without and with the safety gate, and in `bad-day` if `bad_day` is set."""
     kinds = ("broken", "guarded", *(("bad-day",) if bad_day else ()))
     return [Case(name, kind) for kind in kinds for name in FAULTY_POLICIES]
 
 
 def play_case(case: Case, seed: int) -> tuple[Case, Result, list[Verdict]]:
-    """A case played, for pools of processes."""
+    """Play a case; a module-level function that a pool of processes can call."""
     return (case, *case.play(seed))
