--- a/swiftchute/drill/builtin_scenarios.py
+++ b/swiftchute/drill/builtin_scenarios.py
@@ -1,4 +1,4 @@
-"""The scenarios that come with the program, by name."""
+"""The built-in scenarios, by name."""
 
 from dataclasses import replace
 
@@ -6,8 +6,8 @@
 
 SCENARIOS: dict[str, Scenario] = {
     "bad-day": Scenario(
-        "a fifth of the workers die and come back cold; a rolling deploy; a planner stands still, dies and"
-        " returns; gateways lose their planner; a gateway refuses a version; a slow channel",
+        "a fifth of the backends crash and restart cold; a rolling deploy; an instance stalls, is killed and"
+        " restarts; gateways lose their instance; a gateway rejects a version; a slow network",
         54.0,
         (
             Fault(6, "kill_backends", (0.2,)),
@@ -26,7 +26,7 @@
         ),
     ),
     "rollback": Scenario(
-        "a bad table is published at a drain's news; staff take it back with its levels, seven seconds later",
+        "a drain triggers a bad table; operators roll it back with its admission rates, seven seconds later",
         26.0,
         (
             Fault(3, "record_moment", ("before",)),
@@ -40,8 +40,8 @@
         policy="swiftchute.drill.faulty_policies:Skews",
     ),
     "dns-day": Scenario(
-        "gateways and DNS clients on the same workers: a deploy, deaths, a planner that dies and returns,"
-        " resolvers that keep answers too long",
+        "gateways and DNS clients on the same backends: a deploy, crashes, an instance that is killed and"
+        " restarts, resolvers that keep answers past their time to live",
         40.0,
         (
             Fault(4, "rolling_deploy", (5, 1.5)),
@@ -59,7 +59,7 @@
         overstaying_dns_clients=3,
     ),
     "rollback-cut": Scenario(
-        "staff take a bad table back; the planner is killed before that is acknowledged, and returns",
+        "operators roll a bad table back; the instance is killed before the acknowledgements, and restarts",
         20.0,
         (
             Fault(3, "record_moment", ("before",)),
@@ -75,8 +75,8 @@
         policy="swiftchute.drill.faulty_policies:Skews",
     ),
     "canary": Scenario(
-        "a server fails what it takes, and a bad table sends nearly everything there; a part of the gateways"
-        " tries it first",
+        "a backend fails its requests, and a bad table sends nearly all requests there; a canary of some"
+        " gateways gets it first",
         24.0,
         (
             Fault(2, "fail_requests", (0.07,)),
@@ -93,9 +93,9 @@
         side_effecting_share=0.3,
         version_settings={"canary_part": 0.25, "canary_for": "2s", "canary_most": "15s"},
     ),
-    "quiet": Scenario("nothing happens", 10.0, ()),
+    "quiet": Scenario("no faults", 10.0, ()),
     "steady": Scenario(
-        "nothing happens, for long: tries by server against what the tables in force predict",
+        "no faults, for longer: attempts by endpoint against what the tables in force predict",
         30.0,
         (
             Fault(4, "record_moment", ("begin",)),
@@ -106,7 +106,7 @@
         request_rate=8.0,
     ),
     "half-push": Scenario(
-        "a planner is killed while half of a push is out, and returns while a deploy goes on",
+        "an instance is killed halfway through a push, and restarts during a rolling deploy",
         16.0,
         (
             Fault(1.5, "rolling_deploy", (4, 1.2)),
@@ -121,7 +121,7 @@
         instances=1,
     ),
     "drains": Scenario(
-        "two workers drain, one after the other",
+        "two backends drain, one after the other",
         9.0,
         (Fault(2, "drain_backends", (1,)), Fault(4, "drain_backends", (1,))),
         backends=9,
@@ -130,7 +130,7 @@
         drain_grace=1.5,
     ),
     "cold": Scenario(
-        "half of a zone's workers come back cold",
+        "a third of the backends restart cold",
         12.0,
         (Fault(2, "kill_backends", (0.34,)), Fault(5, "restart_backends")),
         backends=9,
@@ -140,7 +140,7 @@
         max_warmup=10.0,
     ),
     "errors": Scenario(
-        "half of the workers fail what they ran",
+        "half of the backends fail requests after running them",
         9.0,
         (Fault(2, "fail_requests", (0.5,)),),
         backends=9,
@@ -151,5 +151,5 @@
     ),
 }
 SCENARIOS["no-canary"] = replace(
-    SCENARIOS["canary"], description="the canary's day without one", version_settings={}
+    SCENARIOS["canary"], description="the scenario `canary` without a canary", version_settings={}
 )
--- a/swiftchute/drill/faults.py
+++ b/swiftchute/drill/faults.py
@@ -1,4 +1,4 @@
-"""Kinds of faults, and scenarios made of them: drawn at random, or written as scripts in HCL.
+"""Kinds of faults, and scenarios of such faults that are drawn at random or read from HCL scripts.
 
     scenario = load("my-scenario.hcl")     # raises ConfigError: each problem with file, line, field and cause
     scenario = drawn(seed, count=2)        # faults of different kinds, within bounds
@@ -17,8 +17,8 @@
       lasts  = "8s"
     }
 
-Each kind is a method of `FaultActions` of that name. Bounds are those of the users' incident records, with
-times cut to what a drill lasts.
+Each kind names a method of `FaultActions`. Bounds come from the users' incident records, with times shortened
+to fit into a drill.
 """
 
 import json
@@ -39,7 +39,12 @@
 
 @dataclass(frozen=True)
 class FaultKind:
-    """A kind of fault and its fields: the least and the most that may be drawn, or the allowed words."""
+    """A kind of fault.
+
+    Attributes:
+        description: What happens.
+        fields: For each field the bounds within which its value is drawn, or the words it is drawn from.
+    """
 
     description: str
     fields: dict[str, tuple[Any, ...]]
@@ -48,49 +53,53 @@
 SHARE = (0.05, 0.25)
 LASTS = (4.0, 10.0)
 KINDS: dict[str, FaultKind] = {
-    "crash": FaultKind("workers die at once and come back cold", {"share": SHARE, "lasts": LASTS}),
+    "crash": FaultKind("backends crash at once and restart cold", {"share": SHARE, "lasts": LASTS}),
     "rolling": FaultKind("a rolling deploy", {"count": (2, 6), "every": (0.8, 2.0)}),
-    "hang": FaultKind("workers take invocations and answer none", {"share": SHARE, "lasts": LASTS}),
+    "hang": FaultKind("backends accept requests and answer none", {"share": SHARE, "lasts": LASTS}),
     "silence": FaultKind(
-        "workers read nothing and close nothing, and come back cold", {"share": SHARE, "lasts": LASTS}
+        "backends stop reading without closing connections, then restart cold",
+        {"share": SHARE, "lasts": LASTS},
     ),
-    "errors": FaultKind("workers quickly fail what they take", {"share": SHARE, "lasts": LASTS}),
+    "errors": FaultKind("backends fail requests quickly", {"share": SHARE, "lasts": LASTS}),
     "slow": FaultKind(
-        "workers run several times slower", {"share": SHARE, "factor": (3.0, 9.0), "lasts": LASTS}
+        "backends become several times slower", {"share": SHARE, "factor": (3.0, 9.0), "lasts": LASTS}
     ),
     "pauses": FaultKind(
-        "workers stand still for a moment, again and again",
+        "backends pause for a moment, repeatedly",
         {"share": (0.1, 0.45), "length": (0.2, 0.5), "every": (1.5, 3.0), "lasts": LASTS},
     ),
     "neighbour": FaultKind(
-        "another program takes a part of the machine, on and off",
+        "another program uses a part of the machine's CPU, on and off",
         {"share": (0.1, 0.45), "part": (0.33, 0.64), "lasts": LASTS},
     ),
     "ageing": FaultKind(
-        "workers get slower and slower", {"share": SHARE, "factor": (2.0, 5.0), "lasts": LASTS}
+        "backends get slower and slower", {"share": SHARE, "factor": (2.0, 5.0), "lasts": LASTS}
     ),
     "flapping": FaultKind(
-        "workers go and come, again and again", {"share": SHARE, "times": (2, 3), "lasts": (3.0, 4.0)}
+        "backends stop and restart repeatedly", {"share": SHARE, "times": (2, 3), "lasts": (3.0, 4.0)}
     ),
-    "shrink": FaultKind("the fleet shrinks", {"share": (0.1, 0.35), "lasts": LASTS}),
-    "grow": FaultKind("workers are added, cold", {"count": (1, 4)}),
-    "mass_restart": FaultKind("all workers of a zone restart at once", {"zone": ZONES, "lasts": (2.0, 4.0)}),
+    "shrink": FaultKind("backends drain and are removed", {"share": (0.1, 0.35), "lasts": LASTS}),
+    "grow": FaultKind("backends are added, cold", {"count": (1, 4)}),
+    "mass_restart": FaultKind("all backends of a zone restart at once", {"zone": ZONES, "lasts": (2.0, 4.0)}),
     "wrong_list": FaultKind(
-        "the list is wrong for a while",
+        "the endpoint list is wrong for a while",
         {"how": ("gone", "empty", "ghosts", "old"), "share": SHARE, "lasts": LASTS},
     ),
     "planner_dies": FaultKind(
-        "a planner dies and comes back with its list alone", {"planner": (0, 1), "lasts": LASTS}
+        "an instance is killed and restarts with nothing but the endpoint list",
+        {"planner": (0, 1), "lasts": LASTS},
     ),
-    "planner_stalls": FaultKind("a planner stands still", {"planner": (0, 1), "lasts": LASTS}),
-    "unreached": FaultKind("gateways reach no planner", {"share": (0.1, 0.45), "lasts": LASTS}),
+    "planner_stalls": FaultKind("an instance stalls", {"planner": (0, 1), "lasts": LASTS}),
+    "unreached": FaultKind("gateways reach no instance", {"share": (0.1, 0.45), "lasts": LASTS}),
     "late_channel": FaultKind(
-        "what passes between gateways and planners is late and slow",
+        "the network between gateways and instances is delayed and slow",
         {"delay": (0.05, 0.35), "pace": (20_000.0, 200_000.0), "lasts": LASTS},
     ),
-    "streams_break": FaultKind("streams break at once", {"share": (0.3, 0.85)}),
+    "streams_break": FaultKind(
+        "streams between gateways and instances break at once", {"share": (0.3, 0.85)}
+    ),
     "gateways_die": FaultKind(
-        "gateways die and come back with their tables gone", {"share": (0.1, 0.5), "lasts": (1.0, 4.0)}
+        "gateways stop and restart with only their static tables", {"share": (0.1, 0.5), "lasts": (1.0, 4.0)}
     ),
 }
 _DURATION_FIELDS = {"lasts", "every", "length", "delay"}
@@ -99,7 +108,7 @@
 
 @dataclass(frozen=True)
 class _ScenarioField:
-    """A field of a script's `drill` block and the field of `Scenario` that it fills."""
+    """A field of a script's `drill` block; its target is the field of `Scenario` that it sets."""
 
     field: Field
     is_duration: bool = False
@@ -125,7 +134,7 @@
     """Read a script.
 
     Raises:
-        ConfigError: The script cannot be used; it carries every problem with line, field and cause.
+        ConfigError: The script is invalid; the error holds each problem with line, field and cause.
     """
     body = read(path)
     checker = Checker(path)
@@ -138,7 +147,7 @@
             faults.append(_fault(checker, block))
         else:
             known = ", ".join(f'trouble "{name}"' for name in KINDS)
-            cause = f"unknown, or stands twice; known: drill, {known}"
+            cause = f"unknown or repeated block; known: drill, {known}"
             checker.add_problem(block.line, block.full_name, cause)
     checker.reject_top_level_fields(body)
     checker.raise_problems()
@@ -170,7 +179,7 @@
 
 
 def _fault_parser(name: str, bounds: tuple[Any, ...]) -> Parser:
-    """Return a parser that takes more than is drawn at random, but nothing impossible."""
+    """Return a parser that also accepts values past the drawn bounds, but no impossible ones."""
     if isinstance(bounds[0], str):
         return one_of(*bounds)
     maximum = 1 if name in _SHARE_FIELDS else MAX_SCRIPT_NUMBER
@@ -178,7 +187,7 @@
 
 
 def drawn(seed: int, count: int = 2, seconds: float = 30.0) -> Scenario:
-    """Return a scenario with so many faults of different kinds that begin within its first half."""
+    """Return a random scenario with `count` faults of different kinds that begin in its first half."""
     generator = random.Random(seed)
     names = generator.sample(sorted(KINDS), count)
     faults = [
@@ -188,7 +197,7 @@
 
 
 def draw_fault(name: str, generator: random.Random, at: float) -> Fault:
-    """Return a fault of a kind whose arguments are drawn within its bounds."""
+    """Return a fault of the named kind, with arguments drawn within its bounds."""
     arguments: list[Any] = []
     for bounds in KINDS[name].fields.values():
         if isinstance(bounds[0], str):
@@ -201,7 +210,7 @@
 
 
 def script(scenario: Scenario) -> str:
-    """Return a scenario as HCL that `load` reads back."""
+    """Return a scenario as HCL that `load` can read."""
     lines = ["drill {"]
     for key, known in _SCENARIO_FIELDS.items():
         value = getattr(scenario, str(known.field.target))
--- a/swiftchute/drill/operator_actions.py
+++ b/swiftchute/drill/operator_actions.py
@@ -1,4 +1,4 @@
-"""What operators do in a scenario, and what they measure: rollbacks, and value served between moments."""
+"""Operator actions of a scenario: rollbacks, and measurements of the value served between two moments."""
 
 import asyncio
 import itertools
@@ -24,7 +24,13 @@
 
 @dataclass(frozen=True)
 class Moment:
-    """Wall clock, and the value of requests made and answered in time until then."""
+    """The totals of all gateways at one time.
+
+    Attributes:
+        time_s: Wall clock.
+        requested: Value of all requests until then.
+        earned: Value of their answers; a late answer earns a part.
+    """
 
     time_s: float
     requested: float
@@ -32,7 +38,7 @@
 
 
 class OperatorActions(FaultContext):
-    """Rollbacks by the admin interface, and figures for the report."""
+    """Rollbacks through the admin interface, and measurements that go to the report as notes."""
 
     def __init__(self, fleet: Fleet) -> None:
         """Act on a fleet's instances."""
@@ -40,22 +46,22 @@
         self._moments: dict[str, Moment] = {}
 
     def record_moment(self, name: str) -> None:
-        """Remember this moment by a name."""
+        """Record the totals of now under a name."""
         records = [gateway.record for gateway in self._fleet.gateways]
         requested = sum(record.requested_value for record in records)
         earned = sum(record.earned_value for record in records)
         self._moments[name] = Moment(time.time(), requested, earned)
 
     async def compare_moments(self, *names: str) -> None:
-        """Note the value served between moments, and what became of canaries."""
+        """Note the value served between consecutive moments, and how each canary started and ended."""
         for first, second in itertools.pairwise(names):
-            self.notes.append(f"{first} to {second}: {self._between(first, second)}")
+            self.notes.append(f"{first} to {second}: {self._value_between(first, second)}")
         for instance in self._fleet.instances:
             with open(instance.log_path, encoding="utf-8") as log:
                 rows = [json.loads(row) for row in log if '"canary' in row]
             self.notes += [_canary_note(row) for row in rows]
 
-    def _between(self, first: str, second: str) -> str:
+    def _value_between(self, first: str, second: str) -> str:
         begin, end = self._moments[first], self._moments[second]
         requested = end.requested - begin.requested
         percent = 100 * (end.earned - begin.earned) / max(requested, 1)
@@ -63,12 +69,16 @@
         return f"{percent:.1f}% of a billed value of {requested:.0f} answered in time in {seconds:.1f} s"
 
     async def roll_back_tables(self, moment: str, levels: bool) -> None:
-        """Roll every table back to its version at a moment, perhaps with its admission rates.
+        """Roll every table back to its version at a moment.
+
+        Notes the time until the last acknowledgement, and the value served before, during and after the
+        rollback.
 
-        Notes how long it took until the last acknowledgement, and the value served before, meanwhile and
-        after.
+        Args:
+            moment: Name of a recorded moment.
+            levels: Whether the admission rates are rolled back too.
         """
-        self.record_moment("order")
+        self.record_moment("ordered")
         begin, tables = time.monotonic(), 0
         sockets = [self._fleet.admin_socket(k) for k in range(self._fleet.scenario.instances)]
         for path in sockets:
@@ -80,25 +90,25 @@
             self.notes.append(f"{tables} tables ordered back in {ordered_s:.2f} s, then: {error}")
             return
         elapsed_s = time.monotonic() - begin
-        self.record_moment("back")
-        last = f"{elapsed_s:.2f} s to the last ACK"
+        self.record_moment("acknowledged")
+        last_ack = f"{elapsed_s:.2f} s to the last ACK"
         if elapsed_s >= ACK_TIMEOUT_S:
-            last = f"not acknowledged by all within {ACK_TIMEOUT_S} s"
-        self.notes.append(f"{tables} tables taken back: {ordered_s:.2f} s to order, {last}")
-        await asyncio.sleep(2)  # until what the bad tables left in queues is over
-        self.record_moment("well")
+            last_ack = f"not acknowledged by all proxies within {ACK_TIMEOUT_S} s"
+        self.notes.append(f"{tables} tables rolled back: {ordered_s:.2f} s to order, {last_ack}")
+        await asyncio.sleep(2)  # until the queues that the bad tables filled are empty again
+        self.record_moment("settled")
         await asyncio.sleep(8)
         self.record_moment("end")
         for title, first, second in (
             ("before", "before", moment),
-            ("bad tables", moment, "order"),
-            ("going back", "order", "well"),
-            ("after", "well", "end"),
+            ("bad tables", moment, "ordered"),
+            ("rollback", "ordered", "settled"),
+            ("after", "settled", "end"),
         ):
-            self.notes.append(f"{title}: {self._between(first, second)}")
+            self.notes.append(f"{title}: {self._value_between(first, second)}")
 
     async def _roll_back_instance(self, path: str, before_s: float, levels: bool) -> int:
-        """Roll back the tables of one instance and return how many there were."""
+        """Roll back the tables of one instance that changed since `before_s`; return how many."""
         entries = await _table_log(path)  # newest first
         targets: dict[str, LogEntry] = {}
         for entry in entries:
@@ -119,13 +129,13 @@
         while time.monotonic() < deadline:
             logs = [await _table_log(path) for path in sockets]
             counts = [_acknowledged_rollbacks(log) for log in logs]
-            settled = [count for count in counts if count is not None]
-            if len(settled) == len(counts) and sum(settled) >= tables:
+            known = [count for count in counts if count is not None]
+            if len(known) == len(counts) and sum(known) >= tables:
                 return
             await asyncio.sleep(POLL_INTERVAL_S)
 
     def summarize_dns_clients(self) -> None:
-        """Note what came of DNS clients, and by how much overstaying resolvers were late for drains."""
+        """Note the results of DNS clients, and how long after a drain they still sent requests."""
         for overstays in (False, True):
             clients = [
                 c for c in self._fleet.dns_clients.values() if bool(c.resolver.overstay_s) == overstays
@@ -134,29 +144,29 @@
             earned = sum(client.record.earned_value for client in clients)
             attempts = [attempt for client in clients for attempt in client.record.attempts]
             worst_s = max((self._seconds_after_drain(attempt) for attempt in attempts), default=0.0)
-            kind = f"overstay by {OVERSTAY_S:g} s" if overstays else "keep their time"
+            kind = f"keep answers {OVERSTAY_S:g} s past their TTL" if overstays else "obey the TTL"
             percent = 100 * earned / max(requested, 1)
             self.notes.append(
                 f"{len(clients)} clients whose resolvers {kind}: {percent:.1f}% of billed value in time;"
-                f" {len(attempts)} tries, the last {worst_s:.2f} s after its server's drain was listed"
+                f" {len(attempts)} attempts, up to {worst_s:.2f} s after their endpoint's drain was listed"
             )
         self.notes += [
-            f"resolver {name}: asked {resolver.query_count}, by TCP {resolver.tcp_count},"
-            f" nothing got {resolver.failure_count} times"
+            f"resolver {name}: {resolver.query_count} queries, {resolver.tcp_count} by TCP,"
+            f" {resolver.failure_count} lookups without an answer"
             for name, resolver in self._fleet.resolvers.items()
         ]
 
     def _seconds_after_drain(self, attempt: AttemptRecord) -> float:
-        """Return how long its endpoint had been listed as not ready when an attempt was made."""
+        """Return how long an attempt's endpoint had been listed as not ready when it was sent."""
         seen = [
             o for o in self._list.observations if o.server == attempt.endpoint and o.at <= attempt.time_ns
         ]
         if not seen or seen[-1].state == "ready":
             return 0.0
-        first = len(seen) - 1
-        while first and seen[first - 1].state != "ready":
-            first -= 1
-        return (attempt.time_ns - seen[first].at) / NS_PER_S
+        drained = len(seen) - 1
+        while drained and seen[drained - 1].state != "ready":
+            drained -= 1
+        return (attempt.time_ns - seen[drained].at) / NS_PER_S
 
 
 async def _table_log(path: str) -> list[LogEntry]:
@@ -172,9 +182,9 @@
 
 
 def _acknowledged_rollbacks(log: list[LogEntry]) -> int | None:
-    """Return how many tables are rolled back, or None while any proxy has not acknowledged the newest."""
+    """Return how many tables are rolled back; None until all proxies acknowledged the newest versions."""
     newest = {entry["table"]: entry for entry in log if entry["newest"]}
-    for entry in log:  # an earlier entry may be of the same version as the newest
+    for entry in log:  # an earlier entry may name the same version as the newest
         latest = newest[entry["table"]]
         if latest["under_way"] or (entry["acknowledged"] and entry["version"] != latest["version"]):
             return None
