--- a/swiftchute/drill/backend_faults.py
+++ b/swiftchute/drill/backend_faults.py
@@ -10,12 +10,17 @@
 from swiftchute.fakes.backend import Behaviour, FakeBackend
 
 NS_PER_S = 1_000_000_000
-LIST_DELAY_S = 1.5  # until the list says that a backend died or started
+LIST_DELAY_S = 1.5  # until the endpoint list shows that a backend crashed or started
 AGEING_STEP_S = 0.25
 
 
 class FaultContext:
-    """What all fault actions share."""
+    """State that all fault actions share.
+
+    Attributes:
+        tasks: Background tasks; the runner cancels them at the end.
+        notes: Lines for the report.
+    """
 
     def __init__(self, fleet: Fleet) -> None:
         """Act on a fleet."""
@@ -38,7 +43,7 @@
         self._killed: list[FakeBackend] = []
 
     def _choose(self, share: float) -> list[FakeBackend]:
-        """Draw running backends that are listed as ready, at least one."""
+        """Return a random sample of the running backends that are listed as ready, at least one."""
         backends = self._fleet.backends
         ready = [b for b in backends if b.server is not None and self._list.state(b) == "ready"]
         return self._random.sample(ready, max(1, round(share * len(backends))))
@@ -50,7 +55,7 @@
         self._list.set_state(backend, "ready", int((backend.started_at_s or 0) * NS_PER_S))
 
     async def _stop(self, backends: list[FakeBackend]) -> None:
-        """Stop backends at once; the list drops them later."""
+        """Kill backends; after a delay the endpoint list drops those that are still down."""
         for backend in backends:
             await backend.kill()
         await asyncio.sleep(LIST_DELAY_S)
@@ -59,7 +64,7 @@
                 self._list.set_state(backend, "gone")
 
     async def _restart_cold(self, backends: list[FakeBackend]) -> None:
-        """Start those that are down, cold; the list names them later."""
+        """Start the backends that are down, cold; after a delay the endpoint list has them."""
         for backend in backends:
             if backend.server is None:
                 await backend.start(warm_up=True)
@@ -87,7 +92,7 @@
             backend.behaviour = Behaviour.FAIL_LATE
 
     async def drain_backends(self, count: int) -> None:
-        """Drain backends for good."""
+        """Drain backends permanently."""
         for backend in self._choose_count(count):
             self._list.set_state(backend, "draining")
 
@@ -107,7 +112,7 @@
         self._list_started(backend)
 
     async def crash(self, share: float, lasts: float) -> None:
-        """Kill backends and start them cold after a while."""
+        """Kill backends and start them cold after `lasts` seconds."""
         backends = self._choose(share)
         await self._stop(backends)
         await asyncio.sleep(max(lasts - LIST_DELAY_S, 0))
@@ -118,7 +123,7 @@
         await self.rolling_deploy(count, every)
 
     async def hang(self, share: float, lasts: float) -> None:
-        """Make backends accept requests and answer none."""
+        """Make backends accept requests without answering them."""
         await self._set_behaviour(self._choose(share), Behaviour.HANG, lasts)
 
     async def errors(self, share: float, lasts: float) -> None:
@@ -134,7 +139,7 @@
                 backend.behaviour = Behaviour.NORMAL
 
     async def silence(self, share: float, lasts: float) -> None:
-        """Make backends neither read nor close anything; then restart them cold."""
+        """Make backends stop reading without closing connections; then restart them cold."""
         backends = self._choose(share)
         for backend in backends:
             backend.stop_reading()
@@ -155,7 +160,7 @@
         self._set_slowdown(backends, 1.0)
 
     async def pauses(self, share: float, length: float, every: float, lasts: float) -> None:
-        """Pause backends for a moment, again and again."""
+        """Pause backends for `length` seconds, repeatedly."""
         backends, end = self._choose(share), time.monotonic() + lasts
         while time.monotonic() < end:
             for backend in backends:
@@ -163,7 +168,7 @@
             await asyncio.sleep(every)
 
     async def neighbour(self, share: float, part: float, lasts: float) -> None:
-        """Let another program take a part of the backends' machines, on and off."""
+        """Simulate another program that uses a part of the backends' CPU, on and off."""
         backends, end = self._choose(share), time.monotonic() + lasts
         while time.monotonic() < end:
             self._set_slowdown(backends, 1 / (1 - part))
@@ -172,7 +177,7 @@
             await asyncio.sleep(self._random.uniform(0.3, 1.0))
 
     async def ageing(self, share: float, factor: float, lasts: float) -> None:
-        """Make backends slower and slower, then as fast as before."""
+        """Make backends slower and slower, then as fast as before the fault."""
         backends, begin = self._choose(share), time.monotonic()
         while (elapsed := time.monotonic() - begin) < lasts:
             self._set_slowdown(backends, 1 + (factor - 1) * elapsed / lasts)
@@ -180,7 +185,7 @@
         self._set_slowdown(backends, 1.0)
 
     async def flapping(self, share: float, times: int, lasts: float) -> None:
-        """Stop and start backends again and again."""
+        """Stop and start backends repeatedly."""
         backends = self._choose(share)
         for _ in range(times):
             await self._stop(backends)
@@ -202,7 +207,7 @@
         self._list.set_state(backend, "gone")
 
     async def grow(self, count: int) -> None:
-        """Add backends, cold."""
+        """Add cold backends."""
         added = []
         for _ in range(count):
             seed, speed = self._random.getrandbits(32), self._random.uniform(0.85, 1.2)
@@ -223,10 +228,17 @@
         await self._restart_cold(backends)
 
     async def wrong_list(self, how: str, share: float, lasts: float) -> None:
-        """Publish a list that is wrong: "gone", "ghosts", "old" (not updated) or "empty"."""
+        """Publish a wrong endpoint list for a while.
+
+        Args:
+            how: "gone" (running backends are missing), "ghosts" (it has endpoints that do not exist), "old"
+                (it is not updated) or "empty".
+            share: Backends that are missing, or number of ghosts, as a share of all backends.
+            lasts: Seconds until the list is right again.
+        """
         backends = self._choose(share)
         if how == "gone":
-            await self._omit(backends, lasts)
+            await self._omit_from_list(backends, lasts)
             return
         if how == "ghosts":
             self._list.ghosts = [(f"{self._fleet.host}:{k + 1}", b.zone) for k, b in enumerate(backends)]
@@ -240,7 +252,7 @@
         self._list.frozen = False
         self._list.publish()
 
-    async def _omit(self, backends: list[FakeBackend], lasts: float) -> None:
+    async def _omit_from_list(self, backends: list[FakeBackend], lasts: float) -> None:
         for backend in backends:
             self._list.set_state(backend, "gone")
         await asyncio.sleep(lasts)
--- a/swiftchute/drill/fault_actions.py
+++ b/swiftchute/drill/fault_actions.py
@@ -1,4 +1,4 @@
-"""All fault actions that a scenario's time line may name."""
+"""All fault actions that a scenario may use."""
 
 from swiftchute.drill.backend_faults import BackendFaults
 from swiftchute.drill.network_faults import NetworkFaults
@@ -6,4 +6,4 @@
 
 
 class FaultActions(BackendFaults, NetworkFaults, OperatorActions):
-    """The methods that `Fault.action` names; `faults.KINDS` holds those that scripts may use."""
+    """Methods that `Fault.action` may name; `faults.KINDS` lists those that HCL scripts may use."""
--- a/swiftchute/drill/fleet.py
+++ b/swiftchute/drill/fleet.py
@@ -27,13 +27,13 @@
 from swiftchute.proxy.xds_client import XdsClient
 
 NS_PER_S = 1_000_000_000
-OVERSTAY_S = 4.0  # a resolver of that kind keeps answers past their time to live for so long
+OVERSTAY_S = 4.0  # how long overstaying resolvers use answers past their time to live
 _run_numbers = itertools.count()
 
 
 @dataclass(frozen=True)
 class FleetOptions:
-    """How the instances of a fleet differ from what the scenario says."""
+    """Deviations of the instances from the scenario."""
 
     policy: PolicyFactory | str | None = None
     overrides: dict[str, Any] | None = None  # of scenario fields, in the instances' settings only
@@ -41,16 +41,16 @@
 
 
 class Fleet:
-    """Everything that a drill starts; `start` and `stop` are called once."""
+    """Everything that a drill starts; call `start` and `stop` once each."""
 
     def __init__(self, scenario: Scenario, seed: int, folder: str, options: FleetOptions) -> None:
-        """Create a fleet of which nothing runs yet; files are written to the folder."""
+        """Create a fleet that is not started; its files are written to `folder`."""
         self.scenario = scenario
         self.folder = folder
         self.random = random.Random(seed)
         self.host = _loopback_address_of_this_run()
         self.backends: list[FakeBackend] = []
-        self.gateways: list[FakeGateway] = []  # DNS clients too
+        self.gateways: list[FakeGateway] = []  # including the DNS clients
         self.instances: list[Instance] = []
         self.relays: dict[tuple[int, int], Relay] = {}  # by gateway and instance
         self.resolvers: dict[str, CachingResolver] = {}
@@ -63,12 +63,12 @@
 
     @property
     def dns_clients(self) -> dict[str, FakeDnsClient]:
-        """The DNS clients by node."""
+        """DNS clients by node name."""
         return {g.client.node: g for g in self.gateways if isinstance(g, FakeDnsClient)}
 
     @property
     def xds_gateways(self) -> list[FakeGateway]:
-        """The gateways that follow the control plane by xDS."""
+        """Gateways that get their tables by xDS."""
         return [gateway for gateway in self.gateways if not isinstance(gateway, FakeDnsClient)]
 
     def admin_socket(self, instance: int) -> str:
@@ -76,7 +76,7 @@
         return os.path.join(self.folder, f"c{instance}.sock")
 
     def settings(self) -> Settings:
-        """Return the settings that the scenario asks for, without overrides."""
+        """Return the settings that the scenario defines, without overrides."""
         settings = self._instance_settings(0, (self.host, 1), self.scenario)
         return write_and_load(settings, os.path.join(self.folder, "day.hcl"))
 
@@ -151,7 +151,7 @@
         )
 
     def _operation_values(self) -> dict[str, OperationValue]:
-        """Return what answers are worth, by operation."""
+        """Return the value of answers by operation."""
         operations = load(self._instance_path(0)).settings.operations
         return {
             op.name: OperationValue(op.latency_objective_ns / NS_PER_S, op.value, op.late_value_fraction)
@@ -165,8 +165,8 @@
         client = XdsClient(
             f"gw-{number:02}", zone, rate, delta=number % 4 != 3, endpoint_collections=number % 2 == 0
         )
-        own = [backend.address for backend in self.backends if backend.zone == zone]
-        listed = self.random.sample(own, min(DEFAULT_TABLE_ENTRIES, len(own)))
+        in_zone = [backend.address for backend in self.backends if backend.zone == zone]
+        listed = self.random.sample(in_zone, min(DEFAULT_TABLE_ENTRIES, len(in_zone)))
         client.static_endpoints = dict.fromkeys(listed, 1)
         gateway = FakeGateway(client, addresses, self.random.getrandbits(32), keepalive_s=0.8, values=values)
         self.gateways.append(gateway)
@@ -202,10 +202,10 @@
 
 
 def _loopback_address_of_this_run() -> str:
-    """Return a loopback address that no run at the same time uses.
+    """Return a loopback address that no concurrent run uses.
 
-    On a shared address a backend that is down for a moment could lose its port to another run, whose
-    requests would then count here.
+    On a shared address, another run could bind the port of a backend that is down for a moment, and its
+    requests would then be counted here.
     """
     number = os.getpid() * 16 + next(_run_numbers) % 16
     return f"127.{1 + (number >> 16) % 250}.{(number >> 8) % 256}.{1 + number % 250}"
--- a/swiftchute/drill/instance.py
+++ b/swiftchute/drill/instance.py
@@ -1,4 +1,4 @@
-"""An instance of the control plane under test: a process of its own, or a service inside this one."""
+"""An instance of the control plane under test, as a separate process or inside this one."""
 
 import asyncio
 import signal
@@ -15,17 +15,17 @@
 
 
 class Instance:
-    """One instance, which may be started again after it ended."""
+    """One instance, which can be started again after it ended."""
 
     def __init__(self, number: int, path: str, log_path: str, policy: PolicyFactory | str | None) -> None:
-        """Create an instance that does not run yet.
+        """Create an instance that is not started.
 
         Args:
             number: Its index.
             path: Path of its settings file.
             log_path: Path that the output of its process is appended to.
-            policy: Another policy: a factory makes the instance run inside this process, a name
-                (`package.module:Class`) is given to the process.
+            policy: A policy in place of the default: a factory makes the instance run inside this process, a
+                name (`package.module:Class`) is passed to the separate process.
         """
         self.log_path = log_path
         self._number = number
@@ -35,13 +35,13 @@
         self._task: asyncio.Task | None = None
 
     async def start(self) -> None:
-        """Start it."""
+        """Start the instance."""
         if callable(self._policy):
-            await self._start_inside(self._policy)
+            await self._start_in_this_process(self._policy)
         else:
             await self._start_process(self._policy)
 
-    async def _start_inside(self, policy: PolicyFactory) -> None:
+    async def _start_in_this_process(self, policy: PolicyFactory) -> None:
         from swiftchute.daemon.service import Service
 
         service = Service(load(self._path), configure_logging("error", planner=self._number), policy)
@@ -59,12 +59,12 @@
             )
 
     def send_signal(self, number: int) -> None:
-        """Send a signal to the process, if it runs."""
+        """Send a signal to the process if it is running."""
         if self._process is not None and self._process.returncode is None:
             self._process.send_signal(number)
 
     async def end(self, number: int = signal.SIGTERM) -> None:
-        """End it by a signal; a process that does not end in time is killed."""
+        """End the instance; its process gets a signal, and is killed if it outlives the timeout."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
--- a/swiftchute/drill/instance_settings.py
+++ b/swiftchute/drill/instance_settings.py
@@ -9,16 +9,16 @@
 from swiftchute.config import load
 from swiftchute.drill.scenario import OPERATIONS, ZONES, Scenario
 
-DEFAULT_TABLE_ENTRIES = 6  # of the table that a gateway starts with
+DEFAULT_TABLE_ENTRIES = 6  # entries of the table that a gateway starts with
 DNS_ORIGIN = "lots.example."
-DNS_RESPONSES_PER_S = 5000  # all fakes ask from one address and share one rate limit
+DNS_RESPONSES_PER_S = 5000  # all fakes query from one address and share its rate limit
 
 Address = tuple[str, int]
 
 
 @dataclass(frozen=True)
 class InstanceSettings:
-    """What the settings of one instance are made of."""
+    """The values that an instance's settings file is written from."""
 
     scenario: Scenario
     instance: int
@@ -30,7 +30,7 @@
     dns_views: Mapping[tuple[int, str], Address]  # by instance and zone
 
     def to_hcl(self) -> str:
-        """Return the file's text."""
+        """Return the text of the settings file."""
         return "\n".join(
             [
                 self._service(),
@@ -104,13 +104,17 @@
         views = {zone: at for (instance, zone), at in self.dns_views.items() if instance == self.instance}
         if not views:
             return []
-        others = [f"{zone} {_host_port(at)}" for zone, at in views.items() if zone != self._zone]
-        home = _host_port(views[self._zone])
-        return [_block("dns", listen=home, origin=DNS_ORIGIN, views=others, responses=DNS_RESPONSES_PER_S)]
+        other_views = [f"{zone} {_host_port(at)}" for zone, at in views.items() if zone != self._zone]
+        home_view = _host_port(views[self._zone])
+        return [
+            _block(
+                "dns", listen=home_view, origin=DNS_ORIGIN, views=other_views, responses=DNS_RESPONSES_PER_S
+            )
+        ]
 
 
 def write_and_load(settings: InstanceSettings, path: str) -> Settings:
-    """Write a settings file and return the policy's part of it, as an instance would read it."""
+    """Write a settings file and return the policy's settings as an instance reads them."""
     with open(path, "w", encoding="utf-8") as file:
         file.write(settings.to_hcl())
     return load(path).settings
@@ -121,6 +125,6 @@
 
 
 def _block(head: str, **values: Any) -> str:
-    """Return a block of HCL; its plain values are written as JSON's are."""
+    """Return an HCL block; its values are written as JSON."""
     fields = (f"  {key} = {json.dumps(value)}" for key, value in values.items())
     return "\n".join([f"{head} {{", *fields, "}"])
--- a/swiftchute/drill/network_faults.py
+++ b/swiftchute/drill/network_faults.py
@@ -9,22 +9,22 @@
 from swiftchute.fakes.relay import Relay
 
 NS_PER_S = 1_000_000_000
-STARTUP_ALLOWANCE_NS = NS_PER_S // 2  # an instance that starts again cannot know anything sooner
+STARTUP_ALLOWANCE_NS = NS_PER_S // 2  # a restarted instance cannot know anything sooner
 
-Spans = list[tuple[int, int]]  # from and to, monotonic nanoseconds
+Spans = list[tuple[int, int]]  # begin and end, monotonic nanoseconds
 
 
 class NetworkFaults(FaultContext):
-    """Instances that die or stall, streams that break, networks that are slow."""
+    """Killed and stalled instances, lost gateways, broken streams and slow networks."""
 
     def __init__(self, fleet: Fleet) -> None:
         """Act on a fleet's instances, gateways and relays."""
         super().__init__(fleet)
-        self._unavailable: dict[str, Spans] = {}  # by instance, when it could not learn anything
+        self._unavailable: dict[str, Spans] = {}  # by instance: when it could receive nothing
         self._down_since: dict[int, int] = {}
 
     def unavailable_spans(self, end: int) -> dict[str, Spans]:
-        """Return by instance when it could not learn anything; those still down are so until `end`."""
+        """Return by instance when it could receive nothing; one that is still down counts until `end`."""
         for instance, since in self._down_since.items():
             self._add_unavailable(instance, since, end)
         return self._unavailable
@@ -37,7 +37,7 @@
         return self._random.sample(range(count), max(1, round(share * count)))
 
     async def stall_instance(self, instance: int, seconds: float) -> None:
-        """Stop an instance's process and continue it later."""
+        """Suspend an instance's process for some seconds."""
         since = time.monotonic_ns()
         self._fleet.instances[instance].send_signal(signal.SIGSTOP)
         await asyncio.sleep(seconds)
@@ -50,7 +50,7 @@
         await self._fleet.instances[instance].end(signal.SIGKILL)
 
     async def restart_instance(self, instance: int) -> None:
-        """Start an instance that was killed; it knows nothing but the endpoint list."""
+        """Restart an instance that was killed; it knows nothing but the endpoint list."""
         await self._fleet.instances[instance].start()
         ready = time.monotonic_ns() + STARTUP_ALLOWANCE_NS
         self._add_unavailable(instance, self._down_since.pop(instance), ready)
@@ -68,7 +68,7 @@
         await self.stall_instance(planner % len(self._fleet.instances), lasts)
 
     async def isolate_gateways(self, share: float, seconds: float) -> None:
-        """Let gateways reach no instance for a while; they go on forwarding."""
+        """Cut gateways off from all instances for a while; they keep forwarding."""
         chosen = self._choose_gateways(share)
         relays = [relay for (gateway, _), relay in self._fleet.relays.items() if gateway in chosen]
         for relay in relays:
@@ -79,11 +79,11 @@
             relay.refusing = False
 
     async def unreached(self, share: float, lasts: float) -> None:
-        """Let gateways reach no instance."""
+        """Cut gateways off from all instances."""
         await self.isolate_gateways(share, lasts)
 
     async def slow_network(self, delay: float, pace: float, seconds: float) -> None:
-        """Delay what passes between gateways and instances (s) and bound its rate (bytes per second)."""
+        """Delay traffic between gateways and instances (s) and limit its rate (bytes per second)."""
         self._set_network(delay, pace)
         await asyncio.sleep(seconds)
         self._set_network(0.0, 0.0)
@@ -100,7 +100,7 @@
         await self.slow_network(delay, pace, lasts)
 
     def break_streams(self, share: float) -> None:
-        """Break the streams of gateways at once; they dial again."""
+        """Break the streams of gateways at once; the gateways reconnect."""
         for gateway in self._choose_gateways(share):
             for instance in range(len(self._fleet.instances)):
                 self._fleet.relays[gateway, instance].cut()
@@ -110,7 +110,7 @@
         self.break_streams(share)
 
     async def gateways_die(self, share: float, lasts: float) -> None:
-        """Stop gateways and start them again with their default tables alone."""
+        """Stop gateways and restart them with only their default tables."""
         gateways = [self._fleet.gateways[number] for number in self._choose_gateways(share)]
         for gateway in gateways:
             await gateway.kill()
@@ -119,17 +119,17 @@
             gateway.start()
 
     async def stop_reading(self, gateway: int, seconds: float) -> None:
-        """Let a gateway not read its stream for a while."""
+        """Make a gateway stop reading its stream for a while."""
         self._fleet.gateways[gateway].reading.clear()
         await asyncio.sleep(seconds)
         self._fleet.gateways[gateway].reading.set()
 
     async def reject_updates(self, gateway: int, seconds: float) -> None:
-        """Let a gateway reject added endpoints for a while, and reconnect halfway."""
+        """Make a gateway reject new endpoints for a while and reconnect halfway through."""
         client = self._fleet.gateways[gateway].client
         resources = client.resources
         client.validate = (
-            lambda kind, name, message: "not taken today"
+            lambda kind, name, message: "drill: new endpoints are rejected"
             if (kind.endswith("LbEndpoint") and name not in resources[kind])
             else None
         )
