--- a/swiftchute/fakes/__init__.py
+++ b/swiftchute/fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Fakes of outside systems for drills and tests: backends, gateways, DNS clients, and a faulty network."""
+"""Fakes of external systems for drills and tests: backends, gateways, DNS clients and a faulty network."""
--- a/swiftchute/fakes/backend.py
+++ b/swiftchute/fakes/backend.py
@@ -1,8 +1,8 @@
-"""A fake backend: a gRPC server on loopback that does pretended work and writes receipts.
+"""A fake backend: a gRPC server on loopback that simulates work and records a receipt of each event.
 
-It has cores, a queue and a warm-up, and crashes if it gets more work than it can do while it warms up. It can
-crash, hang, stop reading, be slow, pause and fail quickly. Any method that ends in an operation's name is
-answered; the request's bytes are `request id|attempt|gateway`.
+It has cores, a queue and a warm-up, and crashes if it is overloaded while it warms up. It can be made to
+crash, hang, stop reading, be slow, pause or fail requests. It serves a method for each operation; the body of
+a request is `request id|attempt|gateway`.
 """
 
 import asyncio
@@ -21,22 +21,22 @@
 
 SERVICE = "/swiftchute.fakes.Worker/"
 MAX_RECEIPTS = 200_000
-WORK_JITTER = (0.85, 1.15)  # factors of an operation's work
+WORK_JITTER = (0.85, 1.15)  # random factor of an operation's work
 HANG_S = 3600
 
 
 class BackendEvent(StrEnum):
-    """What a receipt says of a request, or of the backend itself."""
+    """What a receipt records, about a request or about the backend itself."""
 
     ARRIVED = "came"
     STARTED = "ran"  # from then on it may have taken effect
     QUEUE_FULL = "full"
     FAILED = "errored"  # before it ran
-    CRASHED = "fell"  # the backend, of too much work while warming up
+    CRASHED = "fell"  # the backend itself, overloaded while warming up
 
 
 class Behaviour(StrEnum):
-    """How a backend treats requests."""
+    """How a backend handles requests."""
 
     NORMAL = "well"
     HANG = "hang"
@@ -46,18 +46,18 @@
 
 @dataclass(frozen=True)
 class Receipt:
-    """One event of an attempt that reached a backend, or of the backend.
+    """One event of an attempt that reached a backend, or of the backend itself.
 
-    Every attempt has a receipt `ARRIVED`, and one more: `STARTED`, `QUEUE_FULL` or `FAILED`.
+    Each attempt has the receipt `ARRIVED` and one more: `STARTED`, `QUEUE_FULL` or `FAILED`.
 
     Attributes:
         time_ns: when, monotonic.
         endpoint: the backend's address.
-        operation: the attempt's operation; "" for the backend itself, as the next two.
+        operation: the attempt's operation; "" for an event of the backend itself, as id and gateway.
         request_id: the request that it belongs to.
         attempt: its number, from 0.
-        gateway: who sent it.
-        work_s: its work at full speed.
+        gateway: name of the gateway that sent it.
+        work_s: its work on a core of speed 1.
         event: what happened.
     """
 
@@ -73,16 +73,16 @@
 
 @dataclass(frozen=True)
 class BackendProfile:
-    """What a backend can do.
+    """Capacity of a backend.
 
     Attributes:
-        work_s: work of a request by operation.
-        cores: requests that it works on at once.
+        work_s: work of a request, by operation.
+        cores: requests that it runs at once.
         queue_capacity: requests that may wait for a core.
-        start_capacity_fraction: its capacity at a start, as a fraction of full capacity.
+        start_capacity_fraction: its capacity right after a start, as a fraction of full capacity.
         warmup_s: time until it has full capacity.
-        overload_multiple: of its capacity, the work that crashes it while it warms up.
-        overload_window_s: time over which that work is summed.
+        overload_multiple: it crashes during warm-up if its work exceeds this multiple of its capacity.
+        overload_window_s: window over which that work is summed.
     """
 
     work_s: dict[str, float]
@@ -99,16 +99,16 @@
 
     Attributes:
         address: "host:port"; kept over restarts.
-        receipts: outlive its crashes.
+        receipts: events, kept over crashes and restarts.
         server: its gRPC server, None while it is down.
-        started_at_s: monotonic time of a start with a warm-up, None without one.
-        behaviour: how it treats requests.
-        slowdown: factor of the time that work takes.
-        crash_times_s: when it crashed of too much work.
+        started_at_s: monotonic time of the last start, None if it began without a warm-up.
+        behaviour: how it handles requests.
+        slowdown: factor by which work takes longer.
+        crash_times_s: monotonic times of crashes from overload.
     """
 
     def __init__(self, profile: BackendProfile, zone: str, speed: float, seed: int) -> None:
-        """It listens from `start` on; `speed` is work done per second on a core."""
+        """Create a backend that is not started; `speed` is the work done per second on a core."""
         self.profile = profile
         self.zone = zone
         self.speed = speed
@@ -125,7 +125,7 @@
         self._recent_work: deque[tuple[float, float]] = deque()  # arrival and work, both in s
 
     def __mapping__(self) -> dict[str, Handler]:
-        """A handler for each operation, as grpclib asks for."""
+        """Return a handler for each operation, as grpclib requires."""
         return {
             SERVICE + operation: Handler(
                 lambda stream, operation=operation: self._serve(stream, operation),
@@ -137,7 +137,7 @@
         }
 
     async def start(self, warm_up: bool = False, host: str = "127.0.0.1") -> None:
-        """Listen, at the same address as before if it ran before."""
+        """Listen; after a restart at the same address as before."""
         previous_host, _, port = self.address.rpartition(":")
         self.server = AbortableServer([self], codec=RawCodec())
         await self.server.start(previous_host or host, int(port or 0), reuse_address=True)
@@ -158,24 +158,24 @@
             server.close()
 
     def stop_reading(self) -> None:
-        """Read nothing more on open connections, and answer nothing on new ones."""
+        """Stop reading on open connections, and answer nothing on new ones."""
         self.behaviour = Behaviour.HANG
         if self.server is not None:
             self.server.pause_reading()
 
     def pause(self, duration_s: float) -> None:
-        """Let all work that runs stop for so long."""
+        """Pause all running work for `duration_s`."""
         self._paused_until_s = max(self._paused_until_s, time.monotonic() + duration_s)
 
     def capacity_fraction(self, now_s: float) -> float:
-        """The fraction of full capacity that it has now."""
+        """Return the fraction of full capacity at a time."""
         if self.started_at_s is None:
             return 1.0
         minimum = self.profile.start_capacity_fraction
         return min(1.0, minimum + (1 - minimum) * (now_s - self.started_at_s) / self.profile.warmup_s)
 
     def _check_overload(self, work_s: float, now_s: float) -> None:
-        """Crash while warming up, if the work within the window exceeds the multiple of the capacity."""
+        """Crash if the backend is warming up and the work within the window exceeds the allowed multiple."""
         profile = self.profile
         if self.started_at_s is None or now_s - self.started_at_s > profile.warmup_s:
             return
@@ -210,15 +210,15 @@
         if data is None:
             return
         work_s = self.profile.work_s[operation] * self._random.uniform(*WORK_JITTER)
-        # before it waits: a backend that crashes has a receipt of each
+        # written before the request waits, so that a backend that crashes has a receipt of each request
         self._write_receipt(operation, data, work_s, BackendEvent.ARRIVED)
         self._check_overload(work_s, time.monotonic())
         if self.behaviour is Behaviour.FAIL_EARLY:
             self._write_receipt(operation, data, work_s, BackendEvent.FAILED)
-            raise GRPCError(Status.INTERNAL, "fails quickly")
+            raise GRPCError(Status.INTERNAL, "injected failure before the request ran")
         if self._in_flight >= self.profile.cores + self.profile.queue_capacity:
             self._write_receipt(operation, data, work_s, BackendEvent.QUEUE_FULL)
-            raise GRPCError(Status.RESOURCE_EXHAUSTED, "waiting room full")
+            raise GRPCError(Status.RESOURCE_EXHAUSTED, "backend queue is full")
         self._in_flight += 1
         cores = self._cores
         try:
@@ -226,7 +226,7 @@
                 self._write_receipt(operation, data, work_s, BackendEvent.STARTED)
                 await self._work(work_s)
         finally:
-            if cores is self._cores:  # not restarted meanwhile
+            if cores is self._cores:  # not restarted in the meantime
                 self._in_flight -= 1
         await stream.send_message(data)
 
@@ -234,7 +234,7 @@
         if self.behaviour is Behaviour.HANG:
             await asyncio.sleep(HANG_S)
         if self.behaviour is Behaviour.FAIL_LATE:
-            raise GRPCError(Status.INTERNAL, "failed after it ran")
+            raise GRPCError(Status.INTERNAL, "injected failure after the request ran")
         speed = self.speed * self.capacity_fraction(time.monotonic())
         await asyncio.sleep(work_s * self.slowdown / speed)
         while (remaining_s := self._paused_until_s - time.monotonic()) > 0:
--- a/swiftchute/fakes/dns_client.py
+++ b/swiftchute/fakes/dns_client.py
@@ -1,4 +1,4 @@
-"""A fake client by DNS: it follows its resolver's answers in place of a control plane's tables."""
+"""A fake DNS client: it routes by its resolver's answers in place of tables from the control plane."""
 
 import asyncio
 import time
@@ -12,13 +12,13 @@
 
 
 class FakeDnsClient(FakeGateway):
-    """A gateway whose tables are its resolver's answers.
+    """A gateway whose tables come from a resolver's answers.
 
-    It sheds no load, and retries only after proof that the attempt before never ran.
+    It admits every request, and retries only if the previous attempt provably never ran.
 
     Attributes:
-        resolver: whose answers it follows.
-        answers: when (ns) it followed another answer for an operation, and whether that had records.
+        resolver: source of its tables.
+        answers: time (ns), operation and whether there were records, for each answer that it began to use.
     """
 
     def __init__(
@@ -30,7 +30,7 @@
         seed: int,
         values: dict[str, OperationValue],
     ) -> None:
-        """As `FakeGateway`, with `request_rate_per_s` requests arriving."""
+        """Create a client; `request_rate_per_s` requests arrive at it, the rest is as for `FakeGateway`."""
         client = XdsClient(node, zone, request_rate_per_s, False, False)
         super().__init__(client, [("", 0)], seed, values=values)
         self.resolver = resolver
@@ -38,19 +38,19 @@
         self._current: dict[str, CachedAnswer] = {}
 
     def start(self) -> None:
-        """Connect to nothing."""
+        """Do nothing: a DNS client has no stream to the control plane."""
 
     async def prepare(self, operation: str) -> None:
-        """Make the resolver's answer of now the operation's table."""
+        """Use the resolver's current answer as the operation's table."""
         answer = await self.resolver.lookup(operation)
         if answer is self._current.get(operation):
             return
         self._current[operation] = answer
         self._update_table(operation, answer)
-        self._follow_server()
+        self._update_connected_server()
         self.record.add(self.answers, (time.monotonic_ns(), operation, bool(answer.records)))
         if not answer.records:
-            # ask again: else a rare operation would seem to have no endpoint until its next request
+            # ask again, or a rare operation would seem to have no endpoint until its next request
             self.tasks = [task for task in self.tasks if not task.done()]
             self.tasks.append(asyncio.ensure_future(self._wait_for_answer(operation)))
 
@@ -67,8 +67,8 @@
             endpoint for routing in router.tables.values() for endpoint in routing.table.weights
         }
 
-    def _follow_server(self) -> None:
-        """Record the server that all answers came from as the one it is connected to."""
+    def _update_connected_server(self) -> None:
+        """Record the DNS server as connected once all answers come from the same one."""
         answers = [answer for answer in self._current.values() if answer.records]
         servers = {f"{answer.server[0]}:{answer.server[1]}" for answer in answers}
         if len(servers) != 1 or self.connected_to in servers:
--- a/swiftchute/fakes/gateway.py
+++ b/swiftchute/fakes/gateway.py
@@ -1,6 +1,6 @@
-"""A fake gateway: connects to the control plane, follows its tables, calls backends and reports load.
+"""A fake gateway: connects to the control plane, applies its tables, calls backends and reports load.
 
-It forwards by the proxy's own router and server, and records what passes on its sockets.
+It forwards with the router and server of `swiftchute.proxy`, and records the traffic on its sockets.
 """
 
 import asyncio
@@ -26,7 +26,7 @@
 from swiftchute.proxy.xds_client import XdsClient
 
 MAX_IN_FLIGHT = 200
-REQUEST_TIMEOUT_NS = 4 * NS_PER_S  # of a request whose route sets none
+REQUEST_TIMEOUT_NS = 4 * NS_PER_S  # for routes that have no timeout
 EJECTION_FAILURES = 5
 MAX_RESULT_CHARS = 80
 RESULT_NAMES = {
@@ -58,12 +58,12 @@
 
 @dataclass(frozen=True)
 class OperationValue:
-    """What an answer to an operation is worth.
+    """Value of an answer to an operation.
 
     Attributes:
-        latency_objective_s: an answer after it is late.
-        value: of an answer in time.
-        late_value_fraction: of that value, for a late answer.
+        latency_objective_s: an answer that takes longer is late.
+        value: value of an answer in time.
+        late_value_fraction: fraction of that value that a late answer has.
     """
 
     latency_objective_s: float
@@ -80,8 +80,8 @@
     Attributes:
         router: routes its requests.
         proxy: forwards them.
-        record: what passed on its sockets.
-        reading: while it is cleared, the gateway does not read its stream.
+        record: the traffic on its sockets.
+        reading: while this event is cleared, the gateway does not read its stream.
         acknowledgement_delay_s: delay of each acknowledgement.
     """
 
@@ -95,23 +95,23 @@
         keepalive_s: float = KEEPALIVE_S,
         values: dict[str, OperationValue] | None = None,
     ) -> None:
-        """As `ControlPlaneClient`.
+        """Create a gateway that connects once `start` is called.
 
         Args:
-            client: the state of the xDS client.
+            client: state of the xDS client.
             servers: host and port of the control plane's servers, in the order of connecting.
-            seed: of all random decisions.
+            seed: seed of all random decisions.
             ejection_failures: consecutive failures that eject an endpoint.
-            reconnect_delay_s: bounds of the delay before the next connection.
+            reconnect_delay_s: bounds of the delay before a reconnection.
             keepalive_s: interval of pings to the control plane.
-            values: what answers are worth, by operation.
+            values: value of answers, by operation.
         """
         super().__init__(client, servers, seed, reconnect_delay_s, keepalive_s)
         self.record = TrafficRecord()
         limits = ProxyLimits(
             max_in_flight=MAX_IN_FLIGHT, ejection_failures=ejection_failures, retry_budget_fraction=1.0
         )
-        # it does as its tables say, whatever the operation: the rules are the control plane's to keep
+        # obeys its tables, also for side-effecting operations: the control plane must keep the rules
         self.router = RequestRouter(client, {}, limits, self.random.getrandbits(32), Idempotency.IDEMPOTENT)
         self.proxy = _RecordingProxy(self)
         self.reading = asyncio.Event()
@@ -127,12 +127,12 @@
         super().start()
 
     async def stop(self) -> None:
-        """End everything."""
+        """Disconnect and stop the proxy."""
         await super().stop()
         await self.proxy.stop()
 
     async def kill(self) -> None:
-        """Lose the connection and all tables; `start` continues with the static endpoints."""
+        """Drop the connection and all tables; after `start` only the static endpoints are known."""
         await super().stop()
         client = self.client
         fresh = XdsClient(
@@ -148,7 +148,7 @@
         self.router.update_tables()
 
     def on_applied(self) -> None:
-        """Put the received tables in force for the next request."""
+        """Apply the received tables, from the next request on."""
         self.router.update_tables()
 
     def on_stream_opened(self, server: str, stream: int) -> None:
@@ -174,12 +174,12 @@
             await asyncio.sleep(self.acknowledgement_delay_s)
 
     async def generate_load(self, operation: str, rate_per_s: float, duration_s: float) -> None:
-        """Send requests at random times; past `MAX_IN_FLIGHT` they are counted and not sent.
+        """Send requests at random times; those beyond `MAX_IN_FLIGHT` are counted but not sent.
 
         Args:
-            operation: of the requests.
-            rate_per_s: requests a second on average.
-            duration_s: for so long.
+            operation: operation of the requests.
+            rate_per_s: average requests per second.
+            duration_s: how long to send.
         """
         end_s = time.monotonic() + duration_s
         while (now_s := time.monotonic()) < end_s:
@@ -192,14 +192,14 @@
                 self._count_result(RESULT_NAMES[RequestResult.AT_CAPACITY], operation)
 
     async def prepare(self, operation: str) -> None:
-        """Make an operation known to the router, if no listener has named it yet."""
+        """Add a route for an operation that no listener has configured yet."""
         if operation not in self.router.routes:
             route = RouteSettings(operation, REQUEST_TIMEOUT_NS, Idempotency.IDEMPOTENT)
             self.router.routes[operation] = route
             self.router.update_tables()
 
     async def send_request(self, operation: str) -> str:
-        """Send one request; returns how it ended."""
+        """Send one request and return the name of its result."""
         self._request_count += 1
         started_s = time.monotonic()
         request_id = f"{self.client.node}-{self._request_count}"
@@ -214,7 +214,7 @@
         return self._count_result(name, operation, time.monotonic() - started_s)
 
     def _message(self, operation: str, request_id: str) -> HttpMessage:
-        """A gRPC request, its message uncompressed and with its length before it."""
+        """Return a gRPC request with an uncompressed, length-prefixed message."""
         body = f"{request_id}|0|{self.client.node}".encode()
         headers = [(b":path", (SERVICE + operation).encode()), *_REQUEST_HEADERS]
         return HttpMessage(0, headers, bytes(1) + len(body).to_bytes(4, "big") + body)
@@ -240,14 +240,14 @@
 
 
 class _RecordingProxy(ProxyServer):
-    """The proxy that a fake gateway's requests go through; it records the attempts."""
+    """The proxy that forwards a fake gateway's requests and records their attempts."""
 
     def __init__(self, gateway: FakeGateway) -> None:
         super().__init__(gateway.router, _SERVER_SETTINGS)
         self._gateway = gateway
 
     def on_attempt_ended(self, request: ActiveRequest, outcome: AttemptOutcome) -> None:
-        """Record an attempt as of when it was sent, unless its endpoint was withdrawn before that."""
+        """Record an attempt with the time it was sent, unless its endpoint was withdrawn before."""
         if outcome is AttemptOutcome.WITHDRAWN:
             return
         sent_at_ns = request.attempt_sent_ns or request.attempt_started_ns
--- a/swiftchute/fakes/relay.py
+++ b/swiftchute/fakes/relay.py
@@ -1,32 +1,32 @@
-"""A TCP relay on loopback that disturbs what passes: it delays, slows, cuts and refuses.
+"""A TCP relay on loopback that can delay and slow traffic, break connections and refuse new ones.
 
-A drill has one for each gateway and server of the control plane.
+A drill has one for each pair of a gateway and a server of the control plane.
 """
 
 import asyncio
 from collections import deque
 from typing import Any
 
-MAX_BUFFERED_BYTES = 2**20  # in one direction; past it the relay stops reading
+MAX_BUFFERED_BYTES = 2**20  # per direction; beyond it the relay stops reading
 CONNECT_TIMEOUT_S = 2
 TIMER_TOLERANCE_S = 0.0005
 
 
 class _RelaySide(asyncio.Protocol):
-    """One socket of a pair; what is received here is sent by the other side, late if so configured."""
+    """One socket of a pair; data received here is sent by the other side, delayed if configured."""
 
     def __init__(self, relay: "Relay", other: "_RelaySide | None" = None) -> None:
-        """Without `other` it is the side that accepted, which connects the other one."""
+        """Create a side; without `other` it is the accepting one, which opens the other."""
         self._relay = relay
         self._other = other
         self._transport: Any = None
-        self._queue: deque[tuple[float, bytes]] = deque()  # due time of the event loop, and data
+        self._queue: deque[tuple[float, bytes]] = deque()  # due time by the event loop's clock, and data
         self._buffered_bytes = 0
         self._last_due_s = 0.0
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The socket is connected."""
+        """Connect the other side if this one accepted, or send what waits for this one."""
         self._transport = transport
         if self._other is not None:
             self._other._send_due()
@@ -39,7 +39,7 @@
         asyncio.ensure_future(self._connect(self._other))
 
     def data_received(self, data: bytes) -> None:
-        """Queue bytes for the other side."""
+        """Queue data for the other side."""
         relay = self._relay
         due_s = max(asyncio.get_running_loop().time() + relay.delay_s, self._last_due_s)
         if relay.rate_bytes_per_s:
@@ -52,7 +52,7 @@
         self._send_due()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Close the other side as well."""
+        """Close the other side too."""
         self._relay.sides.discard(self)
         if self._timer is not None:
             self._timer.cancel()
@@ -60,12 +60,12 @@
             self._other._transport.close()
 
     def abort(self) -> None:
-        """Break the connection, if there is one."""
+        """Abort the connection if there is one."""
         if self._transport is not None:
             self._transport.abort()
 
     def abort_pair(self) -> None:
-        """Break both sides."""
+        """Abort the connections of both sides."""
         self.abort()
         if self._other is not None:
             self._other.abort()
@@ -78,7 +78,7 @@
             self.abort()
 
     def _send_due(self) -> None:
-        """Send by the other side what is due, and set a timer for the rest."""
+        """Send the due data by the other side, and set a timer for the rest."""
         loop = asyncio.get_running_loop()
         if self._other is None or self._other._transport is None or self._timer is not None:
             return
@@ -97,18 +97,18 @@
 
 
 class Relay:
-    """Listens on a port of its own and forwards to `target`.
+    """Listens on its own port and forwards connections to `target`.
 
     Attributes:
-        target: host and port.
-        delay_s: of what passes, in both directions.
+        target: host and port of the server.
+        delay_s: delay of data in either direction.
         rate_bytes_per_s: limit of either direction; 0 means no limit.
-        refusing: new connections are broken at once.
+        refusing: whether new connections are aborted at once.
         sides: the accepting side of each open pair.
     """
 
     def __init__(self, target: tuple[str, int]) -> None:
-        """It listens from `start` on."""
+        """Create a relay that listens once `start` is called."""
         self.target = target
         self.delay_s = 0.0
         self.rate_bytes_per_s = 0.0
@@ -117,7 +117,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self, host: str = "127.0.0.1") -> tuple[str, int]:
-        """Listen; returns the address to connect to."""
+        """Listen and return the address to connect to."""
         self._server = await asyncio.get_running_loop().create_server(lambda: _RelaySide(self), host, 0)
         return self._server.sockets[0].getsockname()[:2]
 
--- a/swiftchute/fakes/resolver.py
+++ b/swiftchute/fakes/resolver.py
@@ -1,7 +1,7 @@
-"""A fake caching resolver: it asks DNS servers of the control plane and caches their SRV answers.
+"""A fake caching resolver: it queries the control plane's DNS servers and caches their SRV answers.
 
-It queries by dnspython (EDNS, and TCP where an answer is truncated), caches an answer for its time to live,
-and goes to the next server when one does not answer.
+It queries with dnspython (EDNS, and TCP if an answer is truncated), caches an answer for its time to live and
+fails over to the next server if one does not answer.
 """
 
 import asyncio
@@ -16,16 +16,16 @@
 import dns.rdatatype
 
 QUERY_TIMEOUT_S = 0.5
-FAILURE_TTL_S = 0.2  # a failure is cached for so long
+FAILURE_TTL_S = 0.2  # how long a failure is cached
 EDNS_PAYLOAD_BYTES = 1232
 
 
 @dataclass(frozen=True)
 class SrvRecord:
-    """One SRV record with its target's address.
+    """One SRV record with the address of its target.
 
     Attributes:
-        priority: the lowest is used first.
+        priority: records with the lowest one are used.
         weight: share among the records of one priority.
         endpoint: "host:port".
     """
@@ -40,9 +40,9 @@
     """An answer in the cache.
 
     Attributes:
-        records: its records; none after a failure.
-        expires_at_s: monotonic time until which it is used.
-        server: who gave it.
+        records: its records, empty after a failure.
+        expires_at_s: monotonic time at which it expires.
+        server: server that gave it.
     """
 
     records: tuple[SrvRecord, ...]
@@ -52,18 +52,18 @@
 
 @dataclass
 class CachingResolver:
-    """Answers from its cache, or by a query.
+    """Answers lookups from its cache or by a query.
 
     Attributes:
         servers: host and port of each DNS server.
-        origin: the zone that names are in.
-        seed: of the first server.
-        overstay_s: answers are used for so long past their time to live.
+        origin: DNS zone of the names.
+        seed: seed for the choice of the first server.
+        overstay_s: how long answers are used past their time to live.
         cache: answers by operation.
         query_count: queries that were sent.
-        tcp_count: of them, those that were repeated by TCP.
-        failure_count: lookups to which no server had an answer.
-        current_server: index of the server that is asked first.
+        tcp_count: those of them that were repeated by TCP.
+        failure_count: lookups that no server answered.
+        current_server: index of the server that is queried first.
     """
 
     servers: list[tuple[str, int]]
@@ -82,7 +82,7 @@
         self._lookups: dict[str, asyncio.Task[CachedAnswer]] = {}
 
     async def lookup(self, operation: str) -> CachedAnswer:
-        """An operation's answer; one query for a name is in flight at a time."""
+        """Return an operation's answer; concurrent lookups of a name share one query."""
         cached = self.cache.get(operation)
         if cached is not None and time.monotonic() < cached.expires_at_s:
             return cached
@@ -96,7 +96,7 @@
         name = f"_{operation}._tcp.{self.origin}"
         first = self.current_server
         for step in range(len(self.servers)):
-            # not `self.current_server`: lookups that fail at the same time would turn it back
+            # not `self.current_server`: concurrent failing lookups would set it back
             index = (first + step) % len(self.servers)
             answer = await self._query(name, self.servers[index])
             if answer is not None:
@@ -109,7 +109,7 @@
         return failure
 
     async def _query(self, name: str, server: tuple[str, int]) -> CachedAnswer | None:
-        """Ask one server; None without an answer."""
+        """Query one server; return None if it gives no answer."""
         self.query_count += 1
         query = dns.message.make_query(name, "SRV", use_edns=0, payload=EDNS_PAYLOAD_BYTES)
         try:
@@ -128,7 +128,7 @@
         answer = response.answer[0]
         records = []
         for record in answer:
-            # a target's name holds its address, where there was no space for the address record
+            # without an address record, for which there was no space, the target's name contains the address
             address = addresses.get(record.target) or record.target.labels[0][3:].decode().replace("-", ".")
             records.append(SrvRecord(record.priority, record.weight, f"{address}:{record.port}"))
         expires_at_s = time.monotonic() + answer.ttl + self.overstay_s
@@ -136,10 +136,10 @@
 
 
 class SrvPicker:
-    """Picks an endpoint by RFC 2782: of the lowest priority, by a running sum of weights."""
+    """Picks an endpoint by RFC 2782: among those of the lowest priority, by a running sum of weights."""
 
     def __init__(self, records: tuple[SrvRecord, ...]) -> None:
-        """There is at least one record."""
+        """Create a picker over at least one record."""
         lowest = min(record.priority for record in records)
         self.endpoints = tuple(record.endpoint for record in records)
         self._candidates = sorted(
@@ -149,7 +149,7 @@
         self._total_weight = sum(record.weight for record in self._candidates)
 
     def pick(self, chance: random.Random) -> str:
-        """An endpoint; `chance` is the source of random numbers."""
+        """Return an endpoint; `chance` is the source of random numbers."""
         position = chance.randint(0, self._total_weight)
         for record in self._candidates:
             position -= record.weight
