--- a/swiftchute/cli/drills.py
+++ b/swiftchute/cli/drills.py
@@ -63,11 +63,11 @@
 def _scenario(name: str, seed: int, fault_count: int) -> "Scenario":
     """Return the scenario that a name or a path stands for; end if there is none."""
     from swiftchute.drill.builtin_scenarios import SCENARIOS
-    from swiftchute.drill.faults import drawn, load, script
+    from swiftchute.drill.faults import draw_scenario, load, to_hcl
 
     if name == "drawn":
-        scenario = drawn(seed, fault_count)
-        click.echo(script(scenario))
+        scenario = draw_scenario(seed, fault_count)
+        click.echo(to_hcl(scenario))
         return scenario
     if name.endswith(".hcl"):
         return load_or_fail(name, load)
@@ -142,7 +142,7 @@
 @click.option("--out", type=click.Path(dir_okay=False), help="Write the worst day's script to this file.")
 def search_command(seed: int, days: int, troubles: int, plays: int, out: str | None) -> None:
     """Draw days of troubles, look for a broken rule or the nearest to one, and cut that day down."""
-    from swiftchute.drill.faults import script
+    from swiftchute.drill.faults import to_hcl
     from swiftchute.drill.shrink import search
 
     played, smallest, plays_taken = search(seed, days, troubles, plays)
@@ -152,7 +152,7 @@
         click.echo(f"seed {one.seed}: {outcome}, nearest {one.nearest:.2f} of a limit ({kinds})")
     if smallest is not None:
         click.echo(f"cut down in {plays_taken} plays:")
-    worst = script(smallest or played[0].scenario)
+    worst = to_hcl(smallest or played[0].scenario)
     click.echo(worst, nl=False)
     if out:
         with open(out, "w", encoding="utf-8") as file:
--- a/swiftchute/drill/faults.py
+++ b/swiftchute/drill/faults.py
@@ -1,8 +1,8 @@
 """Kinds of faults, and scenarios of such faults that are drawn at random or read from HCL scripts.
 
-    scenario = load("my-scenario.hcl")     # raises ConfigError: each problem with file, line, field and cause
-    scenario = drawn(seed, count=2)        # faults of different kinds, within bounds
-    text = script(scenario)                # the same scenario as HCL
+    scenario = load("my-scenario.hcl")       # raises ConfigError: all problems with line, field and cause
+    scenario = draw_scenario(seed, count=2)  # faults of different kinds, within bounds
+    text = to_hcl(scenario)                  # the same scenario as HCL
 
 A script:
 
@@ -186,7 +186,7 @@
     return number(0, maximum, isinstance(bounds[0], int))
 
 
-def drawn(seed: int, count: int = 2, seconds: float = 30.0) -> Scenario:
+def draw_scenario(seed: int, count: int = 2, seconds: float = 30.0) -> Scenario:
     """Return a random scenario with `count` faults of different kinds that begin in its first half."""
     generator = random.Random(seed)
     names = generator.sample(sorted(KINDS), count)
@@ -209,7 +209,7 @@
     return Fault(round(at, 2), name, tuple(arguments))
 
 
-def script(scenario: Scenario) -> str:
+def to_hcl(scenario: Scenario) -> str:
     """Return a scenario as HCL that `load` can read."""
     lines = ["drill {"]
     for key, known in _SCENARIO_FIELDS.items():
--- a/swiftchute/drill/shrink.py
+++ b/swiftchute/drill/shrink.py
@@ -13,7 +13,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import dataclass, replace
 
-from swiftchute.drill.faults import KINDS, drawn
+from swiftchute.drill.faults import KINDS, draw_scenario
 from swiftchute.drill.invariants import Verdict, judge
 from swiftchute.drill.report import broken
 from swiftchute.drill.runner import Runner
@@ -117,7 +117,7 @@
     jobs = max((os.cpu_count() or 2) // 2, 1)  # each is a few processes
     seeds = range(seed, seed + count)
     with ProcessPoolExecutor(jobs, multiprocessing.get_context("spawn")) as pool:
-        scenarios = [drawn(one, faults) for one in seeds]
+        scenarios = [draw_scenario(one, faults) for one in seeds]
         played = worst_first(list(pool.map(play, scenarios, seeds)))
         worst = played[0]
         if not worst.bad:
--- a/tests/drill/test_faults.py
+++ b/tests/drill/test_faults.py
@@ -10,7 +10,7 @@
 
 from swiftchute.config import ConfigError
 from swiftchute.drill.fault_actions import FaultActions
-from swiftchute.drill.faults import KINDS, drawn, load, script
+from swiftchute.drill.faults import KINDS, draw_scenario, load, to_hcl
 from swiftchute.drill.invariants import Evidence, Verdict
 from swiftchute.drill.report import broken
 from swiftchute.drill.runner import Result
@@ -21,9 +21,9 @@
 @given(seed=st.integers(0, 10_000), count=st.integers(1, 6))
 @hypothesis_settings(max_examples=60, deadline=None, derandomize=True)
 def test_a_drawn_day_is_read_back_from_its_script(tmp_path_factory, seed, count):
-    day = drawn(seed, count)
+    day = draw_scenario(seed, count)
     path = tmp_path_factory.mktemp("days") / "day.hcl"
-    path.write_text(script(day))
+    path.write_text(to_hcl(day))
     found = load(str(path))
     assert [(t.at, t.action) for t in found.faults] == [(t.at, t.action) for t in day.faults]
     for one, two in zip(found.faults, day.faults, strict=True):
@@ -68,7 +68,7 @@
 
 def test_a_broken_day_is_cut_down_to_what_matters():
     """What breaks here is a hang of two seconds or more beside a planner that dies."""
-    day = drawn(5, 6)
+    day = draw_scenario(5, 6)
     hang, dies = Fault(3.0, "hang", (0.2, 9.0)), Fault(4.0, "planner_dies", (0, 8.0))
     day = replace(day, faults=(hang, *day.faults[:3], dies, *day.faults[3:]))
 
@@ -86,7 +86,7 @@
 
 
 def test_broken_days_come_first_and_then_the_nearest():
-    day = drawn(5, 1)
+    day = draw_scenario(5, 1)
     rows = [Played(day, 1, 0.9, ()), Played(day, 2, 0.3, ("drains kept",)), Played(day, 3, 0.95, ()),
             Played(day, 4, 0.1, (), True)]  # fmt: skip
     assert [p.seed for p in worst_first(rows)] == [2, 4, 3, 1]
