--- a/swiftchute/drill/fleet.py
+++ b/swiftchute/drill/fleet.py
@@ -54,7 +54,7 @@
         self.instances: list[Instance] = []
         self.relays: dict[tuple[int, int], Relay] = {}  # by gateway and instance
         self.resolvers: dict[str, CachingResolver] = {}
-        self.dialled: dict[str, str] = {}  # by address: the instance behind it
+        self.instance_by_address: dict[str, str] = {}  # instance number by dialled address
         self.list = PublishedList(os.path.join(folder, "workers.json"), self.backends)
         self._seed = seed
         self._options = options
@@ -88,7 +88,7 @@
         for number in range(self.scenario.gateways):
             await self._start_gateway(number, values)
         for (instance, _), address in self._dns_views.items():
-            self.dialled[_host_port(address)] = str(instance)
+            self.instance_by_address[_host_port(address)] = str(instance)
         for number in range(self.scenario.dns_clients + self.scenario.overstaying_dns_clients):
             self._start_dns_client(number, values)
 
@@ -176,7 +176,7 @@
         relay = Relay(self._instance_addresses[instance])
         self.relays[gateway, instance] = relay
         address = await relay.start(self.host)
-        self.dialled[_host_port(address)] = str(instance)
+        self.instance_by_address[_host_port(address)] = str(instance)
         return address
 
     def _start_dns_client(self, number: int, values: dict[str, OperationValue]) -> None:
--- a/swiftchute/drill/runner.py
+++ b/swiftchute/drill/runner.py
@@ -153,7 +153,7 @@
             {backend.address: backend.profile.cores * backend.speed for backend in fleet.backends},
             self._actions.unavailable_spans(end),
             end,
-            fleet.dialled,
+            fleet.instance_by_address,
             {node: c.answers for node, c in dns_clients.items() if not c.resolver.overstay_s},
             frozenset(node for node, c in dns_clients.items() if c.resolver.overstay_s),
         )
