--- a/swiftchute/drill/faults.py
+++ b/swiftchute/drill/faults.py
@@ -144,7 +144,7 @@
         if block.name == "drill" and not block.labels and drill is None:
             drill = checker.parse_fields(block, _DRILL_BLOCK, block.full_name)
         elif block.name == "trouble" and len(block.labels) == 1 and block.labels[0] in KINDS:
-            faults.append(_fault(checker, block))
+            faults.append(_parse_fault(checker, block))
         else:
             known = ", ".join(f'trouble "{name}"' for name in KINDS)
             cause = f"unknown or repeated block; known: drill, {known}"
@@ -160,7 +160,7 @@
     return replace(BASE, **given, description=path, faults=in_order)
 
 
-def _fault(checker: Checker, block: Block) -> Fault:
+def _parse_fault(checker: Checker, block: Block) -> Fault:
     kind = block.labels[0]
     table = {"at": Field(duration(0, 600 * NS_PER_S), 0)} | {
         name: _fault_field(name, bounds) for name, bounds in KINDS[kind].fields.items()
