--- a/tests/drill/test_faults.py
+++ b/tests/drill/test_faults.py
@@ -10,7 +10,7 @@
 
 from swiftchute.config import ConfigError
 from swiftchute.drill.fault_actions import FaultActions
-from swiftchute.drill.faults import KINDS, drawn, load, script
+from swiftchute.drill.faults import KINDS, draw_scenario, load, to_hcl
 from swiftchute.drill.invariants import Evidence, Verdict
 from swiftchute.drill.report import broken
 from swiftchute.drill.runner import Result
@@ -21,9 +21,9 @@
 @given(seed=st.integers(0, 10_000), count=st.integers(1, 6))
 @hypothesis_settings(max_examples=60, deadline=None, derandomize=True)
 def test_a_drawn_scenario_is_read_back_from_its_script(tmp_path_factory, seed, count):
-    scenario = drawn(seed, count)
+    scenario = draw_scenario(seed, count)
     path = tmp_path_factory.mktemp("days") / "day.hcl"
-    path.write_text(script(scenario))
+    path.write_text(to_hcl(scenario))
     found = load(str(path))
     assert [(t.at, t.action) for t in found.faults] == [(t.at, t.action) for t in scenario.faults]
     for one, two in zip(found.faults, scenario.faults, strict=True):
@@ -72,7 +72,7 @@
 
 def test_shrinking_keeps_only_the_faults_that_matter():
     """Here a run breaks if a backend hangs for two seconds or more and an instance dies."""
-    scenario = drawn(5, 6)
+    scenario = draw_scenario(5, 6)
     hang, dies = Fault(3.0, "hang", (0.2, 9.0)), Fault(4.0, "planner_dies", (0, 8.0))
     scenario = replace(scenario, faults=(hang, *scenario.faults[:3], dies, *scenario.faults[3:]))
 
@@ -90,7 +90,7 @@
 
 
 def test_bad_runs_come_first_then_those_closest_to_a_limit():
-    scenario = drawn(5, 1)
+    scenario = draw_scenario(5, 1)
     rows = [Played(scenario, 1, 0.9, ()), Played(scenario, 2, 0.3, ("drains kept",)),
             Played(scenario, 3, 0.95, ()), Played(scenario, 4, 0.1, (), True)]  # fmt: skip
     assert [p.seed for p in worst_first(rows)] == [2, 4, 3, 1]
--- a/tests/drill/test_scenario.py
+++ b/tests/drill/test_scenario.py
@@ -14,7 +14,7 @@
 
 from swiftchute.dns import frontend, ttl
 from swiftchute.drill.builtin_scenarios import SCENARIOS
-from swiftchute.drill.faulty_policies import SABOTEURS, Bent, Oscillates, cases
+from swiftchute.drill.faulty_policies import FAULTY_POLICIES, FaultyPolicy, Oscillates, cases
 from swiftchute.drill.fleet import FleetOptions
 from swiftchute.drill.invariants import judge
 from swiftchute.drill.predict import shares
@@ -36,10 +36,10 @@
     """Oscillates where neither the egress queue nor the safety gate has a limit."""
 
 
-class OrdersRetries(Bent):
+class OrdersRetries(FaultyPolicy):
     """Allows a retry after any failure, also of side-effecting requests that may have run."""
 
-    def bend(self, verb, arguments):
+    def alter_command(self, verb, arguments):
         if verb != "set_admission":
             return [(verb, arguments)]
         return [(verb, (*arguments[:3], 2))]
@@ -62,7 +62,7 @@
 REAL_POLICY_SCENARIOS = {
     rule: scenario
     for scenario, rule in (
-        (SABOTEURS["empties"][2], "lost"),
+        (FAULTY_POLICIES["empties"][2], "lost"),
         (SCENARIOS["errors"], "twice"),
         (SCENARIOS["drains"], "drain"),
         (SCENARIOS["cold"], "cold"),
@@ -126,7 +126,7 @@
 @pytest.mark.parametrize("case", CASES, ids=lambda case: f"{case.name}-{case.kind}")
 def test_faulty_policies_break_their_invariant_without_the_gate_and_none_under_it(played, case):
     result, verdicts = played[case, "sabotage"]
-    assert case.right(result, verdicts), text(result, verdicts)
+    assert case.as_expected(result, verdicts), text(result, verdicts)
 
 
 def test_an_instance_killed_in_mid_push_keeps_the_invariants_after_its_return(played):
