--- a/swiftchute/cli/drills.py
+++ b/swiftchute/cli/drills.py
@@ -1,4 +1,4 @@
-"""Commands that play fault scenarios: drill, search."""
+"""Commands that run fault scenarios: drill, search."""
 
 import os
 import sys
@@ -17,13 +17,27 @@
 
 @click.command()
 @click.argument("day", required=False)
-@click.option("--list", "list_only", is_flag=True, help="Say which days there are.")
-@click.option("--seed", default=7, show_default=True, help="Start of the day's chance.")
-@click.option("--json", "json_path", type=click.Path(dir_okay=False), help="Write the verdicts to a file.")
-@click.option("--keep", type=click.Path(file_okay=False), help="Keep settings, list and logs in this folder.")
-@click.option("--bad-day/--no-bad-day", default=True, help="With sabotage: also among the bad day's faults.")
+@click.option("--list", "list_only", is_flag=True, help="List the scenarios.")
+@click.option("--seed", default=7, show_default=True, help="Seed of the random decisions.")
 @click.option(
-    "--troubles", default=2, show_default=True, type=click.IntRange(1, 6), help="With drawn: how many."
+    "--json", "json_path", type=click.Path(dir_okay=False), help="Write the verdicts to this file as JSON."
+)
+@click.option(
+    "--keep",
+    type=click.Path(file_okay=False),
+    help="Keep settings, endpoint list and logs in this directory.",
+)
+@click.option(
+    "--bad-day/--no-bad-day",
+    default=True,
+    help="With sabotage: also run each policy in the scenario bad-day.",
+)
+@click.option(
+    "--troubles",
+    default=2,
+    show_default=True,
+    type=click.IntRange(1, 6),
+    help="With drawn: number of faults.",
 )
 def drill(
     day: str | None,
@@ -34,10 +48,10 @@
     bad_day: bool,
     troubles: int,
 ) -> None:
-    """Play a scripted day of stand-ins on this machine through real planners, and judge the five rules.
+    """Run a fault scenario with fake backends and proxies against real instances; check five invariants.
 
-    DAY is a name, a script in HCL, `drawn` (troubles by chance, from the seed; its script is printed first),
-    or `sabotage` (deciders that each do one thing wrong, without the guard and under it).
+    DAY is the name of a scenario, a script in HCL, `drawn` (random faults from the seed; the script is
+    printed first), or `sabotage` (policies with one fault each, with the safety gate off and on).
     """
     if list_only or day is None:
         _print_scenarios()
@@ -53,15 +67,15 @@
 
     for name, scenario in SCENARIOS.items():
         click.echo(f"{name:10} {scenario.duration:3.0f} s  {scenario.description}")
-    click.echo("drawn       30 s  troubles by chance, from the seed")
-    click.echo("FILE.hcl          a script of your own; kinds of trouble:")
+    click.echo("drawn       30 s  random faults from the seed")
+    click.echo("FILE.hcl          your own script; kinds of fault (block trouble):")
     for name, kind in KINDS.items():
         click.echo(f"    {name:16} {kind.description} ({', '.join(kind.fields)})")
-    click.echo("sabotage          deciders that each do one thing wrong, without the guard and under it")
+    click.echo("sabotage          policies with one fault each, with the safety gate off and on")
 
 
 def _scenario(name: str, seed: int, fault_count: int) -> "Scenario":
-    """Return the scenario that a name or a path stands for; end if there is none."""
+    """Return the scenario of a name or path; exit if there is none."""
     from swiftchute.drill.builtin_scenarios import SCENARIOS
     from swiftchute.drill.faults import drawn, load, script
 
@@ -72,12 +86,12 @@
     if name.endswith(".hcl"):
         return load_or_fail(name, load)
     if name not in SCENARIOS:
-        fail(f"no day {name!r}; there are {', '.join(SCENARIOS)}")
+        fail(f"no scenario {name!r}; there are {', '.join(SCENARIOS)}")
     return SCENARIOS[name]
 
 
 def _play(name: str, scenario: "Scenario", seed: int, json_path: str | None, keep: str | None) -> None:
-    """Play a scenario, print the verdicts and end with 1 if a rule broke."""
+    """Run a scenario, print the verdicts, and exit with 1 if an invariant was violated."""
     import tempfile
 
     import uvloop
@@ -102,14 +116,14 @@
 
 
 def _play_faulty_policies(seed: int, bad_day: bool) -> int:
-    """Play every faulty policy, a few at a time, print how each went and return the exit code."""
+    """Run every faulty policy, a few at a time; print each outcome and return the exit code."""
     import multiprocessing
     from concurrent.futures import ProcessPoolExecutor
 
     from swiftchute.drill import faulty_policies
 
     failures = 0
-    jobs = max((os.cpu_count() or 2) // 2, 1)  # each is a few processes
+    jobs = max((os.cpu_count() or 2) // 2, 1)  # each case runs several processes
     with ProcessPoolExecutor(jobs, multiprocessing.get_context("spawn")) as pool:
         cases = faulty_policies.cases(bad_day)
         for case, result, verdicts in pool.map(faulty_policies.outcome, cases, [seed] * len(cases)):
@@ -127,31 +141,46 @@
         broken = [verdict for verdict in broken if verdict.rule == SABOTEURS[case.name][1]]
     findings = [f"{verdict.rule} broken, {verdict.broken[0]}" for verdict in broken]
     if result.changed:
-        findings.append(f"replayed orders changed {', '.join(result.changed)}")
-    text = "; ".join(findings) or "all five rules kept"
+        findings.append(f"replayed commands changed {', '.join(result.changed)}")
+    text = "; ".join(findings) or "all five invariants held"
     margins = ", ".join(f"{verdict.figure:.2f} of {verdict.limit:.2f}" for verdict in verdicts)
-    outcome = "as it should" if expected else "WRONG"
+    outcome = "as expected" if expected else "UNEXPECTED"
     return f"{outcome:12} {case.name:15} {case.kind:8} {text} ({margins})"
 
 
 @click.command("search")
-@click.option("--seed", default=1000, show_default=True, help="Of the first day; the others follow.")
+@click.option(
+    "--seed",
+    default=1000,
+    show_default=True,
+    help="Seed of the first scenario; the others use the following seeds.",
+)
 @click.option("--days", default=8, show_default=True, type=click.IntRange(1, 1000))
-@click.option("--troubles", default=3, show_default=True, type=click.IntRange(1, 6), help="A day.")
-@click.option("--plays", default=12, show_default=True, help="At most, to cut a broken day down.")
-@click.option("--out", type=click.Path(dir_okay=False), help="Write the worst day's script to this file.")
+@click.option(
+    "--troubles", default=3, show_default=True, type=click.IntRange(1, 6), help="Faults per scenario."
+)
+@click.option(
+    "--plays", default=12, show_default=True, help="Maximum number of runs to shrink a violating scenario."
+)
+@click.option(
+    "--out", type=click.Path(dir_okay=False), help="Write the script of the worst scenario to this file."
+)
 def search_command(seed: int, days: int, troubles: int, plays: int, out: str | None) -> None:
-    """Draw days of troubles, look for a broken rule or the nearest to one, and cut that day down."""
+    """Run random fault scenarios and print the worst one, shrunk if it violates an invariant."""
     from swiftchute.drill.faults import script
     from swiftchute.drill.shrink import search
 
-    played, smallest, plays_taken = search(seed, days, troubles, plays)
-    for one in played:
-        kinds = ", ".join(fault.action for fault in one.scenario.faults)
-        outcome = ", ".join(one.rules) or ("a trouble failed" if one.failed else "kept")
-        click.echo(f"seed {one.seed}: {outcome}, nearest {one.nearest:.2f} of a limit ({kinds})")
+    played, smallest, run_count = search(seed, days, troubles, plays)
+    for scenario_run in played:
+        kinds = ", ".join(fault.action for fault in scenario_run.scenario.faults)
+        outcome = ", ".join(scenario_run.rules) or (
+            "a fault could not be injected" if scenario_run.failed else "held"
+        )
+        click.echo(
+            f"seed {scenario_run.seed}: {outcome}, reached {scenario_run.nearest:.2f} of a limit ({kinds})"
+        )
     if smallest is not None:
-        click.echo(f"cut down in {plays_taken} plays:")
+        click.echo(f"shrunk in {run_count} runs:")
     worst = script(smallest or played[0].scenario)
     click.echo(worst, nl=False)
     if out:
--- a/swiftchute/cli/main.py
+++ b/swiftchute/cli/main.py
@@ -1,4 +1,4 @@
-"""The command group. Wrong input ends with exit code 2 and a line each on standard error."""
+"""The top-level command group. Invalid input exits with code 2 and prints one line per problem to stderr."""
 
 import click
 
@@ -11,7 +11,7 @@
 @click.group()
 @click.version_option("0.2.0")
 def main() -> None:
-    """A control plane for a service's plain proxies."""
+    """A control plane for a service's proxies."""
 
 
 for command in (check, serve, proxy, drill, search_command, guard, tables, model):
--- a/swiftchute/cli/safety.py
+++ b/swiftchute/cli/safety.py
@@ -1,4 +1,4 @@
-"""Commands on the safety gate, which limits what may be published: guard check, guard explain."""
+"""Commands of the safety gate, which limits what may be published: guard check, guard explain."""
 
 import json
 import sys
@@ -11,7 +11,7 @@
 
 @click.group()
 def guard() -> None:
-    """The guard against bad tables."""
+    """Check tables against the safety rules, and explain the safety gate's decisions."""
 
 
 @guard.command("check")
@@ -19,10 +19,10 @@
 @click.argument("table", type=click.Path())
 @click.argument("servers", type=click.Path())
 def guard_check(config: str, table: str, servers: str) -> None:
-    """Judge a written TABLE against a list of SERVERS (file_sd) by the rules of CONFIG; exit 1 if refused.
+    """Check a TABLE file against endpoint list SERVERS (file_sd) by CONFIG's rules; exit 1 on violations.
 
-    TABLE is JSON: {"lines": {"address:port": weight}, "zones": ["north"]}, perhaps with "level", "local",
-    "demand" (invocations a second) and "full" (by kind, good answers a second of a warm server of weight 1).
+    TABLE is JSON: {"lines": {"address:port": weight}, "zones": ["north"]}, optionally with "level", "local",
+    "demand" (requests/s) and "full" (by kind, successful responses/s of a warm endpoint of weight 1).
     """
     from swiftchute.safety import offline
     from swiftchute.safety.errors import InputFileError
@@ -46,36 +46,36 @@
 
 @guard.command("explain")
 @config_argument
-@click.option("--table", help="One table by its name, as proxies know it.")
-@click.option("--json", "as_json", is_flag=True, help="The whole answer as JSON.")
+@click.option("--table", help="Only this table, by the name that proxies use.")
+@click.option("--json", "as_json", is_flag=True, help="Print the complete result as JSON.")
 def guard_explain(config: str, table: str | None, as_json: bool) -> None:
-    """Ask the running planner of CONFIG why its guard lets tables out as it does."""
+    """Show why the running instance of CONFIG publishes its tables as it does."""
     answer = call_instance(config, "guard.explain", table=table)
     if as_json:
         click.echo(json.dumps(answer, indent=2))
         return
-    click.echo("the guard " + ("mends what it refuses" if answer["enforced"] else "only warns"))
+    click.echo("the safety gate " + ("corrects violations" if answer["enforced"] else "only warns"))
     for row in answer["tables"]:
         _print_table(row)
     for rule, count in sorted(answer["counts"].items()):
-        click.echo(f"since the start: {rule} {count}")
+        click.echo(f"since the start: {rule}: {count}")
 
 
 def _print_table(row: dict[str, Any]) -> None:
     operations, zones = ", ".join(row["operations"]), ", ".join(row["zones"])
-    counts = f"{row['proxies']} proxies, {row['same']} lines as ordered"
+    counts = f"{row['proxies']} proxies, {row['same']} entries as ordered"
     click.echo(f"table {row['table']}: {operations} in {zones}, {counts}")
     level = row["level"]
     if level["ordered"] != level["out"]:
-        click.echo(f"  level {level['out']:.3g}, ordered {level['ordered']:.3g}")
+        click.echo(f"  admission rate {level['out']:.3g}, ordered {level['ordered']:.3g}")
     for line in row["lines"]:
         published = f"{line['out']:.3g}" if line["out"] else "none"
-        ordered = f"{line['ordered']:.3g}" if line["ordered"] else "none"
-        click.echo(f"  {line['server']}: {published}, ordered {ordered}: {line['why']}")
+        commanded = f"{line['ordered']:.3g}" if line["ordered"] else "none"
+        click.echo(f"  {line['server']}: {published}, ordered {commanded}: {line['why']}")
     for finding in row["findings"]:
         _print_finding(finding)
     if row["waits"]:
-        click.echo(f"  refused too often: new orders wait {row['waits']} s more")
+        click.echo(f"  rejected too often: new commands wait for {row['waits']} s")
 
 
 def _print_finding(finding: dict[str, Any]) -> None:
--- a/swiftchute/cli/serving.py
+++ b/swiftchute/cli/serving.py
@@ -1,4 +1,4 @@
-"""Commands that check settings and run the programs: check, serve, proxy."""
+"""Commands that check settings and run the long-running processes: check, serve, proxy."""
 
 import importlib
 from typing import Any
@@ -11,12 +11,12 @@
 @click.command()
 @config_argument
 def check(config: str) -> None:
-    """Check a planner's settings and say what is wrong, without starting."""
+    """Check an instance's settings and print every problem, without starting it."""
     loaded = load_or_fail(config)
     settings = loaded.settings
     click.echo(
-        f"{config}: planner {settings.instance} of {settings.instance_count} in {settings.zone},"
-        f" {len(settings.operations)} operations, list from a {loaded.list_kind}"
+        f"{config}: instance {settings.instance} of {settings.instance_count} in zone {settings.zone},"
+        f" {len(settings.operations)} operations, endpoint list source {loaded.list_kind}"
     )
 
 
@@ -31,9 +31,9 @@
 
 @click.command()
 @config_argument
-@click.option("--decider", help="Another deciding module, as package.module:Name.")
+@click.option("--decider", help="Policy class to use in place of the built-in one, as package.module:Name.")
 def serve(config: str, decider: str | None) -> None:
-    """Run a planner until it is told to stop."""
+    """Run a control plane instance until it receives SIGTERM or SIGINT."""
     import uvloop
 
     from swiftchute.daemon.errors import ListenError
@@ -56,9 +56,9 @@
 
 @click.command()
 @config_argument
-@click.option("--check", "check_only", is_flag=True, help="Say what is wrong with the settings, and end.")
+@click.option("--check", "check_only", is_flag=True, help="Only check the settings and print every problem.")
 def proxy(config: str, check_only: bool) -> None:
-    """Run a proxy that follows a planner's tables, until it is told to stop."""
+    """Run a proxy that follows the control plane's tables, until it receives SIGTERM or SIGINT."""
     import uvloop
 
     from swiftchute.config.proxy import load as load_proxy
@@ -67,7 +67,7 @@
 
     loaded = load_or_fail(config, load_proxy)
     if check_only:
-        click.echo(f"{config}: proxy {loaded.node} in {loaded.zone}")
+        click.echo(f"{config}: proxy {loaded.node} in zone {loaded.zone}")
         return
 
     async def run() -> None:
--- a/swiftchute/cli/versions.py
+++ b/swiftchute/cli/versions.py
@@ -1,4 +1,4 @@
-"""Commands on versions of tables: tables log, show, diff, rollback, pin, release; model."""
+"""Commands on versions of tables (tables log, show, diff, rollback, pin, release), and model."""
 
 import sys
 import time
@@ -8,43 +8,45 @@
 
 from swiftchute.cli.common import EXIT_FAILED, EXIT_USAGE, call_instance, config_argument
 
-LEVEL_SCALE = 1e6  # versions hold admission rates in millionths
+LEVEL_SCALE = 1e6  # stored versions hold admission rates in millionths
 
 
 @click.group()
 def tables() -> None:
-    """Versions of a running planner's tables, and ways back to them.
+    """List, compare, pin and roll back versions of a running instance's tables.
 
-    A VERSION is the beginning of its name, `#12` for an entry of the log, or `~1` for the one before the
-    newest.
+    VERSION is a prefix of the version's hash, `#12` for the entry with that serial number in the log, or
+    `~1` for the version before the newest one.
     """
 
 
 _seconds_option = click.option(
-    "--for", "seconds", default=600.0, show_default=True, help="Seconds until it ends by itself."
+    "--for", "seconds", default=600.0, show_default=True, help="Seconds until the pin expires."
 )
 _levels_option = click.option(
-    "--levels", is_flag=True, help="Hold its levels and tries too; else they follow the load."
+    "--levels",
+    is_flag=True,
+    help="Also pin admission rates and retry policies; by default they follow the load.",
 )
 
 
 def _change_line(change: dict[str, Any]) -> str:
     at = time.strftime("%H:%M:%S", time.localtime(change["at"]))
-    held = f"held by {change['acknowledged']}"
+    holders = f"held by {change['acknowledged']}"
     if change["under_way"]:
-        held += f", under way to {change['under_way']}"
+        holders += f", under way to {change['under_way']}"
     return (
         f"{at}  {change['table']:6} #{change['serial']:<5} {change['version'][:12]}  {change['cause']:9}"
-        f" +{change['put']} -{change['gone']}  {held}"
+        f" +{change['put']} -{change['gone']}  {holders}"
     )
 
 
 @tables.command("log")
 @config_argument
-@click.option("--table", help="One table by its name.")
-@click.option("--most", default=20, show_default=True, help="Entries, newest first.")
+@click.option("--table", help="Only this table, by name.")
+@click.option("--most", default=20, show_default=True, help="Maximum number of entries, newest first.")
 def tables_log(config: str, table: str | None, most: int) -> None:
-    """What changed, when and why, and how many proxies hold it."""
+    """Show what changed, when and why, and how many proxies hold each version."""
     for change in call_instance(config, "tables.log", table=table, most=most):
         click.echo(_change_line(change))
 
@@ -54,24 +56,24 @@
 @click.argument("table")
 @click.argument("version", default="~0")
 def tables_show(config: str, table: str, version: str) -> None:
-    """A version's lines and levels; beside a pinned table, what the module orders."""
+    """Show a version's entries and admission rates, and where the policy's commands differ from them."""
     answer = call_instance(config, "tables.show", table=table, version=version)
     click.echo(_change_line(answer))
     if answer["pinned"]:
         pin = answer["pinned"]
         click.echo(f"held at {pin['version'][:12]} ({pin['cause']}) for {pin['seconds']} s more")
     for operation, level, tries in answer["levels"]:
-        click.echo(f"  {operation}: level {level:g}, further tries {tries}")
+        click.echo(f"  {operation}: admission rate {level:g}, retry policy {tries}")
     for endpoint, zone, weight in answer["lines"]:
-        click.echo(f"  {endpoint} {zone}: {weight:g}{_ordered_note(answer, endpoint, weight)}")
+        click.echo(f"  {endpoint} {zone}: {weight:g}{_commanded_note(answer, endpoint, weight)}")
 
 
-def _ordered_note(answer: dict[str, Any], endpoint: str, weight: float) -> str:
-    """Return what the policy orders for an endpoint, if that differs from the newest version."""
-    ordered = answer["ordered"].get(endpoint)
-    if not answer["newest"] or ordered == weight:
+def _commanded_note(answer: dict[str, Any], endpoint: str, weight: float) -> str:
+    """Return what the policy commands for an endpoint, if that differs from the newest version."""
+    commanded = answer["ordered"].get(endpoint)
+    if not answer["newest"] or commanded == weight:
         return ""
-    return ", not ordered" if ordered is None else f", ordered {ordered:g}"
+    return ", not ordered" if commanded is None else f", ordered {commanded:g}"
 
 
 @tables.command("diff")
@@ -80,10 +82,10 @@
 @click.argument("before", default="~1")
 @click.argument("after", default="~0")
 def tables_diff(config: str, table: str, before: str, after: str) -> None:
-    """What changed from one version to another."""
+    """Show the difference between two versions of a table."""
     answer = call_instance(config, "tables.diff", table=table, before=before, after=after)
     versions = f"{answer['before'][:12]} -> {answer['after'][:12]}"
-    click.echo(f"{versions}: {answer['bytes']} bytes of {answer['whole']}")
+    click.echo(f"{versions}: delta of {answer['bytes']} bytes, full table {answer['whole']}")
     for endpoint, old, new in sorted(answer["lines"]):
         click.echo(f"  {endpoint}: {_weight(old)} -> {_weight(new)}")
     if answer["levels"]:
@@ -99,7 +101,7 @@
     for operation, level, tries in after:
         old_level, old_tries = old.get(operation, (LEVEL_SCALE, tries))
         levels = f"{old_level / LEVEL_SCALE:g} -> {level / LEVEL_SCALE:g}"
-        click.echo(f"  {operation}: level {levels}, further tries {old_tries} -> {tries}")
+        click.echo(f"  {operation}: admission rate {levels}, retry policy {old_tries} -> {tries}")
 
 
 @tables.command("rollback")
@@ -109,7 +111,7 @@
 @_seconds_option
 @_levels_option
 def tables_rollback(config: str, table: str, version: str, seconds: float, levels: bool) -> None:
-    """Hold a table at an earlier version for a while; drained servers do not come back."""
+    """Pin a table to an earlier version for a limited time; drained endpoints are not added back."""
     arguments = {"table": table, "version": version, "seconds": seconds, "levels": levels}
     answer = call_instance(config, "tables.rollback", **arguments)
     click.echo("going back to " + _change_line(answer))
@@ -121,7 +123,7 @@
 @_seconds_option
 @_levels_option
 def tables_pin(config: str, table: str, seconds: float, levels: bool) -> None:
-    """Hold a table as it is for a while."""
+    """Pin a table to its current version for a limited time."""
     click.echo(
         "held at "
         + _change_line(call_instance(config, "tables.pin", table=table, seconds=seconds, levels=levels))
@@ -132,7 +134,7 @@
 @config_argument
 @click.argument("table")
 def tables_release(config: str, table: str) -> None:
-    """Let the module's orders count again for a table."""
+    """End a table's pin, so that the policy's commands apply again."""
     call_instance(config, "tables.release", table=table)
     click.echo(f"released {table}")
 
@@ -140,11 +142,17 @@
 @click.command()
 @click.option("--proxies", default=1, show_default=True, type=click.IntRange(1, 3))
 @click.option("--versions", default=3, show_default=True, type=click.IntRange(1, 4))
-@click.option("--channel", default=2, show_default=True, type=click.IntRange(1, 3), help="Messages each way.")
-@click.option("--most", default=2_000_000, show_default=True, help="States at most.")
-@click.option("--bug", help="Put a known bug back in, by name; `list` names them.")
+@click.option(
+    "--channel",
+    default=2,
+    show_default=True,
+    type=click.IntRange(1, 3),
+    help="Messages in flight in each direction.",
+)
+@click.option("--most", default=2_000_000, show_default=True, help="Maximum number of states.")
+@click.option("--bug", help="Reintroduce a known bug by name; `list` prints the names.")
 def model(proxies: int, versions: int, channel: int, most: int, bug: str | None) -> None:
-    """Explore how tables are kept in step, every interleaving of loss, doubling, reordering and restarts."""
+    """Model-check table synchronization: all interleavings of loss, duplication, reordering, restarts."""
     from swiftchute.versions import model_checker
     from swiftchute.versions.known_bugs import KNOWN_BUGS
 
--- a/swiftchute/config/__init__.py
+++ b/swiftchute/config/__init__.py
@@ -1,4 +1,4 @@
-"""Configuration files in HCL, checked field by field before anything starts."""
+"""Configuration files in HCL; every field is checked before a process starts."""
 
 from swiftchute.config.errors import ConfigError
 from swiftchute.config.loader import load
--- a/swiftchute/config/checker.py
+++ b/swiftchute/config/checker.py
@@ -1,4 +1,4 @@
-"""Checks the fields of blocks against tables of known fields and collects every problem."""
+"""Validates the fields of blocks against tables of known fields and collects every problem."""
 
 from collections.abc import Mapping
 from typing import Any, NamedTuple
@@ -7,15 +7,15 @@
 from swiftchute.config.reader import Block
 from swiftchute.config.values import Parser
 
-REQUIRED = object()  # stands in place of a default
+REQUIRED = object()  # marks a field without a default
 
 
 class Field(NamedTuple):
     """A known field of a block."""
 
     parse: Parser
-    default: Any  # REQUIRED if the field has to be given
-    target: str | None = None  # name of the typed setting that it fills, if it fills one
+    default: Any  # REQUIRED if the field must be given
+    target: str | None = None  # name of the typed setting that receives the value, if any
 
 
 FieldTable = Mapping[str, Field]
@@ -25,29 +25,29 @@
     """Collects the problems of one file."""
 
     def __init__(self, path: str) -> None:
-        """Start without problems; `path` names the file in them."""
+        """Create a checker without problems; `path` names the file in its problems."""
         self._path = path
         self._problems: list[Problem] = []
 
     def add_problem(self, line: int, field: str, cause: str) -> None:
-        """Note that something is wrong with a field or a block."""
+        """Record a problem with a field or a block."""
         self._problems.append(Problem(self._path, line, field, cause))
 
     def raise_problems(self) -> None:
-        """Raise `ConfigError` if there is any problem."""
+        """Raise `ConfigError` if any problem was recorded."""
         if self._problems:
             raise ConfigError(self._problems)
 
     def reject_top_level_fields(self, body: Block) -> None:
-        """Note fields that stand outside of all blocks."""
+        """Record a problem for each field outside of all blocks."""
         for key, value in body.values.items():
-            self.add_problem(value.line, key, "unknown here; settings stand in blocks")
+            self.add_problem(value.line, key, "unknown here; fields must be inside a block")
 
     def parse_fields(self, block: Block, table: FieldTable, block_name: str) -> dict[str, Any]:
-        """Return the parsed fields of a block with defaults for those that are absent.
+        """Return the parsed fields of a block, with defaults for absent fields.
 
-        Fields that cannot be parsed are left out and noted as problems, as are unknown fields and blocks
-        within the block. A required field that is absent is noted and has the value REQUIRED.
+        Invalid fields, unknown fields and nested blocks are recorded as problems and omitted from the result.
+        An absent required field is recorded as a problem and has the value REQUIRED in the result.
         """
         parsed = {}
         for key, value in block.values.items():
--- a/swiftchute/config/errors.py
+++ b/swiftchute/config/errors.py
@@ -7,11 +7,11 @@
 
 @dataclass(frozen=True)
 class Problem:
-    """One thing that is wrong in a file."""
+    """One problem in a file."""
 
     path: str
-    line: int  # from 1; 0 if the file cannot be read
-    field: str  # full name of the field or block it concerns; empty for the whole file
+    line: int  # 1-based; 0 if the file cannot be read
+    field: str  # full name of the field or block; empty if the problem is the file itself
     cause: str
 
     def __str__(self) -> str:
@@ -21,7 +21,7 @@
 
 
 class ConfigError(SwiftchuteError):
-    """A file cannot be used; `problems` are all that is wrong with it, in the order of their lines."""
+    """A file is invalid; `problems` holds every problem, sorted by line."""
 
     def __init__(self, problems: list[Problem]) -> None:
         """Create the error from at least one problem."""
--- a/swiftchute/config/loader.py
+++ b/swiftchute/config/loader.py
@@ -1,4 +1,4 @@
-"""Loads and checks the file of a control plane instance."""
+"""Loads and checks the settings file of a control plane instance."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -22,24 +22,24 @@
 
 
 def load(path: str) -> Config:
-    """Read and check a file.
+    """Read and check a settings file.
 
     Raises:
-        ConfigError: The file cannot be used; it carries every problem with line, field and cause.
+        ConfigError: The file is invalid; the error holds every problem with line, field and cause.
     """
     return _Loader(path).load(read(path))
 
 
 @dataclass
 class _Blocks:
-    """The known blocks of a file, sorted by kind."""
+    """The known blocks of a file, grouped by kind."""
 
     single: dict[str, Block] = field(default_factory=dict)
     operations: list[tuple[Block, Values]] = field(default_factory=list)
     lists: list[Block] = field(default_factory=list)
 
     def line(self, block: str, key: str) -> int:
-        """Return the line of a field, or of its block if the field is absent."""
+        """Return the line of a field, or its block's line if the field is absent."""
         value = self.single[block].values.get(key)
         return value.line if value else self.single[block].line
 
@@ -52,10 +52,10 @@
         self._blocks = _Blocks()
 
     def load(self, body: Block) -> Config:
-        """Return the checked configuration; raises `ConfigError` with all problems."""
+        """Return the checked configuration; raise `ConfigError` with every problem."""
         self._checker.reject_top_level_fields(body)
         for block in body.blocks:
-            self._sort(block)
+            self._add_block(block)
         values = self._parse_single_blocks()
         self._check_operations()
         source, list_values = self._parse_endpoint_list()
@@ -66,8 +66,8 @@
         self._checker.raise_problems()
         return self._build(values, source, list_values)
 
-    def _sort(self, block: Block) -> None:
-        """Put a block where it belongs, or note why it cannot be used."""
+    def _add_block(self, block: Block) -> None:
+        """Add a block to its group, or record why it is rejected."""
         if block.name == "operation" and len(block.labels) == 1:
             values = self._checker.parse_fields(block, OPERATION_FIELDS, block.full_name)
             self._blocks.operations.append((block, values))
@@ -79,12 +79,12 @@
             self._checker.add_problem(block.line, block.full_name, f"unknown block; known: {known}")
         elif block.name in self._blocks.single:
             first = self._blocks.single[block.name].line
-            self._checker.add_problem(block.line, block.full_name, f"stands twice, first on line {first}")
+            self._checker.add_problem(block.line, block.full_name, f"is defined twice, first on line {first}")
         else:
             self._blocks.single[block.name] = block
 
     def _parse_single_blocks(self) -> dict[str, Values]:
-        """Return the values of all blocks that may stand once; absent optional ones have their defaults."""
+        """Return the values of all non-repeatable blocks; absent optional blocks have their defaults."""
         single = self._blocks.single
         for name in REQUIRED_BLOCKS:
             if name not in single:
@@ -97,18 +97,18 @@
 
     def _check_operations(self) -> None:
         if not self._blocks.operations:
-            self._checker.add_problem(1, "operation", "block is missing: one at least")
+            self._checker.add_problem(1, "operation", "block is missing: at least one is required")
         names = [block.labels[0] for block, _ in self._blocks.operations]
         for block, _ in self._blocks.operations:
             if names.count(block.labels[0]) > 1:
-                self._checker.add_problem(block.line, block.full_name, "stands twice")
+                self._checker.add_problem(block.line, block.full_name, "is defined twice")
 
     def _parse_endpoint_list(self) -> tuple[str, Values]:
         """Return the kind of the endpoint list's source and the values of its block."""
         lists = self._blocks.lists
         if len(lists) != 1:
             line = lists[1].line if lists else 1
-            cause = 'one block is needed: list "file" or list "http"'
+            cause = 'exactly one block is required: list "file" or list "http"'
             self._checker.add_problem(line, "list", cause)
         if not lists:
             return "file", {}
@@ -129,7 +129,7 @@
     def _check_dns(self, dns: Values, service: Values) -> None:
         zones = service.get("zones")
         if dns.get("listen") and not dns.get("origin"):
-            cause = "missing: answers need a name to stand under"
+            cause = "missing: required with dns.listen, as the domain that answers are served for"
             self._checker.add_problem(self._blocks.single["dns"].line, "dns.origin", cause)
         for key in ("views", "subnets", "secondaries"):
             for zone, _ in dns.get(key) or ():
@@ -154,7 +154,7 @@
             if isinstance(objective, int) and isinstance(timeout, int) and objective > timeout:
                 line = block.values["latency_objective"].line
                 field_name = f"{block.full_name}.latency_objective"
-                self._checker.add_problem(line, field_name, "is above integration_timeout")
+                self._checker.add_problem(line, field_name, "must not be above integration_timeout")
 
     def _build(self, values: dict[str, Values], source: str, list_values: Values) -> Config:
         given = {
--- a/swiftchute/config/proxy.py
+++ b/swiftchute/config/proxy.py
@@ -1,4 +1,4 @@
-"""The fields of a proxy's file, and the loader of the checked result."""
+"""The fields of a proxy's settings file, and its loader."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -70,23 +70,23 @@
 
 @dataclass(frozen=True)
 class ProxyConfig:
-    """A checked file.
+    """A proxy's checked settings file.
 
     Attributes:
-        node: name of the proxy.
-        zone: its zone.
-        control_plane_servers: host and port of each.
-        delta: use the incremental variant of xDS.
-        endpoint_collections: ask for endpoints one by one (LEDS).
-        request_rate_per_s: requests that the proxy expects.
+        node: Name of the proxy.
+        zone: Zone of the proxy.
+        control_plane_servers: Host and port of each control plane instance.
+        delta: Whether to use the incremental (delta) variant of xDS.
+        endpoint_collections: Whether to subscribe to endpoints one by one (LEDS).
+        request_rate_per_s: Expected request rate of the proxy.
         static_endpoints: "host:port" of the endpoints used before any table is received.
-        seed: of all random decisions.
-        cache_path: file of the cached tables, None for no cache.
-        cache_max_age_ns: age past which cached tables are not used.
-        limits: limits and rules of the request path.
-        server: settings of the sockets.
-        routes: known operations by name.
-        log_level: lowest level that is logged.
+        seed: Seed of all random decisions.
+        cache_path: File of the cached tables, None for no cache.
+        cache_max_age_ns: Age past which cached tables are not used.
+        limits: Limits and rules of the request path.
+        server: Settings of connections and listeners.
+        routes: Known operations by name.
+        log_level: Lowest level that is logged.
     """
 
     node: str
@@ -106,10 +106,10 @@
 
 
 def load(path: str) -> ProxyConfig:
-    """Read and check a file.
+    """Read and check a proxy's settings file.
 
     Raises:
-        ConfigError: The file cannot be used; it carries every problem with line, field and cause.
+        ConfigError: The file is invalid; the error holds every problem with line, field and cause.
     """
     body = read(path)
     checker = Checker(path)
@@ -121,7 +121,7 @@
         if block.name == "operation" and len(block.labels) == 1:
             _add_operation(checker, block, operations)
         elif block.name in blocks:
-            checker.add_problem(block.line, block.full_name, "stands twice")
+            checker.add_problem(block.line, block.full_name, "is defined twice")
         elif block.name in _SINGLE_BLOCKS and not block.labels:
             blocks[block.name] = block
             values[block.name] = checker.parse_fields(block, _SINGLE_BLOCKS[block.name], block.name)
@@ -132,7 +132,7 @@
     if "proxy" not in blocks:
         checker.add_problem(1, "proxy", "block is missing")
     elif proxy.get("planners") == ():
-        checker.add_problem(blocks["proxy"].values["planners"].line, "proxy.planners", "names none")
+        checker.add_problem(blocks["proxy"].values["planners"].line, "proxy.planners", "[] names no server")
     checker.raise_problems()
     log = values.get("log") or checker.parse_fields(Block("log", (), 1), _LOG, "log")
     routes = {name: _make_route(name, row) for name, row in operations.items()}
@@ -143,7 +143,7 @@
     name = block.labels[0]
     values = checker.parse_fields(block, _OPERATION, block.full_name)
     if name in operations:
-        checker.add_problem(block.line, block.full_name, "stands twice")
+        checker.add_problem(block.line, block.full_name, "is defined twice")
     operations[name] = values
 
 
--- a/swiftchute/config/reader.py
+++ b/swiftchute/config/reader.py
@@ -1,6 +1,6 @@
-"""Reads an HCL file into blocks and attributes that remember their lines.
+"""Reads an HCL file into blocks and attributes with their line numbers.
 
-Only plain values are taken (strings, numbers, true, false, null, lists of them): no expressions, no
+Only literal values are accepted (strings, numbers, true, false, null, lists of them): no expressions, no
 functions.
 """
 
@@ -18,7 +18,7 @@
 
 
 class Value(NamedTuple):
-    """The value of an attribute and the line of its name, from 1."""
+    """The value of an attribute and the 1-based line of its name."""
 
     value: Any
     line: int
@@ -26,7 +26,7 @@
 
 @dataclass
 class Block:
-    """A block: its labels, its attributes by name, and the blocks within."""
+    """A block: its labels, its attributes by name, and its nested blocks."""
 
     name: str
     labels: tuple[str, ...]
@@ -36,15 +36,15 @@
 
     @property
     def full_name(self) -> str:
-        """The name with its labels."""
+        """The name followed by the labels."""
         return " ".join([self.name, *self.labels])
 
 
 def read(path: str) -> Block:
-    """Return the body of a file as a block without a name.
+    """Return the body of a file as an unnamed block.
 
     Raises:
-        ConfigError: The file cannot be read or is not HCL with plain values; one problem, with its line.
+        ConfigError: The file cannot be read or is not HCL with literal values; it holds one problem.
     """
     try:
         with open(path, encoding="utf-8") as source:
@@ -126,7 +126,7 @@
                 return number(text.replace(" ", ""))
             except ValueError:
                 continue
-        raise _error(self._path, _line(tree), name, f"{text!r} is not a plain value")
+        raise _error(self._path, _line(tree), name, f"{text!r} is not a literal value")
 
 
 def _tokens(tree: Any) -> Iterator[Token]:
--- a/swiftchute/config/schema.py
+++ b/swiftchute/config/schema.py
@@ -1,7 +1,7 @@
-"""The fields of a planner's file by block, and the typed result.
+"""The fields of an instance's settings file by block, and the typed result.
 
-This module alone maps the names of the file to those of `Settings`. Nothing is decided here: defaults are of
-the program's plumbing only.
+This is the only module that maps the file's field names to those of `Settings`. It makes no policy decisions:
+the defaults are those of the process itself.
 """
 
 from collections.abc import Mapping
@@ -153,7 +153,7 @@
 
 @dataclass(frozen=True)
 class Config:
-    """A checked file: the policy's settings and seed, and the program's own settings by block."""
+    """A checked settings file: the policy's settings and seed, and the process's own settings by block."""
 
     settings: Settings
     seed: int
--- a/swiftchute/config/values.py
+++ b/swiftchute/config/values.py
@@ -1,4 +1,4 @@
-"""Parsers of field values: each takes a plain HCL value and returns the checked one.
+"""Parsers of field values: each takes an HCL literal and returns the checked value.
 
 All of them raise ValueError with the value and the cause.
 """
@@ -36,14 +36,14 @@
 
 
 def _quantity(units: dict[str, int], description: str, minimum: int, maximum: int) -> Parser:
-    """Return a parser of numbers with a unit, within bounds in the smallest unit."""
+    """Return a parser of numbers with a unit; bounds and result are in the smallest unit."""
 
     def parse(value: Any) -> int:
         match = _QUANTITY.fullmatch(value) if isinstance(value, str) else None
         if not match:
             raise ValueError(f"{value!r} is not {description} with a unit ({', '.join(units)})")
         if match[2] not in units:
-            raise ValueError(f"{match[2]!r} is no unit here: {', '.join(units)}")
+            raise ValueError(f"{match[2]!r} is not a known unit: {', '.join(units)}")
         number = round(float(match[1]) * units[match[2]])
         if not minimum <= number <= maximum:
             bounds = f"{_in_largest_unit(units, minimum)} to {_in_largest_unit(units, maximum)}"
@@ -54,7 +54,7 @@
 
 
 def _in_largest_unit(units: dict[str, int], number: int) -> str:
-    """Return a number in the largest unit that divides it."""
+    """Return a number in the largest unit that divides it evenly."""
     name, size = [unit for unit in units.items() if (number or 1) % unit[1] == 0][-1]
     return f"{number // size}{name}"
 
@@ -70,7 +70,7 @@
 
 
 def number(minimum: float = 0, maximum: float = 1e12, whole: bool = False) -> Parser:
-    """Return a parser of numbers within bounds, of whole ones if asked."""
+    """Return a parser of numbers within bounds; with `whole` only integers are accepted."""
     kinds: tuple[type, ...] = (int,) if whole else (int, float)
 
     def parse(value: Any) -> int | float:
@@ -84,7 +84,7 @@
 
 
 def one_of(*words: str) -> Parser:
-    """Return a parser that takes one of these words."""
+    """Return a parser that accepts one of these words."""
 
     def parse(value: Any) -> str:
         if value not in words:
@@ -95,7 +95,7 @@
 
 
 def list_of(parse_item: Parser) -> Parser:
-    """Return a parser of lists whose items are all of one kind."""
+    """Return a parser of lists; each item is parsed by `parse_item`."""
 
     def parse(value: Any) -> tuple[Any, ...]:
         if not isinstance(value, list):
@@ -106,7 +106,7 @@
 
 
 def by_zone(parse_item: Parser, description: str) -> Parser:
-    """Return a parser of lists of strings, each a zone and an item with a space between."""
+    """Return a parser of lists of strings, each a zone and an item separated by a space."""
     form = f'"ZONE {description}"'
 
     def parse_row(row: Any) -> tuple[str, Any]:
@@ -131,7 +131,7 @@
 
 
 def name(value: Any) -> str:
-    """Parse a word without spaces or slashes, as names of resources are made of it."""
+    """Parse a name; spaces and slashes are excluded because resource names are built from it."""
     if not isinstance(value, str) or not _NAME.fullmatch(value):
         raise ValueError(f"{value!r} is not a name (letters, digits, '.', '_', '-')")
     return value
@@ -142,7 +142,7 @@
     if not isinstance(value, list) or not value:
         raise ValueError(f"{value!r} is not a list of names")
     if len({name(item) for item in value}) < len(value):
-        raise ValueError("a name stands twice")
+        raise ValueError(f"{value!r} contains a name twice")
     return tuple(value)
 
 
@@ -161,7 +161,7 @@
 
 
 def address(value: Any) -> tuple[str, int]:
-    """Parse host:port on loopback; port 0 takes a free one."""
+    """Parse host:port on loopback; port 0 selects a free port."""
     host, colon, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
     if not colon or not port.isdigit() or int(port) > MAX_PORT:
         raise ValueError(f"{value!r} is not host:port")
--- a/swiftchute/daemon/__init__.py
+++ b/swiftchute/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""Processes: a control plane instance, and a proxy. They connect the parts to the event loop and the log."""
+"""The long-running processes (control plane instance, proxy): they connect components, event loop and log."""
--- a/swiftchute/daemon/commands.py
+++ b/swiftchute/daemon/commands.py
@@ -1,4 +1,4 @@
-"""The commands of operators on a running instance: plain data in and out."""
+"""Operator commands on a running instance; arguments and results are plain JSON types."""
 
 import time
 from collections.abc import Callable
@@ -24,18 +24,18 @@
 
 
 class AdminCommands:
-    """The commands on one controller. Keyword arguments are those of the requests."""
+    """Commands on one controller. Their keyword arguments are the arguments of the admin requests."""
 
     def __init__(
         self, controller: Controller, clock: Callable[[], int], request_round: Callable[[], None]
     ) -> None:
-        """`clock` is the controller's; `request_round` is called after each change."""
+        """`clock` is the controller's clock; `request_round` is called after each change."""
         self.controller, self.clock, self.request_round = controller, clock, request_round
 
     def by_name(self) -> dict[str, Callable[..., Any]]:
-        """Return the commands by the names that requests give them.
+        """Return the commands by their names in the admin protocol.
 
-        They raise `CommandRejectedError` if they cannot be carried out.
+        A command raises `CommandRejectedError` if it cannot be carried out.
         """
         commands: dict[str, Callable[..., Any]] = {
             "guard.explain": self.explain,
@@ -46,17 +46,19 @@
             "tables.pin": self.pin,
             "tables.release": self.release,
         }
-        return {name: _with_typed_errors(command) for name, command in commands.items()}
+        return {name: _translate_errors(command) for name, command in commands.items()}
 
     def explain(self, table: str | None = None) -> dict[str, Any]:
         """Return why published tables differ from what the policy commands."""
         gate = self.controller.publish_gate
         if gate is None:
-            raise CommandRejectedError("the guard is off")
+            raise CommandRejectedError('the safety gate is off: guard.mode is "off"')
         rows = self.controller.explain(self.clock())
         names = [row["table"] for row in rows]
         if table is not None and table not in names:
-            raise CommandRejectedError(f"no table {table!r} in use; there are {', '.join(names) or 'none'}")
+            raise CommandRejectedError(
+                f"no table {table!r} in use; tables in use: {', '.join(names) or 'none'}"
+            )
         return {
             "enforced": gate.enforce,
             "tables": [row for row in rows if table in (None, row["table"])],
@@ -64,12 +66,12 @@
         }
 
     def log(self, table: str | None = None, most: int = 20) -> list[dict[str, Any]]:
-        """Return the last `most` changes, newest first."""
+        """Return the newest `most` changes, newest first."""
         changes = self.controller.history.changes(table, min(int(most), MAX_LOG_ROWS))
         return [self._change_row(change) for change in changes]
 
     def show(self, table: str, version: str = "~0") -> dict[str, Any]:
-        """Return one version, who holds it, its pin, and what the policy commands now."""
+        """Return a version's content, how many proxies hold it, the table's pin and the commanded weights."""
         change, content = self._find(table, version)
         return self._change_row(change) | {
             "levels": [
@@ -82,7 +84,7 @@
         }
 
     def diff(self, table: str, before: str, after: str) -> dict[str, Any]:
-        """Return what changed from one version to another."""
+        """Return the difference between two versions of a table."""
         (old_change, old), (new_change, new) = self._find(table, before), self._find(table, after)
         delta = make_delta(old, new)
         old_weights = {entry.endpoint: _weight(entry) for entry in old.entries}
@@ -104,13 +106,13 @@
     def rollback(
         self, table: str, version: str = "~1", seconds: float = DEFAULT_PIN_S, levels: bool = False
     ) -> dict[str, Any]:
-        """Hold a table at an earlier version for a while."""
+        """Pin a table to an earlier version for a limited time."""
         return self._pin(table, version, seconds, levels, ChangeCause.ROLLBACK)
 
     def pin(
         self, table: str, version: str = "~0", seconds: float = DEFAULT_PIN_S, levels: bool = False
     ) -> dict[str, Any]:
-        """Hold a table at the version it has."""
+        """Pin a table to its current version for a limited time."""
         return self._pin(table, version, seconds, levels, ChangeCause.PIN)
 
     def release(self, table: str) -> None:
@@ -130,7 +132,7 @@
         change = self.controller.history.find(table, version)
         content = self.controller.history.content(change.version)
         if content is None:
-            raise CommandRejectedError(f"version {short_version(change.version)} is no longer kept")
+            raise CommandRejectedError(f"version {short_version(change.version)} is no longer in the history")
         return change, content
 
     def _change_row(self, change: VersionChange) -> dict[str, Any]:
@@ -163,7 +165,7 @@
         }
 
 
-def _with_typed_errors(command: Callable[..., Any]) -> Callable[..., Any]:
+def _translate_errors(command: Callable[..., Any]) -> Callable[..., Any]:
     def run(**arguments: Any) -> Any:
         try:
             return command(**arguments)
--- a/swiftchute/daemon/errors.py
+++ b/swiftchute/daemon/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the daemons."""
+"""Errors of the long-running processes."""
 
 from swiftchute.api.errors import SwiftchuteError
 
@@ -8,4 +8,4 @@
 
 
 class ListenError(DaemonError):
-    """An address or socket cannot be used; the text names the setting and the cause."""
+    """Cannot listen on an address or socket; the text names the setting and the cause."""
--- a/swiftchute/daemon/proxy.py
+++ b/swiftchute/daemon/proxy.py
@@ -1,4 +1,4 @@
-"""A proxy as a process: its router, its sockets, its control plane client and its cached tables."""
+"""The process of a proxy: its router, its server, its control plane client and its table cache."""
 
 import asyncio
 import signal
@@ -14,30 +14,30 @@
 from swiftchute.proxy.table_cache import TableCache
 from swiftchute.proxy.xds_client import XdsClient
 
-SAVE_INTERVAL_S = 1.0  # a change is on disk so soon, and a busy control plane does not write without pause
+SAVE_INTERVAL_S = 1.0  # bounds the delay until a change is on disk, and the write rate if tables change often
 USER_AGENT = "swiftchute-proxy"
 
 
 class RouterControlPlaneClient(ControlPlaneClient):
-    """The control plane client of a running proxy: its router follows the tables that are received."""
+    """A control plane client that applies received tables to the router and logs its connections."""
 
     def __init__(self, *arguments: Any, router: RequestRouter, log: Any) -> None:
-        """As `ControlPlaneClient`; `router` is updated after each response."""
+        """Takes the arguments of `ControlPlaneClient`; `router` is updated after each response."""
         super().__init__(*arguments)
         self.router = router
         self.log = log
 
     def on_stream_opened(self, server: str, stream: int) -> None:
-        """Log that the proxy is connected."""
+        """Log the connection to a control plane server."""
         self.log.info("connected to control plane", planner=server, stream=stream)
 
     def on_stream_closed(self, server: str, stream: int) -> None:
-        """Log that the connection was lost; the tables stay in force."""
+        """Log the loss of the connection; the proxy continues to use its tables."""
         tables = len(self.router.tables)
         self.log.warning("connection to control plane lost", planner=server, stream=stream, tables=tables)
 
     def on_applied(self) -> None:
-        """Put the received tables in force for the next request."""
+        """Apply the received tables, from the next request on."""
         self.router.update_tables()
 
 
@@ -45,7 +45,7 @@
     """Runs one proxy until it is stopped."""
 
     def __init__(self, config: ProxyConfig, log: Any) -> None:
-        """Nothing is open before `run`."""
+        """Create the components; sockets and connections are opened by `run`."""
         self.log = log
         self.client = XdsClient(
             config.node,
@@ -68,11 +68,11 @@
         self.address: tuple[str, int] | None = None
 
     async def run(self, ready: Callable[[tuple[str, int]], None] | None = None, signals: bool = True) -> None:
-        """Serve until SIGTERM or SIGINT, or cancelled.
+        """Serve until SIGTERM or SIGINT arrives or the task is cancelled.
 
         Args:
-            ready: called with the address once callers are accepted.
-            signals: whether to handle the signals.
+            ready: Called with the listening address once connections are accepted.
+            signals: Whether to install handlers for these signals.
         """
         for number in (signal.SIGTERM, signal.SIGINT) if signals else ():
             asyncio.get_running_loop().add_signal_handler(number, self.stop.set)
--- a/swiftchute/daemon/round_scheduler.py
+++ b/swiftchute/daemon/round_scheduler.py
@@ -1,27 +1,27 @@
-"""When the next round of the controller runs, on the event loop."""
+"""Schedules the rounds of the controller on the event loop."""
 
 import asyncio
 from collections.abc import Callable
 
 NS_PER_S = 1_000_000_000
-ROUND_DELAY_NS = 5_000_000  # events that come in within it are handled in one round
+ROUND_DELAY_NS = 5_000_000  # events that arrive within this time are handled in one round
 
 
 class RoundScheduler:
-    """One timer, set to the earliest deadline that was asked for."""
+    """One timer, set to the earliest requested deadline."""
 
     def __init__(self, run_round: Callable[[], None], clock: Callable[[], int]) -> None:
-        """Call `run_round` at the deadlines, which are times of `clock` in nanoseconds."""
+        """`run_round` is called at each deadline; deadlines are nanoseconds of `clock`."""
         self._run_round, self._clock = run_round, clock
         self._timer: asyncio.TimerHandle | None = None
         self._deadline_ns = 0
 
     def request_round(self) -> None:
-        """An event came in: run a round soon."""
+        """Run a round soon, because an event arrived."""
         self.schedule(self._clock() + ROUND_DELAY_NS)
 
     def schedule(self, deadline_ns: int) -> None:
-        """Run a round at a time, or before it."""
+        """Run a round at the deadline or earlier."""
         if self._timer is not None:
             if self._deadline_ns <= deadline_ns:
                 return
@@ -31,7 +31,7 @@
         self._timer = asyncio.get_running_loop().call_later(delay_s, self._on_timer)
 
     def cancel(self) -> None:
-        """Run no more rounds."""
+        """Cancel the scheduled round."""
         if self._timer is not None:
             self._timer.cancel()
 
--- a/swiftchute/daemon/service.py
+++ b/swiftchute/daemon/service.py
@@ -1,4 +1,4 @@
-"""A control plane instance as a process: the controller, the endpoint list's source and the servers."""
+"""The process of a control plane instance: its controller, the endpoint list's source and its servers."""
 
 import asyncio
 import secrets
@@ -33,9 +33,9 @@
 NS_PER_S = 1_000_000_000
 MIN_ROUND_INTERVAL_NS = 1_000_000
 DROP_REPORT_INTERVAL_NS = 10 * NS_PER_S
-INCARNATION_BITS = 48  # random: no incarnation repeats the versions and nonces of another, whatever the clock
-MAX_LIST_DELAY_NS = 6 * NS_PER_S  # until a list tells of a start
-MAX_LOGGED_ENTRIES = 16  # skipped entries of one endpoint list that are logged
+INCARNATION_BITS = 48  # random, so that no two starts share versions and nonces, whatever the clock says
+MAX_LIST_DELAY_NS = 6 * NS_PER_S  # longest time from an endpoint's start until the endpoint list reports it
+MAX_LOGGED_ENTRIES = 16  # rejected entries logged per endpoint list
 WARNING_EVENTS = frozenset(
     {
         "policy crashed",
@@ -57,7 +57,7 @@
 
 
 def _retention_settings(tables: Mapping[str, Any]) -> RetentionSettings:
-    """Return the values of the `tables` block of the settings by their names in the controller."""
+    """Map the `tables` block of the settings to the controller's retention settings."""
     return RetentionSettings(
         max_versions=tables["most"],
         max_age_ns=tables["age"],
@@ -73,7 +73,7 @@
 
 
 def _safety_rules(guard: Mapping[str, Any]) -> SafetyRules | None:
-    """Return the rules of the `guard` block of the settings; None if they are off."""
+    """Return the safety rules of the `guard` block of the settings, or None if the safety gate is off."""
     return None if guard["mode"] == "off" else SafetyRules.from_config(guard)
 
 
@@ -93,7 +93,7 @@
     """Runs one instance until it is stopped."""
 
     def __init__(self, config: Config, log: Any, policy_factory: PolicyFactory = Reconciler) -> None:
-        """Nothing is open before `run`; `policy_factory` makes the policy."""
+        """Create the components; sockets are opened by `run`. `policy_factory` creates the policy."""
         self.config, self.log = config, log
         self.clock: Callable[[], int] = time.monotonic_ns
         now = self.clock()
@@ -121,7 +121,7 @@
         wall_clock_offset_ns = time.time_ns() - now
         self.endpoint_list = EndpointList(config.settings.zones, wall_clock_offset_ns)
         self._start_times = StartTimes(MAX_LIST_DELAY_NS)
-        self._unreadable_since_ns: int | None = None  # since before the first failed poll in a row
+        self._unreadable_since_ns: int | None = None  # set while polls fail: when the list was last confirmed
         self.dns_server: DnsServer | None = None
         if config.dns["listen"]:
             frontend = DnsFrontend(
@@ -145,7 +145,7 @@
     async def run(self, ready: Callable[[tuple[str, int]], Any] | None = None, signals: bool = True) -> None:
         """Serve until SIGTERM or SIGINT, or cancelled; call `ready(address)` once proxies can connect.
 
-        Raises `ListenError`, or the error that ended a round.
+        Raises `ListenError` if an address cannot be used, or the exception that a round failed with.
         """
         for number in (signal.SIGTERM, signal.SIGINT) if signals else ():
             asyncio.get_running_loop().add_signal_handler(number, self.stop_requested.set)
@@ -175,7 +175,7 @@
             self._log_totals()
 
     async def _start_servers(self) -> tuple[str, int]:
-        """Listen for proxies and DNS queries; return the address for proxies."""
+        """Start the xDS and DNS servers; return the address of the xDS server."""
         try:
             address = await self.xds_server.start()
         except OSError as error:
@@ -214,7 +214,7 @@
         try:
             change = self.endpoint_list.update(text)
         except EndpointListError as error:
-            self._unreadable_since_ns = self._list_heard_ns()
+            self._unreadable_since_ns = self._list_confirmed_ns()
             self.log.warning(
                 "endpoint list rejected",
                 cause=str(error),
@@ -222,12 +222,14 @@
                 bad=self.endpoint_list.rejected_count,
             )
             return
-        heard_ns = self._list_heard_ns() if change is None or change.scope != ListScope.CACHED else None
+        confirmed_ns = (
+            self._list_confirmed_ns() if change is None or change.scope != ListScope.CACHED else None
+        )
         self._unreadable_since_ns = None
         if change is None:
             return
         now = self.clock()
-        records = tuple(self._start_times.adjust(record, now, heard_ns) for record in change.endpoints)
+        records = tuple(self._start_times.adjust(record, now, confirmed_ns) for record in change.endpoints)
         change = replace(change, endpoints=records)
         for cause in change.skipped[:MAX_LOGGED_ENTRIES]:
             self.log.warning("endpoint rejected", cause=cause)
@@ -240,14 +242,14 @@
         self.controller.on_list_update(change)
         self.scheduler.request_round()
 
-    def _list_heard_ns(self) -> int:
-        """When the list was last known to be up to date, before the poll that is handled now."""
+    def _list_confirmed_ns(self) -> int:
+        """Return when the list was last known to be current, before the poll that is being handled."""
         if self._unreadable_since_ns is not None:
             return self._unreadable_since_ns
         return self.clock() - self.config.list["every"]
 
     def _on_list_unreadable(self, cause: str) -> None:
-        self._unreadable_since_ns = self._list_heard_ns()
+        self._unreadable_since_ns = self._list_confirmed_ns()
         self.endpoint_list.rejected_count += 1
         self.log.warning(
             "endpoint list unreadable",
@@ -266,8 +268,8 @@
             self.xds_server.send(xds_output)
             self._log_events(xds_output)
         except Exception as error:
-            # A fault of the program itself, not of the policy: its state may be inconsistent, so the process
-            # ends with an error and is started anew. Proxies keep their tables meanwhile.
+            # A bug outside the policy, so the state may be inconsistent: the process exits with the error and
+            # has to be restarted. Proxies keep their tables meanwhile.
             self.fatal_error = error
             self.stop_requested.set()
             raise
@@ -288,7 +290,7 @@
             (self.log.warning if name in WARNING_EVENTS else self.log.info)(name, **fields)
 
     def _drop_totals(self) -> dict[str, int]:
-        """Return what was dropped or rejected past a limit, since the start."""
+        """Return counts of what was dropped or rejected because of a limit, since the start."""
         totals = {
             "sums": self.controller.load_aggregator.dropped,
             "calls": self.controller.counts["calls_lost"],
--- a/swiftchute/observability/__init__.py
+++ b/swiftchute/observability/__init__.py
@@ -1,1 +1,1 @@
-"""Logs of the program: one JSON line an event, on standard error, by structlog."""
+"""Structured logs on standard error, one JSON line per event, written by structlog."""
--- a/swiftchute/observability/logging.py
+++ b/swiftchute/observability/logging.py
@@ -1,4 +1,4 @@
-"""Structured logs, and the policy's log lines as fields."""
+"""Set-up of structured logs, and parsing of the policy's condition lines into log fields."""
 
 import logging
 import re
@@ -9,7 +9,7 @@
 
 _CONDITION_LINE = re.compile(r"(?P<condition>.+?): (?P<state>on|off), (?P<figures>.*)")
 _LEADING_NUMBER = re.compile(r"^(-?\d+(?:\.\d+)?)(?:, |$)")
-# field by the wording of a figure in the policy's log lines
+# log field and the pattern of its figure in the policy's condition lines
 _FIGURES = (
     ("time", re.compile(r"time (-?\d+(?:\.\d+)?) of the objective")),
     ("there", re.compile(r"(-?\d+(?:\.\d+)?) there")),
@@ -37,9 +37,9 @@
 
 
 def condition_fields(text: str) -> dict[str, Any]:
-    """Return a log line of the policy as fields: the condition, whether it began, and each figure.
+    """Parse a condition line of the policy into log fields: the condition, whether it began, and each figure.
 
-    A line of another form is returned as the field `text`.
+    A line that does not match this form is returned as the field `text`.
     """
     line = _CONDITION_LINE.fullmatch(text)
     if not line:
