--- a/tests/config/test_schema.py
+++ b/tests/config/test_schema.py
@@ -73,7 +73,9 @@
         load_text(text)
     problems = [str(p) for p in caught.value.problems if p.line in lines]
     assert before in VALID_SETTINGS
-    assert any(message in problem and f"p.hcl:{lines[0]}:" in problem for problem in problems), str(caught.value)
+    assert any(message in problem and f"p.hcl:{lines[0]}:" in problem for problem in problems), str(
+        caught.value
+    )
 
 
 def test_a_missing_file_is_reported_with_its_cause(tmp_path):
