--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -9,7 +9,7 @@
 from swiftchute.policy.units import NS_PER_S as S
 from swiftchute.safety.proposal import SafetyRules
 from tests import known_red
-from tests.support.settings import FACTS, operation
+from tests.support.settings import DEFAULTS, operation
 
 pytest_plugins = ["pytester"]
 
@@ -42,7 +42,7 @@
 def scripted_controller():
     """A controller under safety rules with a scripted policy: (controller, policy)."""
     policy = ScriptedPolicy()
-    settings = Settings(**(FACTS | {"operations": (operation("read"), operation("write"))}))
+    settings = Settings(**(DEFAULTS | {"operations": (operation("read"), operation("write"))}))
     return Controller(settings, 7, lambda settings, seed: policy, 1000 * S, SafetyRules()), policy
 
 
--- a/tests/controller/test_digest.py
+++ b/tests/controller/test_digest.py
@@ -18,7 +18,7 @@
 from swiftchute.policy import Reconciler
 from swiftchute.safety.proposal import SafetyRules
 from swiftchute.versions.errors import PinError, UnknownVersionError
-from tests.conftest import FACTS, operation
+from tests.conftest import DEFAULTS, operation
 
 NS_PER_S = 1_000_000_000
 START_NS = 1000 * NS_PER_S
@@ -56,7 +56,7 @@
 
     def __init__(self, guard, enforce, canary, **facts):
         ScriptedPolicy.crashes, ScriptedPolicy.extra_commands = False, None
-        settings = Settings(**(FACTS | {"operations": OPERATIONS, "proxy_count": len(PROXIES)} | facts))
+        settings = Settings(**(DEFAULTS | {"operations": OPERATIONS, "proxy_count": len(PROXIES)} | facts))
         keep = RetentionSettings(canary_fraction=0.25 if canary else 0.0, min_canary_change=0.05)
         self.controller = Controller(settings, 7, ScriptedPolicy, START_NS, guard, enforce, keep)
         self.random = random.Random(3)
--- a/tests/dns/test_frontend.py
+++ b/tests/dns/test_frontend.py
@@ -41,7 +41,7 @@
 from swiftchute.safety.proposal import SafetyRules
 from swiftchute.xds.errors import ProtocolViolationError
 from swiftchute.xds.messages import ProxyNode
-from tests.conftest import FACTS, ScriptedPolicy, operation
+from tests.conftest import DEFAULTS, ScriptedPolicy, operation
 
 S = 1_000_000_000
 NOW = 1000 * S
@@ -371,7 +371,7 @@
         self.decider, self.now = ScriptedPolicy(), NOW
         facts = {"operations": (operation("read"), operation("write")), "drain_grace_ns": 4 * S}
         facts |= {"egress_rate_entries_per_s": 1e6, "egress_queue_limit_entries": 1e6, "message_quota": 0}
-        settings = Settings(**(FACTS | facts))
+        settings = Settings(**(DEFAULTS | facts))
         self.controller = Controller(settings, 7, lambda settings, seed: self.decider, NOW, SafetyRules())
         self.front = DnsFrontend(self.controller, settings, DnsSettings.from_block(PLUMBING | plumbing), 7)
         self.front.start(NOW)
--- a/tests/platform/test_egress_backlog.py
+++ b/tests/platform/test_egress_backlog.py
@@ -16,7 +16,7 @@
 from tests.support.channel import Channel, S
 from tests.support.platform import Client, Discovery, PlatformProcess, wire_settings
 from tests.support.sessions import ACK, HELLO, text
-from tests.support.settings import FACTS, operation
+from tests.support.settings import DEFAULTS, operation
 
 PROXIES = 200
 TABLE_ENTRIES = 20
@@ -124,7 +124,7 @@
             "proxy_count": PROXIES, "subset_size": TABLE_ENTRIES, "egress_rate_entries_per_s": RATE_PER_S,
             "egress_queue_limit_entries": LIMIT, "message_overhead_entries": 10, "message_quota": 30,
         }  # fmt: skip
-        settings = Settings(**(FACTS | {"operations": operations} | limits | facts))
+        settings = Settings(**(DEFAULTS | {"operations": operations} | limits | facts))
         self.now, self.sessions, self.crashes = 1000 * S, {}, 0
         self.runner = PolicyRunner(settings, 7, self._policy, self.now)
         self.manager = SessionManager(self.runner, 1024)
--- a/tests/platform/test_push_encoder.py
+++ b/tests/platform/test_push_encoder.py
@@ -17,10 +17,10 @@
 from swiftchute.platform.errors import MessageTooLargeError
 from swiftchute.platform.listed_endpoints import MAX_REMOVED_ENDPOINTS
 from swiftchute.platform.push_encoder import PushEncoder
-from tests.conftest import FACTS, operation
+from tests.conftest import DEFAULTS, operation
 
 CLASSES = ("read", "write")
-SET = Settings(**(FACTS | {"operations": tuple(operation(name) for name in CLASSES)}))
+SET = Settings(**(DEFAULTS | {"operations": tuple(operation(name) for name in CLASSES)}))
 
 
 class FakeProxy:
--- a/tests/policy/test_command_digests.py
+++ b/tests/policy/test_command_digests.py
@@ -30,7 +30,7 @@
 from swiftchute.api.settings import Settings
 from swiftchute.policy import Reconciler
 from tests.support.policy import RecordedCommands
-from tests.support.settings import FACTS, operation
+from tests.support.settings import DEFAULTS, operation
 
 S = 1_000_000_000
 ROUNDS = 400
@@ -165,7 +165,7 @@
 def play(endpoints=36, **facts):
     """Play the rounds; returns the commands, without the text of log lines."""
     settings = Settings(
-        **(FACTS | {"operations": (operation("read"), operation("write")), "zones": ZONES[:3]} | facts)
+        **(DEFAULTS | {"operations": (operation("read"), operation("write")), "zones": ZONES[:3]} | facts)
     )
     reconciler = Reconciler(settings, 11)
     generator, written = EventGenerator(5, settings.key_range_count, endpoints), []
--- a/tests/policy/test_extreme_events.py
+++ b/tests/policy/test_extreme_events.py
@@ -18,7 +18,7 @@
 from swiftchute.api.settings import Settings
 from swiftchute.controller.assignments import Assignments
 from swiftchute.policy import Reconciler
-from tests.support.settings import FACTS, operation
+from tests.support.settings import DEFAULTS, operation
 
 S = 1_000_000_000
 START = 1_700_000_000 * S
@@ -61,7 +61,7 @@
 def test_no_event_makes_the_policy_raise(seed, admission_mode):
     draw = random.Random(seed)
     operations = (operation("read"), operation("write", zone_local=seed % 2 == 1))
-    settings = Settings(**(FACTS | {"operations": operations, "admission_mode": admission_mode}))
+    settings = Settings(**(DEFAULTS | {"operations": operations, "admission_mode": admission_mode}))
     policy, assignments, now = Reconciler(settings, seed), Assignments(settings), START
     for _ in range(150):
         now += draw.choice((0, 5_000_000, S // 2, 2 * S))
--- a/tests/safety/test_no_endpoint.py
+++ b/tests/safety/test_no_endpoint.py
@@ -6,7 +6,7 @@
     SafetyRules,
 )
 from swiftchute.safety.validator import Validator
-from tests.conftest import FACTS
+from tests.conftest import DEFAULTS
 from tests.support.safety import NOW, SETTINGS, proposal, status, validate, violated
 
 
@@ -34,7 +34,7 @@
 
 
 def test_removed_endpoints_may_stay_where_removal_is_not_binding():
-    settings = Settings(**(FACTS | {"operations": SETTINGS.operations, "removal_is_binding": False}))
+    settings = Settings(**(DEFAULTS | {"operations": SETTINGS.operations, "removal_is_binding": False}))
     statuses = {f"s{k}": status(state="gone" if k else "ready") for k in range(5)}
     verdict = Validator(settings, SafetyRules()).validate(
         {1: proposal(**dict.fromkeys(statuses, 1.0))}, {}, statuses, Observations(), NOW
@@ -43,7 +43,7 @@
 
 
 def test_removed_endpoints_that_respond_are_open_where_removal_is_not_binding():
-    settings = Settings(**(FACTS | {"operations": SETTINGS.operations, "removal_is_binding": False}))
+    settings = Settings(**(DEFAULTS | {"operations": SETTINGS.operations, "removal_is_binding": False}))
     statuses = {"a": status(), "g": status(state="gone"), "h": status(state="gone")}
     asked = {1: proposal(g=1.0, h=1.0)}
     judged = Validator(settings, SafetyRules()).validate(
--- a/tests/safety/test_recorded_verdicts.py
+++ b/tests/safety/test_recorded_verdicts.py
@@ -10,7 +10,7 @@
 from swiftchute.safety.proposal import EndpointStatus, Observations, PendingShare, Proposal, SafetyRules
 from swiftchute.safety.publish_gate import PublishGate
 from swiftchute.safety.validator import Validator
-from tests.conftest import FACTS, operation
+from tests.conftest import DEFAULTS, operation
 
 SECOND_NS = 1_000_000_000
 NOW_NS = 1000 * SECOND_NS
@@ -27,7 +27,7 @@
 
 def settings_with(removal_is_binding):
     operations = (operation("read"), operation("write"))
-    return Settings(**(FACTS | {"operations": operations, "removal_is_binding": removal_is_binding}))
+    return Settings(**(DEFAULTS | {"operations": operations, "removal_is_binding": removal_is_binding}))
 
 
 def draw_statuses(draw):
--- a/tests/support/controller.py
+++ b/tests/support/controller.py
@@ -5,10 +5,10 @@
 from swiftchute.api.settings import Settings
 from swiftchute.discovery.endpoint_list import EndpointListChange
 from swiftchute.policy import Reconciler
-from tests.conftest import FACTS, operation
+from tests.conftest import DEFAULTS, operation
 
 NS_PER_S = 1_000_000_000
-SETTINGS = Settings(**(FACTS | {"operations": (operation("read"), operation("write"))}))
+SETTINGS = Settings(**(DEFAULTS | {"operations": (operation("read"), operation("write"))}))
 
 
 class CrashingPolicy(Reconciler):
--- a/tests/support/policy.py
+++ b/tests/support/policy.py
@@ -11,7 +11,7 @@
 from swiftchute.api.settings import Settings
 from swiftchute.policy import Reconciler
 from swiftchute.policy.units import NS_PER_S
-from tests.support.settings import FACTS, operation
+from tests.support.settings import DEFAULTS, operation
 
 # Load reports of half a second by endpoint: attempts, failures, mean latency in seconds.
 CALM = dict.fromkeys(("e0", "e1", "e2", "e3", "w0", "w1", "w2", "w3"), (5, 0, 0.1))
@@ -46,7 +46,7 @@
 
     def __init__(self, **fields):
         fields.setdefault("operations", (operation("read"), operation("write")))
-        self.reconciler, self.now = Reconciler(Settings(**(FACTS | fields)), 7), 1000 * NS_PER_S
+        self.reconciler, self.now = Reconciler(Settings(**(DEFAULTS | fields)), 7), 1000 * NS_PER_S
         self.state, self.budget = self.reconciler.state, self.reconciler.budget
 
     def run_round(self, *events, wait_s=0.0):
--- a/tests/support/safety.py
+++ b/tests/support/safety.py
@@ -3,12 +3,12 @@
 from swiftchute.api.settings import Settings
 from swiftchute.safety.proposal import EndpointStatus, Observations, Proposal, Rule, SafetyRules
 from swiftchute.safety.validator import Validator
-from tests.conftest import FACTS, operation
+from tests.conftest import DEFAULTS, operation
 
 S = 1_000_000_000
 NOW = 1000 * S
 # 16 s to warm up, 2.5 times the full rate at most
-SETTINGS = Settings(**(FACTS | {"operations": (operation("read"), operation("write"))}))
+SETTINGS = Settings(**(DEFAULTS | {"operations": (operation("read"), operation("write"))}))
 ZONES = ("east", "west")
 
 
--- a/tests/support/sessions.py
+++ b/tests/support/sessions.py
@@ -12,7 +12,7 @@
 from swiftchute.controller.policy_runner import PolicyRunner
 from swiftchute.platform.session_manager import SessionManager
 from swiftchute.policy.units import NS_PER_S as S
-from tests.conftest import FACTS, ScriptedPolicy, operation
+from tests.conftest import DEFAULTS, ScriptedPolicy, operation
 
 MS = 1_000_000
 HELLO = {"msg": "hello", "proxy": 1, "zone": "east", "weight": 2.5, "fresh": True}
@@ -32,7 +32,7 @@
 
     def __init__(self, sockets=1024, **facts):
         self.policy, self.now = ScriptedPolicy(), 1000 * S
-        facts = FACTS | {"operations": (operation("read"), operation("write")), "proxy_count": 400} | facts
+        facts = DEFAULTS | {"operations": (operation("read"), operation("write")), "proxy_count": 400} | facts
         runner = PolicyRunner(Settings(**facts), 7, lambda settings, seed: self.policy, self.now)
         self.manager = SessionManager(runner, sockets)
         self.manager.update_list("held", [EndpointRecord(s, "east", "", 0, "ready", 1.0, 0) for s in "abc"])
--- a/tests/support/settings.py
+++ b/tests/support/settings.py
@@ -3,7 +3,7 @@
 from swiftchute.api.settings import Operation
 from swiftchute.policy.units import NS_PER_S
 
-FACTS = {
+DEFAULTS = {
     "zones": ("east", "west"),
     "zone": "east",
     "instance": 0,
--- a/tests/versions/test_canary_of_controller.py
+++ b/tests/versions/test_canary_of_controller.py
@@ -10,7 +10,7 @@
 from swiftchute.controller.version_state import RetentionSettings
 from swiftchute.discovery.endpoint_list import EndpointListChange
 from swiftchute.safety.proposal import SafetyRules
-from tests.conftest import FACTS, ScriptedPolicy, operation
+from tests.conftest import DEFAULTS, ScriptedPolicy, operation
 
 S = 1_000_000_000
 NOW = 1000 * S
@@ -21,7 +21,7 @@
 def started_controller():
     """A controller with eight proxies on a table of four servers, pushed and acknowledged."""
     policy = ScriptedPolicy()
-    settings = Settings(**(FACTS | {"operations": (operation("read"),), "egress_rate_entries_per_s": 1e6,
+    settings = Settings(**(DEFAULTS | {"operations": (operation("read"),), "egress_rate_entries_per_s": 1e6,
                                     "egress_queue_limit_entries": 1e6, "message_quota": 0}))  # fmt: skip
     retention = RetentionSettings(
         canary_fraction=0.25, canary_duration_ns=5 * S, max_canary_duration_ns=30 * S
--- a/tests/xds/test_stream.py
+++ b/tests/xds/test_stream.py
@@ -13,11 +13,11 @@
 from swiftchute.xds.messages import AdsRequest, decode, encode
 from swiftchute.xds.resources import Translator, whole_weights
 from swiftchute.xds.stream import Acknowledged, AdsStream, Rejected, StaleRequest
-from tests.conftest import FACTS, operation
+from tests.conftest import DEFAULTS, operation
 
 S = 1_000_000_000
 A, B, C, D = (f"127.0.0.1:90{k}0" for k in (1, 2, 3, 4))
-SETTINGS = Settings(**(FACTS | {"operations": (operation("read"), operation("write"))}))
+SETTINGS = Settings(**(DEFAULTS | {"operations": (operation("read"), operation("write"))}))
 
 
 def holding(lines, table="0.1", level=1.0, tries=1):
