--- a/tests/versions/test_encoding.py
+++ b/tests/versions/test_encoding.py
@@ -16,7 +16,7 @@
     version_of,
 )
 from swiftchute.versions.errors import DeltaMismatchError, EncodingError
-from tests.support.tables import made
+from tests.support.tables import table_of
 
 
 def test_equal_content_has_one_version_whatever_its_order():
@@ -24,15 +24,15 @@
     two = encoding.make_table([("read", 0.5, 0), ("write", 1, 1)], [("a", "west", 2.0), ("b", "east", 1.0)])
     assert encode(one) == encode(two)
     assert decode_table(encode(one)) == one
-    assert version_of(one) != version_of(made(a=1.0))
+    assert version_of(one) != version_of(table_of(a=1.0))
 
 
 def test_no_weight_is_rounded_away_beside_a_million():
-    assert [entry.weight_units for entry in made(a=1e6, b=1e-9).entries] == [10**10, 1]
+    assert [entry.weight_units for entry in table_of(a=1e6, b=1e-9).entries] == [10**10, 1]
 
 
 def test_truncated_bytes_and_those_of_another_format_are_rejected():
-    data = encode(made(a=1.0, b=2.0))
+    data = encode(table_of(a=1.0, b=2.0))
     for cut in range(len(data)):
         with pytest.raises(EncodingError):
             decode_table(data[:cut])
@@ -49,19 +49,19 @@
 
 @pytest.mark.parametrize("place", range(60))
 def test_a_flipped_bit_makes_another_version_or_none(place):
-    data = bytearray(encode(made(a=1.0, b=2.0, c=3.0)))
+    data = bytearray(encode(table_of(a=1.0, b=2.0, c=3.0)))
     data[place % len(data)] ^= 1 << place % 8
     with contextlib.suppress(EncodingError):
-        assert version_of(decode_table(bytes(data))) != version_of(made(a=1.0, b=2.0, c=3.0))
+        assert version_of(decode_table(bytes(data))) != version_of(table_of(a=1.0, b=2.0, c=3.0))
 
 
 def test_a_delta_applies_only_to_the_version_it_names_and_makes_the_one_it_says():
-    before, after = made(a=1.0, b=2.0), made(0.5, a=1.5, c=1.0)
+    before, after = table_of(a=1.0, b=2.0), table_of(0.5, a=1.5, c=1.0)
     delta = make_delta(before, after)
     assert apply_delta(delta, before) == after
     assert (delta.removed, len(delta.changed)) == (("b",), 2)
     with pytest.raises(DeltaMismatchError, match="not for"):
-        apply_delta(delta, made(a=1.0))
+        apply_delta(delta, table_of(a=1.0))
     lying = Delta(delta.base_version, version_of(before), delta.changed, delta.removed, delta.admission)
     with pytest.raises(DeltaMismatchError, match="not .* as it says"):
         apply_delta(lying, before)
@@ -70,8 +70,8 @@
 def test_the_size_of_a_one_entry_delta_does_not_grow_with_the_table():
     sizes = []
     for many in (100, 400):
-        before = made(**{f"s{k:04}": 1.0 for k in range(many)})
+        before = table_of(**{f"s{k:04}": 1.0 for k in range(many)})
         sizes.append(
-            len(encode(make_delta(before, made(**{f"s{k:04}": 1.0 + (k == 7) for k in range(many)}))))
+            len(encode(make_delta(before, table_of(**{f"s{k:04}": 1.0 + (k == 7) for k in range(many)}))))
         )
     assert sizes[0] == sizes[1] < 100
--- a/tests/versions/test_history.py
+++ b/tests/versions/test_history.py
@@ -6,7 +6,7 @@
 from swiftchute.versions.errors import UnknownVersionError
 from swiftchute.versions.history import VersionHistory
 from swiftchute.versions.table_log import SNAPSHOT_INTERVAL_ENTRIES
-from tests.support.tables import made
+from tests.support.tables import table_of
 
 S = 1_000_000_000
 NOW = 1000 * S
@@ -18,7 +18,7 @@
 
 
 def test_equal_content_is_one_version_and_its_return_is_a_change(history):
-    one, two = made(a=1.0), made(a=2.0)
+    one, two = table_of(a=1.0), table_of(a=2.0)
     first = history.record("0.1", one, NOW, "start")
     assert history.record("0.1", one, NOW + 1, "health") is None
     second = history.record("0.1", two, NOW + 2, "health")
@@ -30,14 +30,14 @@
 
 
 def test_a_thousand_versions_within_a_minute_are_trimmed_and_those_retained_are_kept(history):
-    held = history.record("0.1", made(a=1.0), NOW, "start").version
+    held = history.record("0.1", table_of(a=1.0), NOW, "start").version
     history.retain(held)
     for k in range(1000):
-        history.record("0.1", made(a=2.0 + k), NOW + k * S // 20, "health")
+        history.record("0.1", table_of(a=2.0 + k), NOW + k * S // 20, "health")
     kept = len(history.logs["0.1"].entries)
     assert 100 <= kept <= 100 + SNAPSHOT_INTERVAL_ENTRIES
-    assert history.content(held) == made(a=1.0)
-    assert history.content(history.changes("0.1", 1)[0].version) == made(a=1001.0)
+    assert history.content(held) == table_of(a=1.0)
+    assert history.content(history.changes("0.1", 1)[0].version) == table_of(a=1001.0)
     history.release(held)
     assert history.content(held) is None
     assert not history.detached
@@ -45,29 +45,29 @@
 
 def test_old_versions_are_trimmed_by_age_and_the_newest_stays(history):
     for k in range(80):
-        history.record("0.1", made(a=1.0 + k), NOW + k, "health")
-    newest = history.record("0.1", made(b=1.0), NOW + 7200 * S, "health")
+        history.record("0.1", table_of(a=1.0 + k), NOW + k, "health")
+    newest = history.record("0.1", table_of(b=1.0), NOW + 7200 * S, "health")
     assert [c.version for c in history.changes("0.1")] == [newest.version]
-    assert history.content(newest.version) == made(b=1.0)
+    assert history.content(newest.version) == table_of(b=1.0)
 
 
 def test_the_update_to_a_version_is_the_smallest_safe_one(history):
     many = {f"s{k}": 1.0 for k in range(50)}
-    one = history.record("0.1", made(**many), NOW, "start").version
-    two = history.record("0.1", made(**many | {"s3": 2.0}), NOW, "health").version
+    one = history.record("0.1", table_of(**many), NOW, "start").version
+    two = history.record("0.1", table_of(**many | {"s3": 2.0}), NOW, "health").version
     assert history.update_between(two, two) is None
     step = history.update_between(one, two)
     assert isinstance(step, Delta)
-    assert version_of(apply_delta(step, made(**many))) == two
+    assert version_of(apply_delta(step, table_of(**many))) == two
     # a proxy that never had it, or claims a version of the future or of another controller: the whole table
-    for claim in (None, b"\0" * 16, version_of(made(z=9.0))):
-        assert history.update_between(claim, two) == made(**many | {"s3": 2.0})
+    for claim in (None, b"\0" * 16, version_of(table_of(z=9.0))):
+        assert history.update_between(claim, two) == table_of(**many | {"s3": 2.0})
     with pytest.raises(UnknownVersionError, match="not kept"):
         history.update_between(one, b"\1" * 16)
 
 
 def test_versions_are_found_by_prefix_by_serial_and_counted_backwards(history):
-    changes = [history.record("0.1", made(a=1.0 + k), NOW + k, "health") for k in range(5)]
+    changes = [history.record("0.1", table_of(a=1.0 + k), NOW + k, "health") for k in range(5)]
     assert history.find("0.1", changes[2].version.hex()[:10]) == changes[2]
     assert history.find("0.1", "#3") == changes[3]
     assert history.find("0.1", "~1") == changes[3]
--- a/tests/versions/test_pinning.py
+++ b/tests/versions/test_pinning.py
@@ -5,7 +5,7 @@
 from swiftchute.versions.errors import PinError
 from swiftchute.versions.history import VersionHistory
 from swiftchute.versions.pinning import Pin, PinnedVersions, RejectionTracker
-from tests.support.tables import made
+from tests.support.tables import table_of
 
 S = 1_000_000_000
 NOW = 1000 * S
@@ -17,8 +17,8 @@
 
 
 def pin_of(history, until_ns=NOW + 60 * S, pins_admission=False, **weights):
-    change = history.record("0.1", made(0.5, **weights), NOW, "start")
-    return Pin(change, made(0.5, **weights), until_ns, pins_admission, "rollback")
+    change = history.record("0.1", table_of(0.5, **weights), NOW, "start")
+    return Pin(change, table_of(0.5, **weights), until_ns, pins_admission, "rollback")
 
 
 def test_a_pin_proposes_open_endpoints_alone_and_ends_by_itself(history):
--- a/tests/versions/test_sync.py
+++ b/tests/versions/test_sync.py
@@ -13,7 +13,7 @@
 from swiftchute.versions.history import VersionHistory
 from swiftchute.versions.sync import Receiver, Sender
 from swiftchute.versions.table_log import SNAPSHOT_INTERVAL_ENTRIES
-from tests.support.tables import made
+from tests.support.tables import table_of
 
 S = 1_000_000_000
 NOW = 1000 * S
@@ -25,12 +25,12 @@
 
 
 def test_a_rejected_version_is_not_sent_again_on_the_same_stream(history):
-    one = history.record("t", made(a=1.0), NOW, "start").version
+    one = history.record("t", table_of(a=1.0), NOW, "start").version
     sender, receiver = Sender(history), Receiver()
     sender.set_wanted(one)
     sender.on_response(receiver.on_message(sender.next_message(), accepted=False))
     assert sender.next_message() is None
-    two = history.record("t", made(a=2.0), NOW, "health").version
+    two = history.record("t", table_of(a=2.0), NOW, "health").version
     sender.set_wanted(two)
     message = sender.next_message()
     assert sender.next_message() is None  # one is in flight at a time
@@ -65,9 +65,9 @@
     @rule(weights=st.dictionaries(st.sampled_from("abcdef"), st.sampled_from([0.5, 1.0, 2.0]), min_size=1))
     def change(self, weights):
         self.now += S
-        self.history.record("t", made(**weights), self.now, "health")
+        self.history.record("t", table_of(**weights), self.now, "health")
         self.wanted = self.history.newest_change("t").version
-        self.made_bytes.add(encode(made(**weights)))
+        self.made_bytes.add(encode(table_of(**weights)))
 
     @rule(back=st.integers(0, 5))
     def rollback(self, back):
