--- a/swiftchute/config/loader.py
+++ b/swiftchute/config/loader.py
@@ -9,8 +9,8 @@
 from swiftchute.config.reader import Block, read
 from swiftchute.config.schema import (
     ENDPOINT_LIST_BLOCKS,
+    INSTANCE_BLOCKS,
     OPERATION_FIELDS,
-    PLANNER_BLOCKS,
     REQUIRED_BLOCKS,
     WEIGHT_SOURCE_FIELD,
     Config,
@@ -73,9 +73,9 @@
             self._blocks.operations.append((block, values))
         elif block.name == "list" and block.labels and block.labels[0] in ENDPOINT_LIST_BLOCKS:
             self._blocks.lists.append(block)
-        elif block.name not in PLANNER_BLOCKS or block.labels:
+        elif block.name not in INSTANCE_BLOCKS or block.labels:
             lists = (f'list "{kind}"' for kind in ENDPOINT_LIST_BLOCKS)
-            known = ", ".join([*PLANNER_BLOCKS, 'operation "NAME"', *lists])
+            known = ", ".join([*INSTANCE_BLOCKS, 'operation "NAME"', *lists])
             self._checker.add_problem(block.line, block.full_name, f"unknown block; known: {known}")
         elif block.name in self._blocks.single:
             first = self._blocks.single[block.name].line
@@ -91,7 +91,7 @@
                 self._checker.add_problem(1, name, "block is missing")
         return {
             name: self._checker.parse_fields(single.get(name, Block(name, (), 1)), table, name)
-            for name, table in PLANNER_BLOCKS.items()
+            for name, table in INSTANCE_BLOCKS.items()
             if name in single or name not in REQUIRED_BLOCKS
         }
 
@@ -159,7 +159,7 @@
     def _build(self, values: dict[str, Values], source: str, list_values: Values) -> Config:
         given = {
             known.target: values[block][key]
-            for block, table in PLANNER_BLOCKS.items()
+            for block, table in INSTANCE_BLOCKS.items()
             for key, known in table.items()
             if known.target
         }
--- a/swiftchute/config/schema.py
+++ b/swiftchute/config/schema.py
@@ -29,7 +29,7 @@
     url,
 )
 
-PLANNER_BLOCKS: dict[str, FieldTable] = {
+INSTANCE_BLOCKS: dict[str, FieldTable] = {
     "service": {
         "zones": Field(names, REQUIRED, "zones"),
         "zone": Field(name, REQUIRED, "zone"),
--- a/tests/dns/test_frontend.py
+++ b/tests/dns/test_frontend.py
@@ -22,7 +22,7 @@
 from swiftchute.api.endpoints import EndpointRecord
 from swiftchute.api.events import ProxyConnected, ProxyDisconnected, PushAcknowledged, TimerFired
 from swiftchute.api.settings import Settings
-from swiftchute.config.schema import PLANNER_BLOCKS
+from swiftchute.config.schema import INSTANCE_BLOCKS
 from swiftchute.controller.controller import Controller
 from swiftchute.controller.table_contents import TableEntry
 from swiftchute.discovery.endpoint_list import EndpointListChange
@@ -359,7 +359,7 @@
 # -- on a planner
 
 
-PLUMBING = {key: field.default for key, field in PLANNER_BLOCKS["dns"].items()} | {
+PLUMBING = {key: field.default for key, field in INSTANCE_BLOCKS["dns"].items()} | {
     "origin": ORIGIN, "responses": 0, "secondaries": (("east", ("127.0.0.1", 5400)),),
 }  # fmt: skip
 
