--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that several packages' tests share, and the report of known failures."""
+"""Fixtures shared by the tests of several packages, and the report of known failures."""
 
 import pytest
 
@@ -15,32 +15,32 @@
 
 
 def pytest_collection_modifyitems(config, items):
-    """Tests that are known to fail are expected to, and printed."""
-    whole = config.args == config.getini("testpaths") and not config.option.keyword
-    known_red.mark(items, known_red.text(), whole)
+    """Mark the tests listed in KNOWN-RED.txt as expected failures."""
+    all_collected = config.args == config.getini("testpaths") and not config.option.keyword
+    known_red.mark(items, known_red.text(), all_collected)
 
 
 def pytest_terminal_summary(terminalreporter):
-    """Say which tests are known red."""
+    """List the known failures after each run."""
     for test, cause, issue in known_red.entries(known_red.text()):
         terminalreporter.write_line(f"KNOWN-RED {test}: {cause} ({issue})")
 
 
 class ScriptedPolicy:
-    """A policy that issues the commands that a test gives it, once."""
+    """A policy that issues the commands a test puts into `writes`, once."""
 
     def __init__(self):
         self.writes = []
 
-    def reconcile(self, now, calls, writer):
+    def reconcile(self, now, events, commands):
         writes, self.writes = self.writes, []
         for verb, *arguments in writes:
-            getattr(writer, verb)(*arguments)
+            getattr(commands, verb)(*arguments)
 
 
 @pytest.fixture
 def scripted_controller():
-    """A controller under safety rules with a scripted policy: (controller, policy)."""
+    """A controller with safety rules and a scripted policy: (controller, policy)."""
     policy = ScriptedPolicy()
     settings = Settings(**(DEFAULTS | {"operations": (operation("read"), operation("write"))}))
     return Controller(settings, 7, lambda settings, seed: policy, 1000 * S, SafetyRules()), policy
@@ -48,7 +48,7 @@
 
 @pytest.fixture
 def controller_with_warming_endpoint(scripted_controller):
-    """A controller whose table gives an endpoint that has just started a hundred times its share."""
+    """A controller whose policy gave an endpoint that has just started a hundred times its share."""
     controller, policy = scripted_controller
     entries = [
         EndpointRecord("a", "east", "", 0, "ready", 1.0, 0),
--- a/tests/daemon/test_round_scheduler.py
+++ b/tests/daemon/test_round_scheduler.py
@@ -1,4 +1,4 @@
-"""The timer of rounds: the earliest deadline counts, and a round that ran leaves none."""
+"""The round scheduler: the earliest deadline wins, and a round that ran leaves no timer behind."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
 
 
 def run(play):
-    """Run a coroutine with a scheduler and its clock; return the times of the rounds."""
+    """Run `play` with a scheduler and its clock; return the times at which rounds ran."""
 
     async def main():
         loop, times = asyncio.get_running_loop(), []
@@ -20,7 +20,7 @@
     return asyncio.run(main())
 
 
-def test_events_that_come_in_together_get_one_round():
+def test_events_that_arrive_together_are_handled_in_one_round():
     async def play(scheduler, clock):
         for _ in range(10):
             scheduler.request_round()
--- a/tests/daemon/test_service.py
+++ b/tests/daemon/test_service.py
@@ -1,4 +1,4 @@
-"""Settings of the file under their names in the controller."""
+"""Mapping of settings to the controller, ages of endpoints under clock steps, and incarnations."""
 
 import json
 import time
@@ -24,14 +24,14 @@
 
 
 def list_text(*targets, **labels):
-    """An endpoint list in the form of file_sd; `labels` are those of the last target."""
+    """Return an endpoint list in file_sd format; `labels` are added to the last target."""
     rows = [{"targets": [target], "labels": {"zone": "north"}} for target in targets]
     rows[-1]["labels"] |= labels
     return json.dumps(rows).encode()
 
 
 @pytest.mark.parametrize("step_s", [0, 3600, -3600])
-def test_a_stepped_wall_clock_neither_skips_nor_stretches_a_warm_up(monkeypatch, step_s):
+def test_a_stepped_wall_clock_neither_skips_nor_prolongs_a_warm_up(monkeypatch, step_s):
     wall_clock_ns = time.time_ns
     monkeypatch.setattr(time, "time_ns", lambda: wall_clock_ns() + step_s * NS_PER_S)
     service = Service(load("examples/planner.hcl"), structlog.get_logger())
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,10 +1,10 @@
-"""Tests that fail because of a known fault: KNOWN-RED.txt at the root, one line each.
+"""Tests that fail because of a known fault, listed in KNOWN-RED.txt at the root, one line each.
 
     test_file.py::test_name, cause, issue
 
-`pytest_collection_modifyitems` of `conftest` hands the tests to `mark`. A named test is expected to fail and
-is printed; one that passes all the same fails, unless its cause begins with `flaky:` (it fails on some runs
-only). So do a line that names no collected test and a fourth line.
+`pytest_collection_modifyitems` in `conftest` passes the collected tests to `mark`. A listed test is expected
+to fail and is printed. It counts as failed if it passes, unless its cause begins with `flaky:` (fails in some
+runs only). A line that names no collected test and a fourth line are errors.
 """
 
 from pathlib import Path
@@ -12,29 +12,29 @@
 import pytest
 
 FILE = Path(__file__).parent.parent / "KNOWN-RED.txt"
-MOST = 3
+MAX_ENTRIES = 3
 FLAKY = "flaky:"
 
 
 def entries(text):
-    """The lines as (test, cause, issue); raises UsageError on one of another form or one too many."""
+    """Parse the lines into (test, cause, issue); raise UsageError for a malformed line or too many lines."""
     rows = [line.strip() for line in text.splitlines() if line.strip() and not line.startswith("#")]
-    if len(rows) > MOST:
-        raise pytest.UsageError(f"KNOWN-RED.txt: {len(rows)} lines; {MOST} at most")
-    made = []
+    if len(rows) > MAX_ENTRIES:
+        raise pytest.UsageError(f"KNOWN-RED.txt: {len(rows)} lines; {MAX_ENTRIES} at most")
+    parsed = []
     for row in rows:
         test, *cause, issue = (part.strip() for part in row.split(","))
         if not cause or not issue or "::" not in test:
             raise pytest.UsageError(f"KNOWN-RED.txt: {row!r} is not 'test, cause, issue'")
-        made.append((test, ", ".join(cause), issue))
-    return made
+        parsed.append((test, ", ".join(cause), issue))
+    return parsed
 
 
-def mark(items, text, whole):
-    """Expect the named tests to fail; `whole` says that all tests were collected."""
+def mark(items, text, all_collected):
+    """Mark the listed tests as expected failures; `all_collected`: whether the whole suite was."""
     for test, cause, issue in entries(text):
         named = [item for item in items if item.nodeid.removeprefix("tests/").split("[")[0] == test]
-        if whole and not named:
+        if all_collected and not named:
             raise pytest.UsageError(f"KNOWN-RED.txt: {test}: no such test")
         for item in named:
             reason, strict = f"known red: {cause} ({issue})", not cause.startswith(FLAKY)
@@ -42,5 +42,5 @@
 
 
 def text():
-    """What the file holds; nothing where there is none."""
+    """Return the content of KNOWN-RED.txt, empty if there is no such file."""
     return FILE.read_text() if FILE.exists() else ""
--- a/tests/observability/test_logging.py
+++ b/tests/observability/test_logging.py
@@ -1,4 +1,4 @@
-"""Log lines of the policy as fields."""
+"""Parsing of the policy's condition lines into log fields."""
 
 import pytest
 
@@ -16,5 +16,5 @@
         ("something else", {"text": "something else"}),
     ],
 )  # fmt: skip
-def test_log_lines_of_the_policy_become_fields(text, fields):
+def test_condition_lines_are_parsed_into_fields(text, fields):
     assert condition_fields(text) == fields
--- a/tests/support/channel.py
+++ b/tests/support/channel.py
@@ -1,7 +1,7 @@
-"""A model of the platform's channel, from outside: it checks the egress queue and the quota of messages.
+"""An independent model of the platform's egress channel that checks queue length and message quota.
 
-Messages leave one after the other at a fixed rate. What waits for a stream that has ended stays in the queue
-until it would have left.
+Messages leave one after the other at a fixed rate. Messages for a stream that has ended stay in the queue
+until they would have left.
 """
 
 import json
@@ -13,8 +13,8 @@
 
 
 @dataclass
-class Waiting:
-    """A message that has not left the channel."""
+class QueuedMessage:
+    """A message in the channel's queue."""
 
     stream: Any
     nonce: int | None
@@ -23,7 +23,7 @@
 
 @dataclass
 class Channel:
-    """The queue of one instance."""
+    """The egress channel of one instance."""
 
     rate_per_s: float
     limit: float
@@ -33,15 +33,15 @@
     waiting: deque = field(default_factory=deque)
     queued: int = 0
     largest: int = 0
-    over_limit: list = field(default_factory=list)  # (time, entries that waited)
+    over_limit: list = field(default_factory=list)  # (time, queued entries)
     over_quota: list = field(default_factory=list)  # (time, stream)
     messages: int = 0
-    _times: dict = field(default_factory=dict)  # of messages, by stream
-    _partial: dict = field(default_factory=dict)  # entries of a message whose last part has not come
+    _times: dict = field(default_factory=dict)  # times of messages, by stream
+    _partial: dict = field(default_factory=dict)  # entries of a message whose last part is still missing
     _free_at_ns: int = 0
 
     def receive(self, stream, line, now):
-        """A line that the instance wrote on a stream."""
+        """Process a line that the instance wrote to a stream."""
         part = json.loads(line)
         if part.get("msg") != "push":
             return
@@ -52,7 +52,7 @@
         self.leave(now)
         if not self.waiting:
             self._free_at_ns = now
-        self.waiting.append(Waiting(stream, part.get("nonce_out"), entries + self.overhead))
+        self.waiting.append(QueuedMessage(stream, part.get("nonce_out"), entries + self.overhead))
         self.queued += entries + self.overhead
         self.messages += 1
         self.largest = max(self.largest, self.queued)
@@ -69,20 +69,20 @@
             self.over_quota.append((now, stream))
 
     def leave(self, now):
-        """Remove what has left by now; return the messages, in order."""
-        left = []
+        """Remove and return the messages that have left by now, in order."""
+        departed = []
         while self.waiting:
-            at = self._free_at_ns + int(self.waiting[0].entries / self.rate_per_s * S)
-            if at > now:
+            departure_ns = self._free_at_ns + int(self.waiting[0].entries / self.rate_per_s * S)
+            if departure_ns > now:
                 break
-            self._free_at_ns = at
+            self._free_at_ns = departure_ns
             message = self.waiting.popleft()
             self.queued -= message.entries
-            left.append(message)
-        return left
+            departed.append(message)
+        return departed
 
 
 def part_entries(part):
-    """The entries of one part of a message, as the protocol counts them."""
+    """Return the number of entries in one part of a message, as the protocol counts them."""
     lists = sum(len(part.get(name, ())) for name in ("endpoints", "eject", "restore"))
     return lists + bool(part.get("full")) + ("admit" in part) + ("nonce_out" in part)
--- a/tests/support/controller.py
+++ b/tests/support/controller.py
@@ -12,7 +12,7 @@
 
 
 class CrashingPolicy(Reconciler):
-    """The real policy, which crashes while `crashes` is set."""
+    """The real policy, which raises an exception while `crashes` is set."""
 
     crashes = False
 
@@ -23,7 +23,7 @@
 
 
 class InterferingPolicy(Reconciler):
-    """The real policy; `interference` issues more commands at the end of a round, past its own state."""
+    """The real policy; `interference` issues more commands after a round, without the policy's knowledge."""
 
     interference = None
 
@@ -35,12 +35,12 @@
 
 
 def record(endpoint, state="ready", started_ns=0):
-    """An endpoint record of zone east."""
+    """Return an endpoint record in zone east."""
     return EndpointRecord(endpoint, "east", "", 0, state, 1.0, started_ns)
 
 
 def list_change(*endpoints, scope="held", state="ready"):
-    """An endpoint list, or changes to it."""
+    """Return an endpoint list, or changes to it."""
     return EndpointListChange(scope, tuple(record(endpoint, state) for endpoint in endpoints), ())
 
 
@@ -65,18 +65,18 @@
 
 
 def log_events(outputs):
-    """All log events of these rounds."""
+    """Return all log events of these rounds."""
     return [event for output in outputs for event in output.log_events]
 
 
 def published_weights(controller, proxy="p"):
-    """Weights by endpoint that a proxy should hold, in all its tables."""
+    """Return the published weights by endpoint, over all tables of a proxy."""
     contents = controller.tables_of(proxy).contents.values()
     return {entry.endpoint: entry.weight for content in contents for entry in content.entries}
 
 
 def command(controller, policy, now, *commands):
-    """Run a round with these commands and one half a second later; return their pushes."""
+    """Run a round with these commands and another one half a second later; return the pushes of both."""
     policy.writes = list(commands)
     controller.runner.pending_events.append(TimerFired(0))
     return controller.run_round(now).pushes + controller.run_round(now + NS_PER_S // 2).pushes
--- a/tests/support/http2.py
+++ b/tests/support/http2.py
@@ -1,4 +1,4 @@
-"""An HTTP/2 connection without sockets, and headers of a gRPC call."""
+"""A pair of HTTP/2 connections without sockets, and the headers of a gRPC call."""
 
 from swiftchute.proxy.http2_connection import Http2Connection
 
@@ -13,7 +13,7 @@
 
 
 def connected_pair(max_message_bytes=2**20, max_streams=100):
-    """Client and server of an HTTP/2 connection past their prefaces; `exchange` moves what they sent."""
+    """Return client and server of a connection after the prefaces; `exchange` delivers their bytes."""
     client, server = (
         Http2Connection(True, max_message_bytes),
         Http2Connection(False, max_message_bytes, max_streams),
@@ -25,7 +25,7 @@
 
 
 def exchange(client, server, step=None):
-    """Move bytes until nothing is left to send; returns the events of both, fed in pieces of `step` bytes."""
+    """Deliver bytes in pieces of `step` until none are left; return the events of client and server."""
     received = ([], [])
     while True:
         moved = False
--- a/tests/support/platform.py
+++ b/tests/support/platform.py
@@ -1,4 +1,4 @@
-"""Stand-ins for what the platform's process talks to, and the process itself."""
+"""Fakes of the discovery service and of clients of a platform process, and the process itself."""
 
 import asyncio
 import json
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent.parent
-TIMEOUT_S = 20  # for what must come at all
+TIMEOUT_S = 20  # upper bound for events that must happen, however slowly
 MEMBERS = [
     {"id": f"{zone[0]}{k}", "host_port": f"10.0.0.{k}:80", "locality": zone, "flavor": "m", "cell": 0,
      "phase": "Ready", "size": 1.0, "up_since_ms": 0}
@@ -19,14 +19,14 @@
 
 
 def free_port():
-    """A port of the loopback address that nobody listens at."""
+    """Return an unused port of the loopback address."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return probe.getsockname()[1]
 
 
 def wire_settings(proxies=200):
-    """The `settings` object of a configuration file."""
+    """Return the `settings` object of a configuration file."""
     classes = [{"name": n, "slo_us": 10**6, "deadline_us": 4 * 10**6, "credit": 1.0, "semantics": "free"}
                for n in ("read", "write")]  # fmt: skip
     return {
@@ -45,7 +45,7 @@
 
 
 def wire_configuration(listen_port, discovery, /, **changes):
-    """The object that a configuration file holds."""
+    """Return the content of a configuration file."""
     return {
         "name": "n0", "listen": f"127.0.0.1:{listen_port}", "discovery": discovery,
         "seed": "8c1f30d27a5be964",
@@ -55,7 +55,7 @@
 
 
 class Discovery:
-    """A stand-in for the discovery agent of the machine: lines are written to every watch."""
+    """A fake of the machine's discovery agent: `send` writes a line to every open watch."""
 
     def __init__(self):
         self.targets, self.writers, self.came = [], [], asyncio.Event()
@@ -73,7 +73,7 @@
         self.came.set()
 
     def send(self, revision, *members):
-        """Write a line with changes."""
+        """Write a line with changes to every watch."""
         data = json.dumps({"revision": revision, "complete": False, "members": members}).encode() + b"\n"
         for writer in self.writers:
             writer.write(b"%x\r\n%s\r\n" % (len(data), data))
@@ -84,7 +84,7 @@
             await self.came.wait()
 
     def break_all(self):
-        """Reset all watches."""
+        """Reset the connections of all watches."""
         self.came.clear()
         for writer in self.writers:
             writer.transport.abort()
@@ -92,7 +92,7 @@
 
 
 class Client:
-    """A connection at the platform's address."""
+    """A client connection to the platform process."""
 
     async def open(self, port, *messages):
         self.reader, self.writer = await asyncio.open_connection("127.0.0.1", port)
@@ -108,13 +108,13 @@
             self.writer.write(json.dumps(message).encode() + b"\n")
 
     async def receive(self):
-        """The next message; None at the end of the connection."""
+        """Return the next message, or None at the end of the connection."""
         async with asyncio.timeout(TIMEOUT_S):
             line = await self.reader.readline()
         return json.loads(line) if line else None
 
     async def receive_table(self):
-        """The next full table."""
+        """Return the next full table."""
         while True:
             message = await self.receive()
             assert message is not None
@@ -123,12 +123,12 @@
                 return message
 
     async def receive_removal(self, endpoint):
-        """Wait for the message that takes an endpoint out of the table."""
+        """Wait for the message that removes an endpoint from the table."""
         while [endpoint, 0] not in (await self.receive()).get("endpoints", []):
             pass
 
     async def wait_closed(self, data=b""):
-        """Wait for the end of the connection, writing this over and over."""
+        """Wait for the end of the connection; meanwhile write `data` repeatedly, if any is given."""
         async with asyncio.timeout(TIMEOUT_S):
             try:
                 while data or await self.reader.readline():
@@ -140,7 +140,7 @@
 
 
 class PlatformProcess:
-    """`python -m swiftchute.platform`, with its log; `prelude` is code that runs before it."""
+    """A `python -m swiftchute.platform` process and its log; `prelude` is code to run before the module."""
 
     def __init__(self, tmp_path, discovery, /, prelude=None, **changes):
         self.port = free_port()
@@ -161,7 +161,7 @@
         self.file.write_text(json.dumps(self.configuration))
 
     async def event(self, name):
-        """The next log line of an event."""
+        """Return the next log line with this event."""
         while True:
             line = await asyncio.to_thread(self.process.stderr.readline)
             assert line, "the process ended"
--- a/tests/support/policy.py
+++ b/tests/support/policy.py
@@ -1,4 +1,4 @@
-"""A policy that a test runs round by round, with fakes of what surrounds it."""
+"""A harness that runs a policy round by round, with fakes of its environment."""
 
 from swiftchute.api.endpoints import EndpointRecord, ListScope
 from swiftchute.api.events import (
@@ -13,12 +13,12 @@
 from swiftchute.policy.units import NS_PER_S
 from tests.support.settings import DEFAULTS, operation
 
-# Load reports of half a second by endpoint: attempts, failures, mean latency in seconds.
+# Load reports over half a second, by endpoint: attempts, failures, mean latency in seconds.
 CALM = dict.fromkeys(("e0", "e1", "e2", "e3", "w0", "w1", "w2", "w3"), (5, 0, 0.1))
 
 
 class RecordedCommands:
-    """A command sink that remembers each command as (verb, arguments), in order."""
+    """A command writer that records each command as (verb, arguments), in order."""
 
     def __init__(self):
         self.all = []
@@ -32,7 +32,7 @@
 
 
 def list_changes(records):
-    """Return an endpoint list update that names only endpoints that changed."""
+    """Return an endpoint list update with changed endpoints only."""
     return EndpointListUpdate(ListScope.DELTA, records)
 
 
@@ -42,7 +42,7 @@
 
 
 class PolicyHarness:
-    """A reconciler and a clock; the zones are east, with endpoints e0, e1 ..., and west, with w0, w1 ..."""
+    """A reconciler and a clock, for zone east with endpoints e0, e1 ... and zone west with w0, w1 ..."""
 
     def __init__(self, **fields):
         fields.setdefault("operations", (operation("read"), operation("write")))
@@ -50,29 +50,29 @@
         self.state, self.budget = self.reconciler.state, self.reconciler.budget
 
     def run_round(self, *events, wait_s=0.0):
-        """Let time pass, and play one round; returns its commands."""
+        """Advance the clock by `wait_s` and run one round; return its commands."""
         self.now += int(wait_s * NS_PER_S)
         commands = RecordedCommands()
         self.reconciler.reconcile(self.now, list(events), commands)
         return commands
 
     def endpoint(self, name, zone="east", state="ready", age_s=None, weight=1.0):
-        """Return the record of an endpoint; without an age its start is unknown."""
+        """Return an endpoint record; without `age_s` its start time is unknown."""
         started_ns = 0 if age_s is None else self.now - int(age_s * NS_PER_S)
         return EndpointRecord(name, zone, "kind", 0, state, weight, started_ns)
 
     def start(self, east=4, west=4, proxies=("east", "west")):
-        """List endpoints, connect proxies, and let the first push and assignments go out."""
+        """List endpoints, connect proxies and run the first round, which assigns and pushes tables."""
         records = [self.endpoint(f"e{k}") for k in range(east)]
         records += [self.endpoint(f"w{k}", "west") for k in range(west)]
         connects = [ProxyConnected(number, zone, 10.0, True) for number, zone in enumerate(proxies)]
         return self.run_round(EndpointListUpdate(ListScope.CACHED, records), *connects)
 
     def run(self, seconds, reports=None, step_s=0.5, requests=0, acknowledge=True):
-        """Play a round each half second.
+        """Run a round every `step_s` seconds; return all commands.
 
-        `reports` maps endpoints to load reports by the proxies of their own zone, as `CALM` does; `requests`
-        reach each proxy in each round.
+        `reports` maps endpoints to the load reports that proxies of their own zone send each round, as in
+        `CALM`; `requests` is the number of requests that each proxy reports per round.
         """
         commands = RecordedCommands()
         for _ in range(int(seconds / step_s)):
@@ -99,19 +99,19 @@
 
 
 class SlowChannel:
-    """A channel of so many entries per second.
+    """A channel that sends `entries_per_s` entries per second.
 
-    A message is acknowledged once it and all before it have left the channel.
+    A message is acknowledged once it and all earlier messages have left the channel.
     """
 
     def __init__(self, harness, entries_per_s):
         self.harness, self.entries_per_s = harness, entries_per_s
-        self.queue = []  # proxy, nonce, entries and time of the messages that wait
-        self.seen = set()  # proxy and nonce of all messages
+        self.queue = []  # proxy, nonce, entries and send time of the queued messages
+        self.seen = set()  # proxy and nonce of every message so far
         self.capacity_entries = 0.0
 
     def run_round(self, *events, wait_s):
-        """Play a round, with acknowledgements of what has left the channel; returns its commands."""
+        """Run a round with acknowledgements of the messages that left the channel; return its commands."""
         self.capacity_entries += wait_s * self.entries_per_s
         acknowledgements = []
         while self.queue and self.queue[0][2] <= self.capacity_entries:
--- a/tests/support/proxy.py
+++ b/tests/support/proxy.py
@@ -1,4 +1,4 @@
-"""A proxy on real sockets between a gRPC caller and endpoints, some of them faulty."""
+"""A proxy on real sockets between a gRPC client and servers, some of them faulty."""
 
 import asyncio
 
@@ -24,7 +24,7 @@
 
 
 class Fault:
-    """One way to fail, shared by the connections of a server; `requests` counts those it received."""
+    """The fault of a server, shared by its connections; `requests` counts the requests it received."""
 
     def __init__(self, action):
         self.action = action
@@ -32,7 +32,7 @@
 
 
 class FaultyServer(asyncio.Protocol):
-    """A connection of a server that speaks HTTP/2 and answers each request by a fault's action."""
+    """A connection of an HTTP/2 server that handles each request with the action of its fault."""
 
     def __init__(self, fault):
         self.fault = fault
@@ -52,7 +52,7 @@
 
 
 class SilentServer(asyncio.Protocol):
-    """A connection of a server that says that it speaks HTTP/2, and reads and answers nothing."""
+    """A connection of a server that sends the HTTP/2 preface, then neither reads nor responds."""
 
     def connection_made(self, transport):
         framing = Http2Connection(False, 2**20)
@@ -77,14 +77,14 @@
 
 
 def send_goaway(server, request):
-    """GOAWAY that names an earlier stream: this one never ran."""
+    """Send a GOAWAY that names an earlier stream, so the request's stream was not processed."""
     last_stream_id = max(request.stream_id - 2, 0)
     frame = (8).to_bytes(3, "big") + b"\x07\0" + bytes(4) + last_stream_id.to_bytes(4, "big") + bytes(4)
     server.transport.write(server.framing.data_to_send() + frame)
 
 
 async def start_faulty_server(action):
-    """A server that fails by `action`; returns the fault, the server and its address."""
+    """Start a server that handles requests with `action`; return its fault, the server and its address."""
     fault = Fault(action)
     loop = asyncio.get_running_loop()
     server = await loop.create_server(lambda: FaultyServer(fault), "127.0.0.1", 0)
@@ -92,7 +92,7 @@
 
 
 class ProxyUnderTest:
-    """A proxy with tables that a test writes, and a gRPC channel to it."""
+    """A proxy with the tables that a test specifies, and a gRPC channel to it."""
 
     def __init__(
         self,
@@ -135,12 +135,12 @@
         await self.server.stop()
 
     async def call(self, operation="read", body=b"inv|0|g", timeout=2.0):
-        """The status of one call by its channel, or "ok"."""
+        """Call through its channel; return the status, or "ok"."""
         return await call(self.channel, operation, body, timeout)
 
 
 async def call(channel, operation="read", body=b"inv|0|g", timeout=2.0):
-    """The status of one call by a channel, or "ok"."""
+    """Call through a channel; return the status, or "ok"."""
     try:
         async with channel.request(
             SERVICE + operation, Cardinality.UNARY_UNARY, bytes, bytes, timeout=timeout
@@ -165,7 +165,7 @@
 
 
 def executed(backend, operation=None):
-    """How many requests a backend executed, of one operation or of all."""
+    """Return how many requests a backend executed, of one operation or of all."""
     return sum(
         receipt.event is BackendEvent.STARTED and operation in (None, receipt.operation)
         for receipt in backend.receipts
--- a/tests/support/safety.py
+++ b/tests/support/safety.py
@@ -1,4 +1,4 @@
-"""Endpoint statuses, proposals and settings of tests about safety."""
+"""Endpoint statuses, proposals and settings for tests of the safety rules."""
 
 from swiftchute.api.settings import Settings
 from swiftchute.safety.proposal import EndpointStatus, Observations, Proposal, Rule, SafetyRules
@@ -7,7 +7,7 @@
 
 S = 1_000_000_000
 NOW = 1000 * S
-# 16 s to warm up, 2.5 times the full rate at most
+# warm-up takes 16 s; the overload limit is 2.5 times the full rate
 SETTINGS = Settings(**(DEFAULTS | {"operations": (operation("read"), operation("write"))}))
 ZONES = ("east", "west")
 
@@ -23,7 +23,7 @@
 
 
 def validate(proposed, statuses, before=None, full=None, now=NOW, known=None, **rules):
-    """Validate tables; every endpoint's kind is its zone, and answers 10 requests a second at most."""
+    """Validate tables; an endpoint's kind is its zone, and it answers at most 10 requests per second."""
     validator = Validator(SETTINGS, SafetyRules(**{"slow_start_fraction": 1.0} | rules))
     full = {"east": 10.0, "west": 10.0} if full is None else full
     return validator.validate(proposed, before or {}, statuses, Observations(full, **known or {}), now)
--- a/tests/support/sessions.py
+++ b/tests/support/sessions.py
@@ -1,4 +1,4 @@
-"""A session manager without sockets, and messages of its clients."""
+"""A session manager without sockets, and the messages of its clients."""
 
 import json
 
@@ -28,12 +28,14 @@
 
 
 class World:
-    """A session manager whose policy does what the test says, and a clock."""
+    """A session manager with a scripted policy, and a clock."""
 
-    def __init__(self, sockets=1024, **facts):
+    def __init__(self, sockets=1024, **fields):
         self.policy, self.now = ScriptedPolicy(), 1000 * S
-        facts = DEFAULTS | {"operations": (operation("read"), operation("write")), "proxy_count": 400} | facts
-        runner = PolicyRunner(Settings(**facts), 7, lambda settings, seed: self.policy, self.now)
+        fields = (
+            DEFAULTS | {"operations": (operation("read"), operation("write")), "proxy_count": 400} | fields
+        )
+        runner = PolicyRunner(Settings(**fields), 7, lambda settings, seed: self.policy, self.now)
         self.manager = SessionManager(runner, sockets)
         self.manager.update_list("held", [EndpointRecord(s, "east", "", 0, "ready", 1.0, 0) for s in "abc"])
 
@@ -47,7 +49,7 @@
         session.receive_data(message if isinstance(message, bytes) else text(message), self.now)
 
     def events(self, kind):
-        """The fields of each event of a kind that waits for the next round."""
+        """Return the fields of each pending event of a type."""
         return [astuple(event) for event in self.manager.runner.pending_events if isinstance(event, kind)]
 
     def round(self, *writes, wait=0.0):
@@ -57,7 +59,7 @@
         return [(session, data) for session, data in self.manager.run_round(self.now)]
 
     def assigned(self, *proxies):
-        """Joined proxies on a table of a and b, which have answered for it."""
+        """Connect proxies, assign them a table of a and b, and acknowledge it; return the sessions."""
         sessions = [self.open(HELLO | {"proxy": p}) for p in proxies]
         self.round(
             ("set_weight", 1, "a", 1.0),
--- a/tests/support/settings.py
+++ b/tests/support/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a small deployment, for tests to vary."""
+"""Default settings of a small deployment, which tests override."""
 
 from swiftchute.api.settings import Operation
 from swiftchute.policy.units import NS_PER_S
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,4 @@
-"""Imports go down only and form no circle, as docs/architecture.md says."""
+"""Imports point to lower layers only and form no cycle, as docs/architecture.md requires."""
 
 import ast
 import re
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-# From the lowest layer up: a package imports only packages that stand before it.
+# From the lowest layer up: a package imports only packages listed before it.
 LAYERS = (
     "api", "policy", "discovery", "safety", "versions", "controller", "simulator", "xds", "dns", "proxy",
     "admin",
@@ -27,15 +27,15 @@
 
 
 def import_graph():
-    """Each module of the program with the modules that it imports."""
+    """Return the modules of the program, each with the modules that it imports."""
     paths = {module_name(path): path for path in (ROOT / "swiftchute").rglob("*.py")}
     graph = {}
     for module, path in paths.items():
-        found = (
+        imported_modules = (
             f"{parent}.{name}" if f"{parent}.{name}" in paths else parent
             for parent, name in imported_names(path)
         )
-        graph[module] = set(found) - {module}
+        graph[module] = set(imported_modules) - {module}
     return graph
 
 
@@ -43,10 +43,10 @@
     return module.split(".")[1] if "." in module else ""
 
 
-def test_imports_form_no_circle():
+def test_imports_form_no_cycle():
     graph = import_graph()
     assert len(graph) > 100
-    TopologicalSorter(graph).prepare()  # raises CycleError with the circle
+    TopologicalSorter(graph).prepare()  # raises CycleError with the cycle
 
 
 def test_packages_import_only_lower_layers():
@@ -60,12 +60,12 @@
     assert upward == []
 
 
-def test_wall_time_is_read_only_where_the_page_on_clocks_says_so():
-    page = (ROOT / "docs" / "design" / "time.md").read_text()
+def test_wall_clock_is_read_only_in_modules_listed_in_the_page_on_time():
+    documentation = (ROOT / "docs" / "design" / "time.md").read_text()
     readers = [
         path.relative_to(ROOT / "swiftchute").as_posix()
         for path in (ROOT / "swiftchute").rglob("*.py")
         if re.search(r"\btime\.time(_ns)?\(|\bdatetime\.(now|utcnow|today)\b", path.read_text())
     ]
     assert len(readers) > 3
-    assert [reader for reader in readers if reader not in page] == []
+    assert [reader for reader in readers if reader not in documentation] == []
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt: named tests are expected to fail, and nothing else is let off."""
+"""KNOWN-RED.txt: listed tests are expected to fail, and no other failure is tolerated."""
 
 import pytest
 
@@ -21,8 +21,8 @@
 
 
 @pytest.fixture
-def outcomes(pytester):
-    """Run the tests above with these lines; what came of them, and what was printed."""
+def run_with_entries(pytester):
+    """Run the tests above with these lines in KNOWN-RED.txt; return the exit code and the output."""
 
     def run(lines):
         pytester.makepyfile(test_some=TESTS)
@@ -34,26 +34,26 @@
     return run
 
 
-def test_a_named_test_fails_as_expected_and_is_printed(outcomes):
-    code, said = outcomes("test_some.py::test_red, it asks for the moon, issue 1\n")
-    assert code == 1  # of test_many[1], which nobody named
-    assert "1 failed, 2 passed, 1 xfailed" in said
-    assert "known red: it asks for the moon (issue 1)" in said
+def test_a_listed_test_fails_as_expected_and_is_printed(run_with_entries):
+    code, output = run_with_entries("test_some.py::test_red, it asks for the moon, issue 1\n")
+    assert code == 1  # because of test_many[1], which is not listed
+    assert "1 failed, 2 passed, 1 xfailed" in output
+    assert "known red: it asks for the moon (issue 1)" in output
 
 
-def test_a_named_test_that_passes_fails(outcomes):
-    code, said = outcomes("test_some.py::test_green, none, issue 1\n")
+def test_a_listed_test_that_passes_counts_as_failed(run_with_entries):
+    code, output = run_with_entries("test_some.py::test_green, none, issue 1\n")
     assert code == 1
-    assert "[XPASS(strict)] known red: none (issue 1)" in said
-    code, said = outcomes("test_some.py::test_many, one of two passes, issue 1\n")
+    assert "[XPASS(strict)] known red: none (issue 1)" in output
+    code, output = run_with_entries("test_some.py::test_many, one of two passes, issue 1\n")
     assert code == 1
-    assert "[XPASS(strict)]" in said
+    assert "[XPASS(strict)]" in output
 
 
-def test_a_flaky_test_may_pass_or_fail_and_another_name_is_not_let_off(outcomes):
-    code, said = outcomes("test_some.py::test_many, flaky: one of two, issue 1\n")
-    assert code == 1  # of test_red, which nobody named
-    assert "1 failed, 1 passed, 1 xfailed, 1 xpassed" in said
+def test_a_flaky_test_may_pass_or_fail_and_an_unlisted_failure_still_counts(run_with_entries):
+    code, output = run_with_entries("test_some.py::test_many, flaky: one of two, issue 1\n")
+    assert code == 1  # because of test_red, which is not listed
+    assert "1 failed, 1 passed, 1 xfailed, 1 xpassed" in output
 
 
 @pytest.mark.parametrize("lines, cause", [
@@ -62,11 +62,11 @@
     ("test_red, cause, issue 1\n", "is not 'test, cause, issue'"),
     ("test_some.py::test_none, cause, issue 1\n", "test_some.py::test_none: no such test"),
 ])  # fmt: skip
-def test_a_fourth_line_or_one_that_names_nothing_is_refused(outcomes, lines, cause):
-    code, said = outcomes(lines)
+def test_a_fourth_line_or_an_invalid_line_is_an_error(run_with_entries, lines, cause):
+    code, output = run_with_entries(lines)
     assert code != 0
-    assert cause in said
+    assert cause in output
 
 
-def test_the_file_of_this_repository_can_be_used():
-    assert len(known_red.entries(known_red.text())) <= known_red.MOST
+def test_the_file_of_this_repository_is_valid():
+    assert len(known_red.entries(known_red.text())) <= known_red.MAX_ENTRIES
