--- a/tests/dns/test_frontend.py
+++ b/tests/dns/test_frontend.py
@@ -22,7 +22,7 @@
 from swiftchute.api.endpoints import EndpointRecord
 from swiftchute.api.events import ProxyConnected, ProxyDisconnected, PushAcknowledged, TimerFired
 from swiftchute.api.settings import Settings
-from swiftchute.config.schema import PLANNER_BLOCKS
+from swiftchute.config.schema import INSTANCE_BLOCKS
 from swiftchute.controller.controller import Controller
 from swiftchute.controller.table_contents import TableEntry
 from swiftchute.discovery.endpoint_list import EndpointListChange
@@ -41,7 +41,7 @@
 from swiftchute.safety.proposal import SafetyRules
 from swiftchute.xds.errors import ProtocolViolationError
 from swiftchute.xds.messages import ProxyNode
-from tests.conftest import FACTS, ScriptedPolicy, operation
+from tests.conftest import DEFAULTS, ScriptedPolicy, operation
 
 NS_PER_S = 1_000_000_000
 NOW_NS = 1000 * NS_PER_S
@@ -397,7 +397,7 @@
 # -- with a controller
 
 
-DNS_BLOCK = {key: field.default for key, field in PLANNER_BLOCKS["dns"].items()} | {
+DNS_BLOCK = {key: field.default for key, field in INSTANCE_BLOCKS["dns"].items()} | {
     "origin": ORIGIN, "responses": 0, "secondaries": (("east", ("127.0.0.1", 5400)),),
 }  # fmt: skip
 
@@ -409,7 +409,7 @@
         self.policy, self.now_ns = ScriptedPolicy(), NOW_NS
         values = {"operations": (operation("read"), operation("write")), "drain_grace_ns": 4 * NS_PER_S}
         values |= {"egress_rate_entries_per_s": 1e6, "egress_queue_limit_entries": 1e6, "message_quota": 0}
-        settings = Settings(**(FACTS | values))
+        settings = Settings(**(DEFAULTS | values))
         self.controller = Controller(settings, 7, lambda settings, seed: self.policy, NOW_NS, SafetyRules())
         self.frontend = DnsFrontend(
             self.controller, settings, DnsSettings.from_block(DNS_BLOCK | dns_values), 7
