--- a/swiftchute/platform/round_schedule.py
+++ b/swiftchute/platform/round_schedule.py
@@ -18,6 +18,6 @@
         """Return the time in nanoseconds that a round requested now must wait."""
         return max(self._last_round_ns + MIN_ROUND_INTERVAL_NS - now_ns, 0)
 
-    def wait_without_request_ns(self, due_ns: int, now_ns: int) -> int:
+    def wait_for_idle_round_ns(self, due_ns: int, now_ns: int) -> int:
         """Return the time in nanoseconds until a round due at `due_ns` that nothing has requested."""
         return max(due_ns - now_ns, MIN_ROUND_INTERVAL_NS)
--- a/swiftchute/platform/server.py
+++ b/swiftchute/platform/server.py
@@ -215,7 +215,7 @@
     def _schedule_idle_round(self) -> None:
         if self._idle_round is not None:
             self._idle_round.cancel()
-        wait_ns = self._schedule.wait_without_request_ns(self.sessions.next_round_at_ns, self.clock())
+        wait_ns = self._schedule.wait_for_idle_round_ns(self.sessions.next_round_at_ns, self.clock())
         self._idle_round = self.event_loop.call_later(wait_ns / NS_PER_S, self._request_round)
 
     def _check_timeouts(self) -> None:
--- a/tests/platform/test_round_schedule.py
+++ b/tests/platform/test_round_schedule.py
@@ -16,5 +16,5 @@
 
 def test_a_round_without_a_request_waits_until_it_is_due_and_at_least_the_interval():
     schedule = RoundSchedule()
-    assert schedule.wait_without_request_ns(NOW + 10**9, NOW) == 10**9
-    assert schedule.wait_without_request_ns(NOW - 10**9, NOW) == MIN_ROUND_INTERVAL_NS
+    assert schedule.wait_for_idle_round_ns(NOW + 10**9, NOW) == 10**9
+    assert schedule.wait_for_idle_round_ns(NOW - 10**9, NOW) == MIN_ROUND_INTERVAL_NS
