--- a/swiftchute/proxy/connection_pool.py
+++ b/swiftchute/proxy/connection_pool.py
@@ -25,7 +25,7 @@
 
     DIAL = "dial"  # open a connection and wait for it
     WAIT = "wait"
-    FULL = "full"  # the limit of waiting requests is reached
+    TOO_MANY_WAITING = "full"  # the limit of waiting requests is reached
 
 
 @dataclass(eq=False)
@@ -78,7 +78,7 @@
         if best is not None and best.available_streams > 0:
             return best
         if self.waiting >= self.limits.max_waiting:
-            return PoolDecision.FULL
+            return PoolDecision.TOO_MANY_WAITING
         if not self.dialing and len(self.connections) < self.limits.max_connections:
             return PoolDecision.DIAL
         return PoolDecision.WAIT
--- a/swiftchute/proxy/upstream.py
+++ b/swiftchute/proxy/upstream.py
@@ -14,7 +14,7 @@
 class NoConnection(Enum):
     """Why no connection could be acquired."""
 
-    FULL = auto()  # the limit of waiting requests is reached
+    TOO_MANY_WAITING = auto()  # the limit of waiting requests is reached
     TIMED_OUT = auto()
     UNREACHABLE = auto()
 
@@ -56,8 +56,8 @@
             decision = self.pool.select()
             if isinstance(decision, PooledConnection):
                 return decision
-            if decision is PoolDecision.FULL:
-                return NoConnection.FULL
+            if decision is PoolDecision.TOO_MANY_WAITING:
+                return NoConnection.TOO_MANY_WAITING
             if decision is PoolDecision.DIAL:
                 self.pool.dialing += 1
                 self._dial_task = asyncio.ensure_future(self._dial())
--- a/tests/proxy/test_connection_pool.py
+++ b/tests/proxy/test_connection_pool.py
@@ -43,7 +43,7 @@
         pool.request_started(connection, NOW)
     assert pool.select() is PoolDecision.WAIT
     pool.waiting = 3
-    assert pool.select() is PoolDecision.FULL
+    assert pool.select() is PoolDecision.TOO_MANY_WAITING
 
 
 def test_idle_and_closing_connections_are_listed():
