--- a/swiftchute/controller/canary_rollout.py
+++ b/swiftchute/controller/canary_rollout.py
@@ -10,7 +10,7 @@
 from swiftchute.controller.endpoint_directory import EndpointDirectory
 from swiftchute.controller.load_aggregation import LoadReport
 from swiftchute.controller.policy_runner import PolicyRunner
-from swiftchute.controller.table_contents import TableContent, encode_table, sorted_entries
+from swiftchute.controller.table_contents import TableContent, make_stored_table, sorted_entries
 from swiftchute.controller.version_control import Republish, VersionControl
 from swiftchute.controller.version_state import VersionState
 from swiftchute.safety.observed_traffic import ObservedTraffic
@@ -145,7 +145,7 @@
             self.baselines.pop(number, None)
             return
         entries = sorted_entries(weights, self.directory)
-        table = encode_table(entries, new.admission, self.runner)
+        table = make_stored_table(entries, new.admission, self.runner)
         self.history.record(f"{name}/rest", table, self.runner.last_round_ns, ChangeCause.CANARY)
         self.baselines[number] = TableContent(entries, new.admission, encoding.version_of(table))
 
--- a/swiftchute/controller/table_contents.py
+++ b/swiftchute/controller/table_contents.py
@@ -63,7 +63,7 @@
     )
 
 
-def encode_table(
+def make_stored_table(
     entries: tuple[TableEntry, ...], admission: tuple[Admission, ...], runner: PolicyRunner
 ) -> encoding.Table:
     """Return a table in the form stored in the version history."""
@@ -108,7 +108,7 @@
             return old
         weights, admission = self._published(number)
         entries = sorted_entries(weights, self.directory)
-        version = self._record_version(number, encode_table(entries, admission, self.runner))
+        version = self._record_version(number, make_stored_table(entries, admission, self.runner))
         content = TableContent(entries, admission, version)
         self._contents[number] = (revision, content)
         self.canaries.on_content_changed(number, old, content)
