--- a/swiftchute/dns/secondaries.py
+++ b/swiftchute/dns/secondaries.py
@@ -5,10 +5,11 @@
     secondaries.on_serial_changed(serial, now_ns)
     secondaries.due_notifies(now_ns)               # the NOTIFY messages to send now
     secondaries.on_serial_seen("north", "127.0.0.1", serial, newest_serial, now_ns)
-    secondaries.obsolete_at_ns()                   # from when on no older serial is in use
+    secondaries.obsolete_at_ns()                   # when all older serials are out of use
 
-NOTIFY follows RFC 1996. A secondary that does not transfer a change serves the old zone until that expires;
-the change is not acknowledged before.
+NOTIFY follows RFC 1996. A view is the DNS zone as clients of one availability zone see it. A secondary that
+does not transfer a change serves the old content until that expires; the frontend does not acknowledge the
+change to the controller before.
 """
 
 import random
@@ -30,9 +31,9 @@
 MAX_NOTIFY_ATTEMPTS = 5  # per serial and secondary
 FIRST_RETRY_NS = NS_PER_S // 2  # the interval doubles with each attempt
 RETRY_JITTER = (0.75, 1.25)  # range of the random factor of each interval
-_NO_MESSAGE_ID = -1
-_NOTIFY_REPLY_BITS = 0xA0  # QR and opcode NOTIFY in the third byte of the header
-_REPLY_BITS_MASK = 0xF8
+_NO_MESSAGE_ID = -1  # no reply has it: message ids are not negative
+_NOTIFY_REPLY_BITS = 0xA0  # third byte of the header with QR 1 (a reply) and opcode 4 (NOTIFY)
+_REPLY_BITS_MASK = 0xF8  # QR and opcode in that byte
 
 
 @dataclass(frozen=True, slots=True)
@@ -70,7 +71,7 @@
     """The configured secondaries of each view; no other host may transfer a zone.
 
     Attributes:
-        unanswered_notifies: Number of times that a secondary answered no NOTIFY for a serial.
+        unanswered_notifies: How often a secondary left all NOTIFY messages for a serial unanswered.
     """
 
     def __init__(
@@ -95,17 +96,17 @@
         self._expire_ns = expire_ns
         self._ttl_ns = ttl_ns
         self._random = random.Random(seed)
-        self._secondaries_by_source: dict[tuple[str, str], list[_Secondary]] = {}  # by view and host
+        self._secondaries_by_host: dict[tuple[str, str], list[_Secondary]] = {}  # by view and host
         for view, address in configured:
-            self._secondaries_by_source.setdefault((view, address[0]), []).append(_Secondary(address))
+            self._secondaries_by_host.setdefault((view, address[0]), []).append(_Secondary(address))
 
     def may_transfer(self, view: str, host: str) -> bool:
         """Return whether a host may transfer a view."""
-        return (view, host) in self._secondaries_by_source
+        return (view, host) in self._secondaries_by_host
 
     def on_serial_changed(self, serial: int, now_ns: int) -> None:
         """Notify all secondaries of a new serial."""
-        for secondaries in self._secondaries_by_source.values():
+        for secondaries in self._secondaries_by_host.values():
             for secondary in secondaries:
                 secondary.attempts = 0
                 secondary.notify_due_ns = now_ns
@@ -113,17 +114,17 @@
                     secondary.outdated_since_ns = now_ns
 
     def on_serial_seen(self, view: str, host: str, serial: int, newest_serial: int, now_ns: int) -> None:
-        """Record that a secondary of a view holds a serial, because it was sent it or asked with it."""
-        for secondary in self._secondaries_by_source.get((view, host), ()):
+        """Record that a secondary of a view holds a serial, after a transfer or a query that named it."""
+        for secondary in self._secondaries_by_host.get((view, host), ()):
             secondary.serial = serial
             secondary.serial_seen_at_ns = now_ns
             if serial == newest_serial:
                 secondary.outdated_since_ns = secondary.notify_due_ns = None
 
     def obsolete_at_ns(self) -> int:
-        """Return from when on no secondary or resolver behind one uses a serial before the newest."""
+        """Return when all secondaries and the resolvers behind them have stopped using older serials."""
         latest_ns = 0
-        for secondaries in self._secondaries_by_source.values():
+        for secondaries in self._secondaries_by_host.values():
             for secondary in secondaries:
                 if secondary.serial_seen_at_ns is None:
                     continue  # it has not transferred a zone from this incarnation
@@ -139,7 +140,7 @@
     def due_notifies(self, now_ns: int) -> list[Notify]:
         """Return the NOTIFY messages to send now, at most `MAX_NOTIFY_ATTEMPTS` per serial and secondary."""
         notifies = []
-        for secondaries in self._secondaries_by_source.values():
+        for secondaries in self._secondaries_by_host.values():
             for secondary in secondaries:
                 if secondary.notify_due_ns is None or now_ns < secondary.notify_due_ns:
                     continue
@@ -162,11 +163,14 @@
         return message.to_wire()
 
     def on_notify_reply(self, host: str, data: bytes) -> None:
-        """Handle a datagram received on the socket that sends NOTIFY messages; a reply ends the attempts."""
+        """Handle a datagram received on the socket that sends NOTIFY messages.
+
+        A reply to the latest NOTIFY ends the attempts, whatever its RCODE.
+        """
         if len(data) < HEADER_BYTES or data[2] & _REPLY_BITS_MASK != _NOTIFY_REPLY_BITS:
             return
         message_id = int.from_bytes(data[:2], "big")
-        for (_, secondary_host), secondaries in self._secondaries_by_source.items():
+        for (_, secondary_host), secondaries in self._secondaries_by_host.items():
             for secondary in secondaries:
                 if secondary_host == host and secondary.message_id == message_id:
                     secondary.notify_due_ns = None
@@ -177,7 +181,7 @@
         return min(
             (
                 secondary.notify_due_ns
-                for secondaries in self._secondaries_by_source.values()
+                for secondaries in self._secondaries_by_host.values()
                 for secondary in secondaries
                 if secondary.notify_due_ns is not None
             ),
--- a/swiftchute/policy/load_stats.py
+++ b/swiftchute/policy/load_stats.py
@@ -10,13 +10,13 @@
 from swiftchute.policy.state import PolicyState
 from swiftchute.policy.units import NS_PER_MS, NS_PER_S
 
-MAX_SAMPLE_AGE_NS = 2500 * NS_PER_MS  # how long a report stays valid after the next one is due
-MAX_LOAD_RATIO_SAMPLE_AGE_NS = 1 * NS_PER_S  # the same for zone load ratios: admission needs fresh reports
-MIN_ATTEMPTS = 6  # statistics of an endpoint or zone over fewer attempts are mostly noise
+MAX_SAMPLE_AGE_NS = 2500 * NS_PER_MS  # how long a load report stays valid after the next one is due
+MAX_LOAD_RATIO_SAMPLE_AGE_NS = 1 * NS_PER_S  # less for zone load ratios: admission needs fresh reports
+MIN_ATTEMPTS = 6  # fewer, at one endpoint or at all those of a zone load ratio together, are mostly noise
 MIN_COST_NS = 1.0  # avoids division by zero: collectors may round a mean latency down to 0
-MIN_SUCCESSES = 0.1  # avoids division by zero where no attempt succeeded
-NORMAL_LOAD_RATIO = 0.35  # latency / objective below which a zone is not overloaded
-SEVERE_LOAD_RATIO = 1.0  # latency / objective above which most requests of a zone miss the objective
+MIN_SUCCESSES = 0.1  # avoids division by zero; without a success, each failure costs 10 latency objectives
+NORMAL_LOAD_RATIO = 0.35  # cost per success / latency objective below which a zone is not overloaded
+SEVERE_LOAD_RATIO = 1.0  # cost per success / latency objective above which most requests of a zone miss it
 
 
 class RecentStats(NamedTuple):
@@ -30,7 +30,8 @@
 def record_load_report(state: PolicyState, report: EndpointLoadReport) -> None:
     """Store a load report of a known endpoint.
 
-    In large fleets proxies report in turn, so a report is current until the next one is due, a window later.
+    In large fleets proxies report in turn, so a report is current until the next one is due, one `window_ns`
+    later.
     """
     endpoint = state.endpoints.get(report.endpoint)
     if endpoint is not None:
@@ -55,18 +56,21 @@
 
 
 def request_rate(proxy: Proxy) -> float:
-    """Return the requests per second at a proxy; before the first report, the rate that it announced."""
+    """Return the requests per second at a proxy: the mean over its kept reports, summed over operations.
+
+    Demand reports do not expire here. Before the first one, it is the rate that the proxy announced.
+    """
     rates = [
         sum(requests for requests, _ in samples)
         * NS_PER_S
-        / max(sum(window_ns for _, window_ns in samples), 1)
+        / max(sum(window_ns for _, window_ns in samples), 1)  # 1 ns: avoids division by zero
         for samples in proxy.demand.values()
     ]
     return sum(rates) if rates else proxy.expected_request_rate
 
 
 def zone_request_rate(state: PolicyState, zone: str) -> float:
-    """Return the requests per second at a zone's proxies, including repeats of rejected requests."""
+    """Return the requests per second at a zone's proxies, including clients' repeats of rejected ones."""
     return sum(request_rate(proxy) for proxy in state.proxies.values() if proxy.zone == zone)
 
 
@@ -89,8 +93,8 @@
     return _aggregate(state, samples)
 
 
-def _zone_stats(state: PolicyState, endpoint: Endpoint, proxy_zone: str) -> RecentStats:
-    """Aggregate the latest reports of an endpoint from the proxies of one zone."""
+def _stats_from_zone(state: PolicyState, endpoint: Endpoint, proxy_zone: str) -> RecentStats:
+    """Aggregate the recent reports of one endpoint by the proxies of one zone."""
     oldest_ns = state.now_ns - MAX_LOAD_RATIO_SAMPLE_AGE_NS
     samples = [
         sample
@@ -143,7 +147,7 @@
     """Return the cost per success for a zone's proxies as a multiple of the latency objective.
 
     The ratio is a quantile over endpoints, weighted by attempts: a few unhealthy endpoints are a matter of
-    outlier detection and do not mean that the zone is loaded.
+    outlier detection and do not mean that the zone of the proxies is loaded.
 
     Args:
         state: State of the policy.
@@ -154,11 +158,13 @@
     Returns:
         The ratio, or None if there were too few attempts.
     """
-    stats = [_zone_stats(state, e, proxy_zone) for e in state.endpoints.values() if e.zone in endpoint_zones]
-    costs = sorted((each.cost_ns, each.attempts) for each in stats if each.attempts)
-    attempts_up_to = list(accumulate(attempts for _, attempts in costs))
+    stats = [
+        _stats_from_zone(state, e, proxy_zone) for e in state.endpoints.values() if e.zone in endpoint_zones
+    ]
+    costs_and_attempts = sorted((each.cost_ns, each.attempts) for each in stats if each.attempts)
+    attempts_up_to = list(accumulate(attempts for _, attempts in costs_and_attempts))
     if not attempts_up_to or attempts_up_to[-1] < MIN_ATTEMPTS:
         return None
     limit = quantile * attempts_up_to[-1]
     index = next(k for k, attempts in enumerate(attempts_up_to) if attempts >= limit)
-    return costs[index][0] / state.latency_objective_ns
+    return costs_and_attempts[index][0] / state.latency_objective_ns
--- a/swiftchute/policy/overload_control.py
+++ b/swiftchute/policy/overload_control.py
@@ -12,7 +12,7 @@
 from swiftchute.policy.state import PolicyState
 from swiftchute.policy.zone_spillover import is_saturated
 
-SHED_LOAD_RATIO = 0.4  # latency / objective above which load is shed
+SHED_LOAD_RATIO = 0.4  # cost per success / latency objective above which load is shed
 MIN_STEP_FACTOR = 0.6  # largest decrease of an admission rate per evaluation
 MAX_STEP_FACTOR = 1.5  # largest increase per evaluation
 MIN_ADMISSION_RATE = 0.2  # a problem that this rate does not solve is not caused by load
@@ -67,7 +67,7 @@
     Args:
         table: Table whose admission rate is updated; its history ends with the current evaluation.
         zone_rate: Current requests per second in the zone.
-        load_ratio: Latency / objective in the zone.
+        load_ratio: Cost per success / latency objective in the zone.
         min_rate: Lowest admission rate.
         may_shed: Whether the admission rate may fall.
     """
--- a/swiftchute/policy/state.py
+++ b/swiftchute/policy/state.py
@@ -26,7 +26,7 @@
         tables: Tables of each subset: at most one for operations that may cross zones, and one zone-local.
         subset_counts: Number of subsets by zone, 0 before the zone's first endpoint list.
         zone_pairs: Spillover for each ordered pair of different zones.
-        load_ratios: Latency / objective of each zone at the last evaluation, None if unknown.
+        load_ratios: Cost per success / latency objective by zone at the last evaluation, None if unknown.
         observed_throughput: Successes per second and unit of listed weight at each evaluation, by zone.
         conditions: Names of the active conditions: logged as started and not yet as ended.
         latency_objective_ns: The smallest latency objective of all operations.
--- a/swiftchute/policy/zone_spillover.py
+++ b/swiftchute/policy/zone_spillover.py
@@ -6,7 +6,7 @@
 from swiftchute.policy.state import PolicyState
 from swiftchute.policy.units import NS_PER_S
 
-START_LOAD_RATIO = 0.12  # latency / objective where spillover starts if crossing zones is free
+START_LOAD_RATIO = 0.12  # cost per success / objective where spillover starts if crossing zones is free
 START_LOAD_RATIO_PER_PRICE = 0.6  # added to the above for a cross-zone price of 1
 FULL_LOAD_RATIO_RANGE = 0.28  # distance from the start of spillover to full spillover
 SPILLOVER_EXPONENT = 1.5  # > 1: little spillover at first, so that under normal load requests stay local
--- a/swiftchute/versions/encoding.py
+++ b/swiftchute/versions/encoding.py
@@ -4,8 +4,9 @@
     data = encode(table); version = version_of_bytes(data); table = decode_table(data)
     delta = make_delta(before, after); after = apply_delta(delta, before)
 
-Equal content has equal bytes and therefore the same version. A delta names its base and target version; for
-any other table it is rejected and never applied in part. `docs/formats/tables.md` describes the byte format.
+Equal content has equal bytes and therefore the same version. A delta names its base and target version. It
+is rejected for a table of another version, and never applied in part. `docs/formats/tables.md` describes the
+byte format.
 """
 
 import hashlib
@@ -25,11 +26,11 @@
 
 
 class OperationAdmission(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True, gc=False):
-    """Admission of one operation, as stored."""
+    """Admission rate and retry policy of one operation, as stored."""
 
     operation: str
     rate_millionths: int
-    retry_policy: int
+    retry_policy: int  # 0 to 3, see `CommandSink.set_admission`
 
 
 class TableEntry(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True, gc=False):
@@ -44,7 +45,7 @@
     """The content of an endpoint table.
 
     Attributes:
-        admission: Admission of the operations that the table serves, sorted by operation.
+        admission: Admission rate and retry policy of each operation, sorted by operation.
         entries: The endpoints, sorted by name.
         format_version: Version of the stored format.
     """
@@ -62,7 +63,7 @@
         target_version: Version of the table that results.
         changed: Entries that are new or whose weight or zone changed.
         removed: Endpoints whose entries are removed.
-        admission: Admission of all operations if that of any changed, else None.
+        admission: Admission rates and retry policies of all operations if any of them changed, else None.
         format_version: Version of the stored format.
     """
 
@@ -151,14 +152,17 @@
 
 
 def make_delta(before: Table, after: Table) -> Delta:
-    """Return the delta from one table to another; its size grows with the change, not with the table."""
-    remaining = {entry.endpoint: entry for entry in before.entries}
-    changed = tuple(entry for entry in after.entries if remaining.pop(entry.endpoint, None) != entry)
+    """Return the delta from one table to another.
+
+    Its size grows with the changed entries, not with the table; admission is all included if any changed.
+    """
+    unmatched = {entry.endpoint: entry for entry in before.entries}
+    changed = tuple(entry for entry in after.entries if unmatched.pop(entry.endpoint, None) != entry)
     return Delta(
         version_of(before),
         version_of(after),
         changed,
-        tuple(sorted(remaining)),
+        tuple(sorted(unmatched)),
         None if before.admission == after.admission else after.admission,
     )
 
