--- a/swiftchute/drill/faulty_policies.py
+++ b/swiftchute/drill/faulty_policies.py
@@ -3,9 +3,10 @@
     for case in cases(bad_day=True): result, verdicts = case.play(seed)
 
 `swiftchute serve CONFIG --decider swiftchute.drill.faulty_policies:Empties` runs one in an instance. Each
-violates one of the five invariants if no safety gate checks its tables; with the gate, all five must hold, in
-the same scenario and in `bad-day`. A case that does not violate its invariant without the gate shows that the
-drill cannot detect the fault.
+of `FAULTY_POLICIES` violates one of the five invariants if no safety gate checks its tables; with the gate,
+all five must hold, in the same scenario and in `bad-day`. A case that does not violate its invariant without
+the gate shows that the drill cannot detect the fault. `Skews` and `Lures` make the bad tables of scenarios
+with a rollback or a canary.
 """
 
 import math
@@ -33,6 +34,7 @@
 from swiftchute.policy import Reconciler
 
 NS_PER_S = 1_000_000_000
+# The commands that are passed on. `Reconciler` issues neither `probe` nor `send_to_peer`.
 _COMMANDS = (
     "set_weight",
     "clear_table",
@@ -51,7 +53,7 @@
     """The policy with one decision altered; subclasses override the hooks that they need.
 
     `alter_event` changes an event before the policy handles it, `alter_command` changes a command of the
-    policy, and `finish_round` adds commands at the end of a round.
+    policy, and `finish_round` adds commands at the end of a round, which `alter_command` does not receive.
     """
 
     sink: CommandSink
@@ -74,13 +76,16 @@
         """Issue more commands at the end of a round."""
 
     def __getattr__(self, command: str) -> Any:
-        """Return the method that receives a command of the policy."""
+        """Return the method that alters and passes on a command of the policy.
+
+        `reconcile` makes this object the policy's command sink, whose methods it does not define.
+        """
         if command not in _COMMANDS:
             raise AttributeError(command)
 
         def issue(*arguments: Any) -> None:
-            for altered, altered_arguments in self.alter_command(command, arguments):
-                getattr(self.sink, altered)(*altered_arguments)
+            for altered_command, altered_arguments in self.alter_command(command, arguments):
+                getattr(self.sink, altered_command)(*altered_arguments)
 
         return issue
 
@@ -111,9 +116,9 @@
 
 
 class AllToCold(FaultyPolicy):
-    """Sends nearly all requests to endpoints that have just started, and admits every request."""
+    """Sends nearly all requests to cold endpoints (with a known start time), and admits every request."""
 
-    weighted: set[tuple[int, str]] | None = None  # tables and endpoints
+    weighted: set[tuple[int, str]] | None = None  # (table number, endpoint)
 
     def finish_round(self, now_ns: int) -> None:
         """Set the weight of each cold endpoint to 1000, a thousand times that of the others, once a table."""
@@ -145,7 +150,7 @@
     round_count, timer_set = 0, False
 
     def alter_event(self, event: Event) -> Event:
-        """Replace the timer of this class, which the policy does not know, by an event that it ignores."""
+        """Replace timer 2, which `finish_round` starts, by an event that the policy ignores."""
         if event != TimerFired(2):
             return event
         self.timer_set = False
@@ -156,7 +161,7 @@
         self.round_count += 1
         if not self.timer_set:
             self.timer_set = True
-            self.sink.start_timer(NS_PER_S // 50, 2)
+            self.sink.start_timer(NS_PER_S // 50, 2)  # the policy's own timer is 1
         for tables in self.state.tables.values():
             for table in tables:
                 for index, (name, weight) in enumerate(sorted(table.published.items(), key=str)):
--- a/swiftchute/platform/endpoint_list.py
+++ b/swiftchute/platform/endpoint_list.py
@@ -2,8 +2,9 @@
 
 A watch that begins with a complete list of an older revision comes from a discovery server that either lags
 or restarted with new revisions. Only time can tell which, so its updates are collected in a separate
-`LaggingList`. Until that list has caught up or the maximum delivery delay has passed, only its draining and
-removed endpoints are applied, and only if the endpoint has not restarted since. Then it replaces the list.
+`LaggingList`. Until the lagging list has caught up or the maximum delivery delay has passed, only its
+draining and removed endpoints are applied to the endpoint list, each only if it has not restarted since. Then
+the lagging list replaces the endpoint list.
 """
 
 import msgspec
@@ -19,15 +20,15 @@
 
 
 class ListUpdate(msgspec.Struct, frozen=True):
-    """A change of the endpoint list that results from one line."""
+    """A change of the endpoint list, usually by one line of a watch (a JSON message)."""
 
     scope: ListScope
     endpoints: tuple[EndpointRecord, ...]
-    rejected: tuple[str, ...] = ()  # one cause per rejected member
+    rejected: tuple[str, ...] = ()  # the cause of each rejection, one per member
 
     @property
     def rejections_to_log(self) -> tuple[str, ...]:
-        """The first causes; the log also states how many there are."""
+        """The first causes; the log also states how many members were rejected."""
         return self.rejected[:MAX_LOGGED_REJECTIONS]
 
     @property
@@ -37,7 +38,7 @@
 
     @property
     def is_cached(self) -> bool:
-        """Whether this is the list from the configuration, which is used until discovery is reached."""
+        """Whether this is the last good list from the configuration, used until discovery is reached."""
         return self.scope == ListScope.CACHED
 
 
@@ -55,12 +56,14 @@
     zones: tuple[str, ...]
     revision: int | None = None
     endpoints: Endpoints = msgspec.field(default_factory=dict)
-    stale_lines: int = 0  # lines received with a revision older than the known one
+    stale_lines: int = 0  # lines with a revision older than the known one; of a lagging watch only the first
 
     def load_cached(self, text: bytes) -> ListUpdate:
         """Load the list from the configuration; raises `DiscoveryError`."""
         line = self._decode(text)
-        return self._replace(line.revision, self._snapshot(line), ListScope.CACHED, line.rejected)
+        return self._replace(
+            line.revision, self._endpoints_of_complete_line(line), ListScope.CACHED, line.rejected
+        )
 
     def apply_line(self, text: bytes) -> ListUpdate | None:
         """Apply a line of a watch that is not lagging; raises `DiscoveryError`."""
@@ -80,14 +83,14 @@
         if not (line.complete and self.is_newer_than(line.revision)):
             return None, self._apply_decoded(line)
         self.stale_lines += 1
-        lagging = LaggingList(now_ns, line.revision, self._snapshot(line))
+        lagging = LaggingList(now_ns, line.revision, self._endpoints_of_complete_line(line))
         return lagging, self._apply_drains_and_removals(line)
 
     def apply_lagging_line(self, lagging: LaggingList, text: bytes) -> ListUpdate | None:
         """Apply a later line of a lagging watch; raises `DiscoveryError`."""
         line = self._decode(text)
         if line.complete:
-            lagging.endpoints = self._snapshot(line)
+            lagging.endpoints = self._endpoints_of_complete_line(line)
         else:
             lagging.endpoints = _without_removed(lagging.endpoints | line.endpoints)
         if len(lagging.endpoints) > discovery_messages.MAX_ENDPOINTS:
@@ -111,18 +114,23 @@
             self.stale_lines += 1
             return None
         if line.complete:
-            return self._replace(line.revision, self._snapshot(line), ListScope.SNAPSHOT, line.rejected)
+            return self._replace(
+                line.revision, self._endpoints_of_complete_line(line), ListScope.SNAPSHOT, line.rejected
+            )
         self.revision = line.revision
         return self._apply_changes(line.endpoints, line.rejected)
 
-    def _snapshot(self, line: WatchLine) -> Endpoints:
-        """Return the endpoints of a complete list."""
+    def _endpoints_of_complete_line(self, line: WatchLine) -> Endpoints:
+        """Return the endpoints of a complete list, which must not be empty if endpoints are known.
+
+        If members were rejected, known endpoints that are not in the list are kept.
+        """
         endpoints = _without_removed(line.endpoints)
         if not endpoints and self.endpoints:
             raise DiscoveryError("complete list without an endpoint; the last good list is kept")
-        if line.rejected:  # a rejected member may be a known endpoint, which must not be removed for that
-            missing = {name: known for name, known in self.endpoints.items() if name not in endpoints}
-            endpoints = missing | endpoints
+        if line.rejected:  # a rejected member may be a known endpoint, which must then stay
+            unlisted = {name: known for name, known in self.endpoints.items() if name not in endpoints}
+            endpoints = unlisted | endpoints
         return endpoints
 
     def _replace(
--- a/swiftchute/platform/round_schedule.py
+++ b/swiftchute/platform/round_schedule.py
@@ -19,5 +19,5 @@
         return max(self._last_round_ns + MIN_ROUND_INTERVAL_NS - now_ns, 0)
 
     def wait_for_idle_round_ns(self, due_ns: int, now_ns: int) -> int:
-        """Return the time in nanoseconds until a round due at `due_ns` that nothing has requested."""
+        """Return the time in nanoseconds until a round due at `due_ns` runs if no event requests one."""
         return max(due_ns - now_ns, MIN_ROUND_INTERVAL_NS)
--- a/swiftchute/platform/server.py
+++ b/swiftchute/platform/server.py
@@ -36,7 +36,7 @@
 def steady_clock() -> Callable[[], int]:
     """Return a Unix clock that never goes back: the monotonic clock plus its offset to the Unix time now.
 
-    Later steps of the wall clock do not affect it. `start_times` compares it with times of other machines.
+    Later steps of the wall clock do not affect it. `StartTimes` compares it with times of other machines.
     """
     offset = time.time_ns() - time.monotonic_ns()
     return lambda: time.monotonic_ns() + offset
@@ -74,9 +74,9 @@
         self._start_times = StartTimes(MAX_DELIVERY_DELAY_NS)
         self.clients: set[ClientTransport] = set()
         self._schedule = RoundSchedule()
-        self._requested_round: asyncio.TimerHandle | None = None
-        self._idle_round: asyncio.TimerHandle | None = None
-        self._round_cpu_ns = 0
+        self._requested_round_timer: asyncio.TimerHandle | None = None
+        self._idle_round_timer: asyncio.TimerHandle | None = None
+        self._total_round_cpu_ns = 0
         self._all_closed: asyncio.Event | None = None  # None until the process is stopping
         if configuration.known_list is not None:
             try:
@@ -90,6 +90,7 @@
         return self._all_closed is not None
 
     def _usable_sockets(self) -> int:
+        """Return the number of descriptors that this process may hold."""
         system, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
         system_limit = None if system == resource.RLIM_INFINITY else system
         return connection_limits.usable_sockets(self.configuration.max_sockets, system_limit)
@@ -182,41 +183,47 @@
 
     def _request_round(self) -> None:
         """Run a round as soon as the schedule allows it."""
-        if self._requested_round is None:
+        if self._requested_round_timer is None:
             wait_ns = self._schedule.wait_for_round_ns(self.clock())
-            self._requested_round = self.event_loop.call_later(wait_ns / NS_PER_S, self._run_after_reading)
+            self._requested_round_timer = self.event_loop.call_later(
+                wait_ns / NS_PER_S, self._run_after_reading
+            )
 
     def _run_after_reading(self) -> None:
         self._call_after_reading(self._run_round)
 
     def _call_after_reading(self, callback: Callable[[], None]) -> None:
-        """Call back after the next poll of the sockets; timers run before it, also after a suspension."""
-        # The outer callback runs before that poll, the inner one after it.
+        """Call back once input that already waits in the sockets has been read.
+
+        A due timer itself runs before that, also after a suspension of the process.
+        """
+        # The outer callback runs before the input of the next poll is read, the inner one after it.
         self.event_loop.call_soon(self.event_loop.call_soon, callback)
 
     def _run_round(self) -> None:
+        """Run a round of the policy, write its messages, and request another if events are pending."""
         if self.stopping:
             return
         now_ns = self.clock()
         self._schedule.record_round(now_ns)
-        self._requested_round = None
+        self._requested_round_timer = None
         cpu_start_ns = time.thread_time_ns()
         try:
             for session, data in self.sessions.run_round(now_ns):
                 session.transport.write(data)
-        finally:  # an exception must not prevent the next round
+        finally:  # the next idle round must be scheduled even after an exception
             self._schedule_idle_round()
-        self._round_cpu_ns += time.thread_time_ns() - cpu_start_ns
+        self._total_round_cpu_ns += time.thread_time_ns() - cpu_start_ns
         for event, fields in self.runner.drain_log_events():
             self.log(event, **fields)
         self.close_sessions()
         self.on_input()
 
     def _schedule_idle_round(self) -> None:
-        if self._idle_round is not None:
-            self._idle_round.cancel()
+        if self._idle_round_timer is not None:
+            self._idle_round_timer.cancel()
         wait_ns = self._schedule.wait_for_idle_round_ns(self.sessions.next_round_at_ns, self.clock())
-        self._idle_round = self.event_loop.call_later(wait_ns / NS_PER_S, self._request_round)
+        self._idle_round_timer = self.event_loop.call_later(wait_ns / NS_PER_S, self._request_round)
 
     def _check_timeouts(self) -> None:
         self.event_loop.call_later(connection_limits.CHECK_INTERVAL_S, self._check_timeouts)
@@ -248,7 +255,7 @@
             reportable=len(self.sessions.reportable_endpoints),
             stale_lines=self.endpoint_list.stale_lines,
             cpu_ms=time.process_time_ns() // NS_PER_MS,
-            round_cpu_ms=self._round_cpu_ns // NS_PER_MS,
+            round_cpu_ms=self._total_round_cpu_ns // NS_PER_MS,
         )
 
     def on_list_update(self, update: ListUpdate) -> None:
@@ -261,7 +268,7 @@
                 self._start_times.adjust(record, now_ns, list_confirmed_ns) for record in update.endpoints
             ]
             self.sessions.update_list(update.scope, records)
-            if not update.is_cached:
+            if not update.is_cached:  # loaded before the event loop exists; `run` requests the first round
                 self._request_round()
 
     def run_discovery_commands(self) -> None:
--- a/swiftchute/proxy/upstream.py
+++ b/swiftchute/proxy/upstream.py
@@ -42,7 +42,7 @@
         self._http2 = http2
         self._settings = settings
         self._clock = clock
-        self._waiters: deque[asyncio.Future[bool]] = deque()  # True: retry the pool; False: unreachable
+        self._waiters: deque[asyncio.Future[bool]] = deque()  # True: ask the pool again; False: unreachable
         self._dial_task: asyncio.Task | None = None
 
     @property
@@ -61,16 +61,16 @@
             if decision is PoolDecision.DIAL:
                 self.pool.dialing += 1
                 self._dial_task = asyncio.ensure_future(self._dial())
-            failure = await self._wait(deadline_ns)
+            failure = await self._wait_until_woken(deadline_ns)
             if failure is not None:
                 return failure
 
     def release_unused(self) -> None:
-        """Give an acquired connection back without using it; wakes the next waiting request."""
+        """Wake the next waiting request: an acquired connection was not used; `acquire` reserves nothing."""
         self._wake(True, 1)
 
     def request_ended(self, connection: PooledConnection, succeeded: bool) -> None:
-        """Record the end of a request on a connection, and wake waiting requests for the free streams."""
+        """Record the end of a request, and wake as many waiting requests as the connection has room for."""
         self.pool.request_ended(connection, succeeded, self._clock())
         self._wake(True, max(connection.available_streams, 0))
 
@@ -89,8 +89,8 @@
         for connection in list(self.connections.values()):
             connection.close()
 
-    async def _wait(self, deadline_ns: int) -> NoConnection | None:
-        """Wait until the pool may have a connection; returns None then, else why there is none."""
+    async def _wait_until_woken(self, deadline_ns: int) -> NoConnection | None:
+        """Wait to be woken; returns None if the caller should ask the pool again, else why it cannot."""
         future: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         self._waiters.append(future)
         self.pool.waiting += 1
@@ -124,7 +124,7 @@
                 )
         except (OSError, TimeoutError):
             self.pool.dialing -= 1
-            if not self.pool.connections:  # otherwise a stream of an open connection may still become free
+            if not self.pool.connections:  # otherwise an open connection may still get room for a request
                 self._wake(False, len(self._waiters))
             return
         self.pool.dialing -= 1
@@ -133,6 +133,7 @@
         self._wake(True, pooled.available_streams)
 
     def _wake(self, reachable: bool, max_count: int) -> None:
+        """Wake up to `max_count` waiting requests; `reachable` is False only after a failed dial."""
         while self._waiters and max_count > 0:
             future = self._waiters.popleft()
             if not future.done():
@@ -145,4 +146,4 @@
         self.pool.remove(connection.pooled)
         self.connections.pop(connection.pooled, None)
         if not self.pool.connections:
-            self._wake(True, len(self._waiters))  # all retry the pool, and one of them dials
+            self._wake(True, len(self._waiters))  # all ask the pool again, and one of them dials
--- a/swiftchute/versions/pinning.py
+++ b/swiftchute/versions/pinning.py
@@ -6,9 +6,10 @@
     rejections.on_rejected(proxy, "0.3", version, proxy_count)   # whether to roll the version back
     rejections.reserve_rollback(now_ns)               # whether one more is allowed; if so, counts it
 
-A rollback sets a desired state and does not replay bytes: the table it proposes is validated like any other.
-Draining and removed endpoints do not come back, and those that warm up stay within their limit. Admission
-rates and retry policies follow the current load unless they are pinned too. A pin expires. No I/O, no clock.
+A rollback proposes the weights of an earlier version, and the table is validated like any other; the stored
+bytes are not sent again. It contains only open endpoints, which are the ready ones: draining and removed ones
+do not come back, and endpoints in warm-up stay within their slow-start limit. Admission rates
+and retry policies follow the current load unless they are pinned too. A pin expires. No I/O, no clock.
 """
 
 from collections import deque
@@ -74,7 +75,7 @@
         self.by_table[table] = pin
 
     def release(self, table: str) -> Pin:
-        """Remove the pin of a table.
+        """Remove and return the pin of a table.
 
         Raises:
             PinError: The table is not pinned.
@@ -118,7 +119,7 @@
 
     @property
     def due(self) -> int | None:
-        """When the next pin expires; None if there is none."""
+        """When the next pin expires, in nanoseconds; None if there is none."""
         return min((pin.until_ns for pin in self.by_table.values()), default=None)
 
 
