--- a/swiftchute/controller/table_contents.py
+++ b/swiftchute/controller/table_contents.py
@@ -1,7 +1,7 @@
 """The published content of each table, and the tables that each proxy should hold.
 
-The published content is what the policy commanded, restricted to what the safety rules allow, or the version
-that the table is pinned to. Each change of a table is recorded in the version history.
+The published content is what the policy commanded, or the version that the table is pinned to, restricted to
+what the safety rules allow. Each change of a table is recorded in the version history.
 """
 
 from collections.abc import Mapping
@@ -40,7 +40,7 @@
 
     tables_by_operation: tuple[tuple[str, str], ...] = ()  # (operation name, table name)
     contents: dict[str, TableContent] = field(default_factory=dict, compare=False)  # by table name
-    baseline_tables: frozenset[str] = frozenset()  # tables whose newest content only other proxies have
+    baseline_tables: frozenset[str] = frozenset()  # names of tables whose canary only other proxies have
 
 
 class CanaryView(Protocol):
@@ -66,7 +66,7 @@
 def make_stored_table(
     entries: tuple[TableEntry, ...], admission: tuple[Admission, ...], runner: PolicyRunner
 ) -> encoding.Table:
-    """Return a table in the form stored in the version history."""
+    """Make a table in the form that the version history stores."""
     operations = runner.settings.operations
     rows = [(operation.name, *row) for operation, row in zip(operations, admission, strict=True)]
     return encoding.make_table(rows, entries)
@@ -83,13 +83,21 @@
         canaries: CanaryView,
         publish_gate: PublishGate | None,
     ) -> None:
-        """Start with an empty cache."""
+        """Start with an empty cache.
+
+        Args:
+            runner: Runs the policy, and holds the tables that it commanded.
+            directory: Zones and states of the endpoints.
+            versions: Version history and pins.
+            canaries: Which proxies hold a baseline.
+            publish_gate: The safety gate; None to publish without it.
+        """
         self.runner, self.directory = runner, directory
         self.history, self.pins = versions.history, versions.pins
         self.canaries, self.publish_gate = canaries, publish_gate
-        self.change_causes: dict[int, ChangeCause] = {}  # by table, the cause of its next version
-        self._contents: dict[int, tuple[int, TableContent]] = {}  # by table, with the table's revision
-        self._proxy_tables: dict[Any, ProxyTables] = {}
+        self.change_causes: dict[int, ChangeCause] = {}  # by table number, the cause of its next version
+        self._contents: dict[int, tuple[int, TableContent]] = {}  # by table number, with the table's revision
+        self._proxy_tables: dict[Any, ProxyTables] = {}  # by table numbers of operations, and baselines
 
     def invalidate(self, number: int) -> None:
         """Mark a table as changed without a policy command."""
@@ -141,12 +149,13 @@
         weights: Mapping[str, float] = assignments.usable_weights(number)
         admission = [assignments.admission(number, index) for index in range(len(operations))]
         if self.publish_gate is not None and number in self.publish_gate.allowed:
+            # The gate reviewed the pinned weights if the table is pinned.
             weights, max_rate = self.publish_gate.allowed[number]
             admission = [(min(rate, max_rate), retry_policy) for rate, retry_policy in admission]
         else:
             pinned = self.pins.weights(name, self.directory.ready()) if self.pins.by_table else None
             weights = weights if pinned is None else pinned
-        pinned_admission = self.pins.admission(name)
+        pinned_admission = self.pins.admission(name)  # not limited by the gate
         if pinned_admission:
             admission = [
                 pinned_admission.get(operation.name, row)
@@ -161,8 +170,10 @@
         if before is None:
             cause = ChangeCause.START
         elif cause in (None, ChangeCause.LIST) and before.entries == table.entries:
-            cause = ChangeCause.LEVEL
-        self.history.record(name, table, self.runner.last_round_ns, cause or ChangeCause.HEALTH)
+            # Even if the endpoint list changed, only the admission of this table did.
+            cause = ChangeCause.ADMISSION
+        # Without a recorded cause, a command of the policy changed the weights.
+        self.history.record(name, table, self.runner.last_round_ns, cause or ChangeCause.POLICY)
         newest = self.history.newest_change(name)
         assert newest is not None
         return newest.version
--- a/swiftchute/versions/table_log.py
+++ b/swiftchute/versions/table_log.py
@@ -22,8 +22,8 @@
 
     START = "start"  # the first version of the table
     LIST = "list"  # the endpoint list changed
-    HEALTH = "health"  # the policy changed weights for another reason
-    LEVEL = "level"  # only admission rates or retry policies changed
+    POLICY = "health"  # the policy changed weights for another reason
+    ADMISSION = "level"  # only admission rates or retry policies changed
     GUARD = "guard"  # the safety rules changed it
     CANARY = "canary"  # a canary began or ended
     PIN = "pin"  # an operator pinned the table
