--- a/swiftchute/policy/egress_budget.py
+++ b/swiftchute/policy/egress_budget.py
@@ -1,4 +1,4 @@
-"""The egress budget: limits what is written to proxies by what they have not acknowledged yet.
+"""The egress budget: limits the entries that were written to proxies and not acknowledged by them yet.
 
 Every unacknowledged entry counts as still queued, so a slow channel, a lost acknowledgement or a stopped
 proxy delays pushes. The budget counts what this policy reserved for connected proxies. A frontend may observe
@@ -45,19 +45,19 @@
         self.channel_speed_ratio = 1.0
         self.nonce = 0
         self.reserved_entries: dict[ProxyId, float] = {}
-        self._unreserved_entries: float = 0  # observed in the channel beyond `unacknowledged_entries`
+        self._additional_entries: float = 0  # observed in the channel beyond `unacknowledged_entries`
         self._max_observed_ratio = 0.0  # highest speed / nominal speed since the last evaluation
         self._queued_entries_at_nonce: dict[int, float] = {}
 
     @property
     def queued_entries(self) -> float:
         """Entries that may be queued in the channel, reserved by this policy or not."""
-        return self.unacknowledged_entries + self._unreserved_entries
+        return self.unacknowledged_entries + self._additional_entries
 
     def begin_round(self) -> None:
         """Start a round without any reservation."""
         self.reserved_entries = {}
-        self._unreserved_entries = 0
+        self._additional_entries = 0
 
     def release(self, proxy: Proxy) -> None:
         """Release the unacknowledged entries of a disconnected proxy."""
@@ -75,7 +75,7 @@
 
     def on_egress_queue_observed(self, event: EgressQueueObserved) -> None:
         """Record how many entries the channel holds beyond the unacknowledged ones."""
-        self._unreserved_entries = max(event.entries - self.unacknowledged_entries, 0)
+        self._additional_entries = max(event.entries - self.unacknowledged_entries, 0)
 
     def update_channel_speed(self, state: PolicyState) -> None:
         """Move the estimated speed halfway to the speed that acknowledgements showed since the last call.
@@ -146,7 +146,8 @@
     def _channel_has_capacity(self, state: PolicyState, cost: float, threshold: float) -> bool:
         """Return whether the queue has room for `cost` more entries.
 
-        A slow channel may hold only what it sends in the same time: a drain queued behind more would be late.
+        On a slow channel the queue must be below its limit times the speed ratio: a drain queued behind more
+        entries would be late.
         """
         limit = state.settings.egress_queue_limit_entries
         own_limit = threshold * limit
@@ -156,11 +157,14 @@
         return self.queued_entries + cost <= QUEUE_THRESHOLD * limit
 
     def _quotas_allow(self, state: PolicyState, proxies: Iterable[ProxyId], quota_fraction: float) -> bool:
-        """Return whether the quotas allow a message to each proxy that has none in this round yet."""
+        """Return whether the quotas allow a message to each proxy that has none in this round yet.
+
+        Also discards the send times that are older than the quota window.
+        """
         settings = state.settings
         if not settings.message_quota:
             return True
-        limit = quota_fraction * settings.message_quota - 1
+        limit = quota_fraction * settings.message_quota - 1  # one message of that part stays unused
         for name in proxies:
             if name in self.reserved_entries:
                 continue
--- a/swiftchute/safety/step_limits.py
+++ b/swiftchute/safety/step_limits.py
@@ -57,7 +57,8 @@
             peak_rates: Highest observed requests per second of a zone's warm endpoints, where known.
             failing_zones: Zones whose endpoints fail most of their requests.
             max_load_multiple: Multiple of its peak rate that a zone may be sent.
-            max_step_fraction: Fraction of all requests by which the load of a zone may grow in the window.
+            max_step_fraction: Fraction of the load of all warm endpoints by which that of a zone may grow in
+                the window.
         """
         self._zone_by_endpoint = zone_by_endpoint
         self._peak_rates = peak_rates
@@ -107,7 +108,7 @@
         return max(self._max_load_multiple * peak_rate, old.get(zone, 0.0))
 
     def _another_has_room(self, zone: str, old: ZoneLoads, new: ZoneLoads) -> bool:
-        """Return whether a change takes load from another zone that has spare capacity."""
+        """Return whether a change takes load from another healthy zone, which ends below its peak rate."""
         return any(
             other != zone
             and other not in self._failing_zones
@@ -119,7 +120,8 @@
     def _step_limit(self, zone: str, old: ZoneLoads, new: ZoneLoads, at_window_start: ZoneLoads) -> float:
         """Return the load that a zone may have by the end of the window.
 
-        Load that leaves a failing zone may go anywhere at once, as keeping the old state is no alternative.
+        All load that failing zones had at the start of the window may move to any zone at once, since it
+        cannot stay where it is.
         """
         total = sum(new.values())
         from_failing = sum(at_window_start.get(failing, 0.0) for failing in self._failing_zones)
@@ -149,7 +151,7 @@
                 return fractions
             for limit in exceeded:
                 _lower_fractions(fractions, rises, limit, interpolated_loads[limit.zone])
-        # load held back from one zone goes to another: no fractions found, so nothing changes this round
+        # no convergence, as load held back from one zone goes to another: nothing changes this round
         return dict.fromkeys(old, 0.0)
 
     def _rise_by_zone(self, old: TableLoad, new: TableLoad) -> Callable[[str], float]:
