--- a/swiftchute/controller/canary_rollout.py
+++ b/swiftchute/controller/canary_rollout.py
@@ -81,6 +81,7 @@
 
     def check(self, now: int) -> None:
         """Update the proxies and baselines of open canaries, and apply the outcomes of finished ones."""
+        # start times of the endpoints that are ready and not ejected
         start_ns_by_endpoint = self.directory.start_times(self.runner.assignments.ejected)
         for name in list(self.trials.open_trials):
             self._check_open(name, start_ns_by_endpoint, now)
@@ -94,10 +95,14 @@
                 name, outcome.previous_version.hex(), False, now
             ):
                 continue
+            # completed, or its rollback was refused: the new content goes to all proxies
             self.republish(number, ChangeCause.CANARY, now)
 
     def _check_open(self, name: str, start_ns_by_endpoint: dict[str, int], now: int) -> None:
-        """Republish a table if the proxies of its canary changed or its baseline lost endpoints."""
+        """Republish a table if the proxies of its canary changed or its baseline lost endpoints.
+
+        The cause recorded for both is the endpoint list.
+        """
         assignments = self.runner.assignments
         number = assignments.table_number(name)
         if number is None or not assignments.proxies_by_table.get(number):
--- a/swiftchute/controller/safety_review.py
+++ b/swiftchute/controller/safety_review.py
@@ -37,7 +37,8 @@
         """Return whether tables must be reviewed even without policy commands.
 
         Warm-up, demand and the endpoint list change without commands; a drain that the policy ignores must
-        not wait for the next idle round.
+        not wait for the next idle round. The gate's `list_revision` is the directory's `change_count` at the
+        last review.
         """
         deadline = self.gate.due
         return (
@@ -46,10 +47,11 @@
             or (deadline is not None and now >= deadline)
         )
 
-    def review(self, changed: Collection[int], now: int, urgent: Collection[int] = ()) -> list[int]:
+    def review(self, commanded: Collection[int], now: int, urgent: Collection[int] = ()) -> list[int]:
         """Review all tables; return those whose allowed content changed without a command.
 
-        `changed` are the tables changed by commands, `urgent` those of them that must not be delayed.
+        `commanded` are the tables that the policy changed or that are republished (pin, rollback, canary);
+        `urgent` are the republished ones, which must not be delayed.
         """
         statuses = self.directory.statuses
         is_warm = self.gate.warm_check(statuses, now)
@@ -63,16 +65,19 @@
         }
         observations = self._observations(is_warm, now)
         return self.gate.review(
-            proposals, changed, statuses, observations, now, self.directory.change_count, urgent
+            proposals, commanded, statuses, observations, now, self.directory.change_count, urgent
         )
 
     def withhold(self, result: RoundResult, nonces: NonceTracker) -> None:
-        """Remove the entries of tables held back by the gate from the result of a round."""
+        """Remove the entries of tables held back by the gate from the result of a round.
+
+        A message that is left without entries is dropped, and its nonce is recorded as withheld.
+        """
         asks_for_ack = result.nonce is not None
         for number in self.gate.held_tables & result.changed_entries_by_table.keys():
             for proxy in self.runner.assignments.proxies_by_table.get(number, ()):
                 entries = result.entries_by_proxy.get(proxy, 0) - result.changed_entries_by_table[number]
-                if entries > asks_for_ack:  # entries other than the nonce remain
+                if entries > asks_for_ack:  # an acknowledgement request counts as one entry
                     result.entries_by_proxy[proxy] = entries
                 elif result.entries_by_proxy.pop(proxy, None) is not None and result.nonce is not None:
                     nonces.withhold(proxy, result.nonce)
@@ -106,10 +111,10 @@
 
     def _observations(self, is_warm: Any, now: int) -> Observations:
         settings, statuses = self.runner.settings, self.directory.statuses
-        used = self.observed_traffic.peak_rates(statuses, is_warm, now)
+        peak_rate_by_zone_and_kind = self.observed_traffic.peak_rates(statuses, is_warm, now)
         return Observations(
-            peak_by_kind(used),
-            used,
+            peak_by_kind(peak_rate_by_zone_and_kind),
+            peak_rate_by_zone_and_kind,
             () if settings.removal_is_binding else self.observed_traffic.responding_endpoints(now),
             self.observed_traffic.failing_zones(statuses, now),
             min(len(self.runner.proxies) / max(settings.proxy_count, 1), 1.0),
--- a/swiftchute/platform/connection_limits.py
+++ b/swiftchute/platform/connection_limits.py
@@ -12,7 +12,7 @@
 STATISTICS_INTERVAL_S = 10.0  # between two log lines with the counters
 MAX_UNSENT_BYTES = 256 * 1024  # buffered in this process for a client; above it the connection is aborted
 CLOSE_TIMEOUT_S = 3.0  # for a client to read its last message
-STOP_TIMEOUT_S = 0.3  # the same while the process stops; SIGKILL follows SIGTERM after 0.7 s at the earliest
+STOP_TIMEOUT_S = 0.3  # the same at shutdown; the platform sends SIGKILL 0.7 s after SIGTERM or later
 
 
 def usable_sockets(configured: int, system_limit: int | None) -> int:
