--- a/swiftchute/discovery/sources.py
+++ b/swiftchute/discovery/sources.py
@@ -1,6 +1,6 @@
 """Sources of endpoint lists: a file or a URL, each polled at an interval.
 
-A source calls `on_list(text)` for each list that it reads, and `on_failure(cause)` if it cannot read one.
+A source calls `on_list(data)` for each list that it reads, and `on_failure(cause)` if it cannot read one.
 """
 
 import asyncio
@@ -17,9 +17,9 @@
 NS_PER_S = 1_000_000_000
 MAX_LIST_BYTES = 64 * 2**20
 HTTP_OK = 200
-FIRST_BACKOFF_INTERVALS = 2  # bound of the wait after the first failed poll, in poll intervals
-MAX_BACKOFF_INTERVALS = 8  # largest bound of the wait after failed polls, in poll intervals
-RESPONSE_TIMEOUTS = 2  # time limit of a whole response, in timeouts of a single read
+FIRST_BACKOFF_INTERVALS = 2  # longest wait after the first failed poll, in poll intervals
+MAX_BACKOFF_INTERVALS = 8  # longest wait after any number of failed polls, in poll intervals
+RESPONSE_TIMEOUT_FACTOR = 2  # time limit of a whole response / timeout of a single read
 
 
 class _FileStamp(NamedTuple):
@@ -29,7 +29,7 @@
 
 
 class FileSource:
-    """A file_sd file, read when it has been changed or replaced."""
+    """A file in Prometheus' file_sd format, read when it has been changed or replaced."""
 
     def __init__(
         self,
@@ -56,18 +56,19 @@
     def poll(self) -> None:
         """Read the file if it has changed since the last read."""
         try:
-            text = self._read_if_changed()
+            data = self._read_if_changed()
         except OSError as error:
             self._last_stamp = None
             if str(error) != self._last_failure:
                 self._last_failure = str(error)
                 self.on_failure(f"{self.path}: {error.strerror or error}")
             return
-        if text is not None:
+        if data is not None:
             self._last_failure = ""
-            self.on_list(text)
+            self.on_list(data)
 
     def _read_if_changed(self) -> bytes | None:
+        """Return the content of the file, or None if it has not changed; raises OSError."""
         with open(self.path, "rb") as file:
             status = os.fstat(file.fileno())
             stamp = _FileStamp(status.st_mtime_ns, status.st_size, status.st_ino)
@@ -75,9 +76,9 @@
                 return None
             if stamp.size_bytes > MAX_LIST_BYTES:
                 raise OSError(f"the file has {stamp.size_bytes} bytes; the limit is {MAX_LIST_BYTES}")
-            text = file.read(MAX_LIST_BYTES)
+            data = file.read(MAX_LIST_BYTES)
         self._last_stamp = stamp
-        return text
+        return data
 
     async def run(self) -> None:
         """Poll until cancelled."""
@@ -87,7 +88,7 @@
 
 
 class HttpSource:
-    """An http_sd URL, polled at an interval, with exponential backoff after failures."""
+    """A URL that serves Prometheus' http_sd format, polled at an interval; backs off after failures."""
 
     def __init__(
         self,
@@ -128,22 +129,23 @@
         """Request the list once; return the wait until the next poll, nanoseconds."""
         try:
             # the client's timeout applies to each read: it does not end a response that arrives byte by byte
-            async with asyncio.timeout(RESPONSE_TIMEOUTS * self.timeout_s):
-                text = await self._fetch(client)
+            async with asyncio.timeout(RESPONSE_TIMEOUT_FACTOR * self.timeout_s):
+                data = await self._fetch(client)
         except (httpx.HTTPError, ValueError, TimeoutError) as error:
             self.on_failure(f"{self.url}: {error or type(error).__name__}")
             return self._backoff.next_wait_ns()
         self._backoff.reset()
-        self.on_list(text)
+        self.on_list(data)
         return self.interval_ns
 
     async def _fetch(self, client: httpx.AsyncClient) -> bytes:
-        text = bytearray()
+        """Return the body of a response; raises `SourceError` if its status or its size is refused."""
+        data = bytearray()
         async with client.stream("GET", self.url) as response:
             if response.status_code != HTTP_OK:
                 raise SourceError(f"HTTP status {response.status_code}, expected {HTTP_OK}")
             async for chunk in response.aiter_bytes():
-                text += chunk
-                if len(text) > MAX_LIST_BYTES:
+                data += chunk
+                if len(data) > MAX_LIST_BYTES:
                     raise SourceError(f"the response has more than {MAX_LIST_BYTES} bytes")
-        return bytes(text)
+        return bytes(data)
