--- a/swiftchute/xds/resources.py
+++ b/swiftchute/xds/resources.py
@@ -86,19 +86,19 @@
     def __init__(self) -> None:
         """Start without resources of any type."""
         super().__init__({type_url: {} for type_url in names.ORDER})
-        self.collections: dict[str, dict[str, Resource]] = {}
+        self._entries_by_collection: dict[str, dict[str, Resource]] = {}
 
     def entries(self, name: str) -> dict[str, Resource]:
         """The entries of a collection, or the one entry of this name."""
-        if name not in self.collections:
+        if name not in self._entries_by_collection:
             entries = self[names.LEDS]
             members = (
                 {n: r for n, r in entries.items() if n.startswith(name[:-1])} if name.endswith("/*") else None
             )
-            self.collections[name] = (
+            self._entries_by_collection[name] = (
                 {n: entries[n] for n in (name,) if n in entries} if members is None else members
             )
-        return self.collections[name]
+        return self._entries_by_collection[name]
 
 
 def _make_resource(
@@ -256,7 +256,7 @@
             )
         )
 
-    def table(
+    def table_resources(
         self, table: str, content: TableContent, collections: bool, baseline: bool = False
     ) -> dict[str, dict[str, Resource]]:
         """Return the EDS (and LEDS) resources of a table; the same objects until it changes.
@@ -265,14 +265,14 @@
             table: Name of the table.
             content: Its content.
             collections: Whether entries are resources of their own (LEDS).
-            baseline: Whether it is for proxies that a canary keeps at the previous version.
+            baseline: Whether `content` is the baseline of a canary, for the proxies outside it.
         """
         cached = self._tables.get((table, collections, baseline))
         if cached is not None and cached[0] is content:
             return cached[1]
         built: dict[str, dict[str, Resource]] = {names.EDS: {}, names.LEDS: {}}
         make_assignment = collection_assignment if collections else assignment
-        for index, (admission_rate, _) in enumerate(content.admission):
+        for index, (admission_rate, _) in enumerate(content.admission):  # the retry policy is in the routes
             name = self._service_name(table, content, index)
             if name not in built[names.EDS]:
                 built[names.EDS][name] = make_assignment(name, content.entries, admission_rate)
@@ -285,7 +285,10 @@
         return built
 
     def _service_name(self, table: str, content: TableContent, index: int) -> str:
-        """Return the EDS name of an operation: its own if its admission rate is not the first operation's."""
+        """Return the EDS name of an operation: its own if its admission rate is not the first operation's.
+
+        The drop rate is part of the EDS resource, so operations of different rates cannot share one.
+        """
         own = content.admission[index][0] != content.admission[0][0]
         return f"{table}~{self._settings.operations[index].name}" if own else table
 
@@ -318,7 +321,7 @@
         content, index = tables.contents[table], self._operation_index[operation]
         cluster_name = names.cluster_name(table, operation)
         wanted[names.CDS][cluster_name] = cluster(cluster_name, self._service_name(table, content, index))
-        built = self.table(table, content, collections, table in tables.baseline_tables)
+        built = self.table_resources(table, content, collections, table in tables.baseline_tables)
         for type_url in (names.EDS, names.LEDS):
             wanted[type_url] |= built[type_url]
         wanted[names.LDS][operation] = self._listeners[operation]
--- a/swiftchute/xds/server.py
+++ b/swiftchute/xds/server.py
@@ -26,7 +26,8 @@
 SECOND_NS = 1_000_000_000
 ADS = "/envoy.service.discovery.v3.AggregatedDiscoveryService/"
 LRS = "/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats"
-MAX_QUEUED_RESPONSES = 64  # for a client's window: five types, each with a few superseded responses
+# Responses that wait for a client's window; five types with one pending response each need fewer.
+MAX_QUEUED_RESPONSES = 64
 STOP_TIMEOUT_S = 2
 CONNECTION_WINDOW_BYTES = 2**20
 STREAM_WINDOW_BYTES = 2**18
@@ -77,7 +78,7 @@
         self._address: tuple[str, int] = options["listen"]
         self._max_streams: int = options["streams"]
         self._max_message_bytes: int = options["max_message"]
-        self._read_timeout_s = options["read_within"] / SECOND_NS
+        self._read_timeout_s = options["read_within"] / SECOND_NS  # for a first request and for each write
         self._request_round = request_round
         self._clock = clock
         self._log = log
@@ -94,11 +95,11 @@
 
     def __mapping__(self) -> dict[str, Handler]:
         """Return the handlers that grpclib serves."""
-        both = Cardinality.STREAM_STREAM
+        cardinality = Cardinality.STREAM_STREAM
         return {
-            ADS + "StreamAggregatedResources": Handler(self._serve_sotw, both, bytes, bytes),
-            ADS + "DeltaAggregatedResources": Handler(self._serve_delta, both, bytes, bytes),
-            LRS: Handler(self._serve_load_reports, both, bytes, bytes),
+            ADS + "StreamAggregatedResources": Handler(self._serve_sotw, cardinality, bytes, bytes),
+            ADS + "DeltaAggregatedResources": Handler(self._serve_delta, cardinality, bytes, bytes),
+            LRS: Handler(self._serve_load_reports, cardinality, bytes, bytes),
         }
 
     async def start(self) -> tuple[str, int]:
@@ -192,6 +193,7 @@
             self._log.warning("stream refused", stream=stream_id, status=error.status, cause=error.text)
             raise GRPCError(Status[error.status], error.text) from None
         except (StreamTerminatedError, ConnectionError, AssertionError) as error:
+            # grpclib raises AssertionError if the stream ends within a message
             cause = f"the stream broke: {error or type(error).__name__}"
         except asyncio.CancelledError:
             termination = _final_status(writer)
@@ -234,6 +236,7 @@
         return end
 
     async def _serve_load_reports(self, stream: Stream) -> None:
+        """Pass on load reports until the stream ends or its node opens a newer one."""
         node, stream_id = None, 0
         try:
             data = await self._receive_first(stream)
@@ -254,7 +257,7 @@
             raise ProtocolViolationError("ABORTED", f"node {node} opened another report stream")
         except ProtocolViolationError as error:
             raise GRPCError(Status[error.status], error.text) from None
-        except (StreamTerminatedError, ConnectionError, AssertionError):
+        except (StreamTerminatedError, ConnectionError, AssertionError):  # as in `_serve_ads`
             return
         finally:
             if node is not None and self._report_streams.get(node) == stream_id:
--- a/swiftchute/xds/stream.py
+++ b/swiftchute/xds/stream.py
@@ -66,7 +66,7 @@
         self.subscriptions = {url: Subscription(url) for url in names.ORDER}
         self.wanted: Wanted | None = None
         self.unserved_requests = 0  # for types that are not served
-        self.unsettled_since_ns: int | None = None  # since when the client may lack something wanted
+        self.unsettled_since_ns: int | None = None  # since when not everything wanted is known to be held
         self._delta = delta
         self._token = token
         self._random = random.Random(seed)
@@ -206,16 +206,16 @@
             subscription = self.subscriptions[url]
             if not subscription.requested or subscription.pending is not None:
                 continue
-            clusters = self.subscriptions[names.CDS].request_count
+            cds_request_count = self.subscriptions[names.CDS].request_count
             # skip a type that had nothing to send for the same inputs
-            basis = (wanted[url], self.unavailable, subscription.request_count, clusters, keep_held)
-            idle = subscription.idle_basis
-            if not subscription.rejections and idle and all(map(operator.is_, basis, idle)):
+            inputs = (wanted[url], self.unavailable, subscription.request_count, cds_request_count, keep_held)
+            idle = subscription.idle_inputs
+            if not subscription.rejections and idle and all(map(operator.is_, inputs, idle)):
                 continue
             if url not in (names.LDS, names.RDS) or self._routes_are_ready(wanted):
                 chosen = self._selector.choose(subscription, wanted, keep_held, now_ns)
                 response = self._make_response(subscription, wanted, chosen, now_ns)
-                subscription.idle_basis = None if response else basis
+                subscription.idle_inputs = None if response else inputs
                 if response:
                     responses.append(response)
         return responses
@@ -223,9 +223,10 @@
     def _make_response(
         self, subscription: Subscription, wanted: Wanted, chosen: dict[str, Resource], now_ns: int
     ) -> AdsResponse | None:
-        assigned = bool(wanted[names.LDS])
+        """Return the next response of a type, recorded as pending; None if there is nothing to send."""
+        has_tables = bool(wanted[names.LDS])
         full_state = not self._delta and subscription.type_url in names.FULL_STATE_TYPES
-        if full_state and not assigned:
+        if full_state and not has_tables:
             return None  # an empty full state would remove everything that the client has
         changed = {
             name
@@ -233,35 +234,38 @@
             if not subscription.holds(resource)
         }
         unanswered = set(chosen) if subscription.unanswered_all else subscription.unanswered & chosen.keys()
-        if subscription.isolated & changed:
+        if subscription.isolated & changed:  # one alone, whichever, so that a NACK tells that it is invalid
             changed, unanswered = {min(subscription.isolated & changed)}, set()
-        removed: tuple[str, ...] = ()
+        to_remove: tuple[str, ...] = ()
         if full_state:
-            sent = self._full_state(subscription, chosen, changed)
-            if sent is None:
+            to_send = self._full_state(subscription, chosen, changed)
+            if to_send is None:
                 return None
         else:
-            sent = {name: chosen[name] for name in changed | unanswered}
-            if self._delta and assigned:
-                removed = self._removals(subscription, chosen)
-                if removed and (subscription.isolated or subscription.rejections):
-                    sent = {}  # a rejected addition in the same response would reject the removal too
-            if not sent and not removed:
+            to_send = {name: chosen[name] for name in changed | unanswered}
+            if self._delta and has_tables:
+                to_remove = self._removals(subscription, chosen)
+                if to_remove and (subscription.isolated or subscription.rejections):
+                    to_send = {}  # a rejected addition in the same response would reject the removal too
+            if not to_send and not to_remove:
                 return None
-        return self._record(subscription, dict(sorted(sent.items())), removed, full_state, now_ns)
+        return self._record(subscription, dict(sorted(to_send.items())), to_remove, full_state, now_ns)
 
     @staticmethod
     def _full_state(
         subscription: Subscription, chosen: dict[str, Resource], changed: set[str]
     ) -> dict[str, Resource] | None:
-        """Return the full state, with the held version of what may not be sent yet; None if not needed."""
+        """Return the full state, with the held version of what may not be sent yet; None if not needed.
+
+        Clears `unanswered`, as a full state answers the requests for all names.
+        """
         unchanged = {name: subscription.held[name] for name in chosen.keys() & subscription.held.keys()}
-        sent = unchanged | {name: chosen[name] for name in changed}
+        to_send = unchanged | {name: chosen[name] for name in changed}
         unanswered = subscription.unanswered or subscription.unanswered_all
-        if not (changed or unanswered or subscription.held.keys() - sent.keys()):
+        if not (changed or unanswered or subscription.held.keys() - to_send.keys()):
             return None
         subscription.unanswered = set()
-        return sent
+        return to_send
 
     @staticmethod
     def _removals(subscription: Subscription, chosen: dict[str, Resource]) -> tuple[str, ...]:
@@ -271,8 +275,8 @@
     def _record(
         self,
         subscription: Subscription,
-        sent: dict[str, Resource],
-        removed: tuple[str, ...],
+        to_send: dict[str, Resource],
+        to_remove: tuple[str, ...],
         full_state: bool,
         now_ns: int,
     ) -> AdsResponse:
@@ -280,10 +284,10 @@
         self._response_count += 1
         nonce = f"{self._token}-{self._response_count}"
         subscription.last_nonce = nonce
-        subscription.pending = PendingResponse(nonce, now_ns, sent, removed, full_state)
-        subscription.unanswered -= sent.keys() | set(removed)
+        subscription.pending = PendingResponse(nonce, now_ns, to_send, to_remove, full_state)
+        subscription.unanswered -= to_send.keys() | set(to_remove)
         subscription.unanswered_all = False
-        return AdsResponse(subscription.type_url, self._version, nonce, tuple(sent.values()), removed)
+        return AdsResponse(subscription.type_url, self._version, nonce, tuple(to_send.values()), to_remove)
 
     def _routes_are_current(self, wanted: Wanted) -> bool:
         """Whether the client holds the wanted routes; until then nothing that its routes use is removed."""
@@ -306,7 +310,11 @@
         return self._holds_all(references, wanted, current=False)
 
     def _is_settled(self, wanted: Wanted) -> bool:
-        """Whether the client holds everything wanted, starting from the listeners."""
+        """Whether the client holds everything wanted, starting from the listeners.
+
+        It lacks resources that were rejected or have to be sent alone. A client that has requested none of
+        the wanted listeners holds nothing yet.
+        """
         if self._selector.withheld or any(s.isolated for s in self.subscriptions.values()):
             return False
         if not wanted[names.LDS]:
--- a/swiftchute/xds/subscription.py
+++ b/swiftchute/xds/subscription.py
@@ -61,15 +61,15 @@
         self.wildcard = False
         self.names: set[str] = set()
         self.unanswered: set[str] = set()  # requested names that need a response even if nothing changed
-        self.unanswered_all = False  # the same for all names
+        self.unanswered_all = False  # all requested resources need a response even if nothing changed
         self.held: dict[str, Resource] = {}  # acknowledged
         self.last_nonce = ""
         self.pending: PendingResponse | None = None
         self.rejections: dict[str, Rejections] = {}
         self.isolated: set[str] = set()  # rejected together: each is sent alone to find the invalid one
         self.request_count = 0
-        self.idle_basis: tuple[Any, ...] | None = None  # inputs for which there was nothing to send
-        self._named = False  # SotW: after a request with names, one without names no longer means all
+        self.idle_inputs: tuple[Any, ...] | None = None  # for which there was nothing to send
+        self._has_requested_names = False  # SotW: from then on a request without names no longer means all
 
     def holds(self, wanted: Resource) -> bool:
         """Whether the client acknowledged this version of a resource."""
@@ -97,14 +97,18 @@
     def update_sotw(self, requested_names: tuple[str, ...]) -> None:
         """Replace the names by those of a state-of-the-world request.
 
+        Resources that the client unsubscribed from no longer count as held.
+
         Raises:
             ProtocolViolationError: There are too many names.
         """
         first, self.requested = not self.requested, True
         new_names = set(requested_names)
         _check_name_count(len(new_names))
-        self._named |= bool(new_names)
-        wildcard = WILDCARD in new_names or (not self._named and self.type_url in names.FULL_STATE_TYPES)
+        self._has_requested_names |= bool(new_names)
+        wildcard = WILDCARD in new_names or (
+            not self._has_requested_names and self.type_url in names.FULL_STATE_TYPES
+        )
         new_names.discard(WILDCARD)
         self.unanswered |= new_names - self.names
         self.unanswered_all |= (wildcard and not self.wildcard) or (first and not new_names)
