--- a/swiftchute/controller/controller.py
+++ b/swiftchute/controller/controller.py
@@ -93,7 +93,7 @@
             versions, self.runner, self.directory, self.version_control, self._republish
         )
         self.last_review_ns = now
-        self.reviewed_change_count = 0  # value of `directory.change_count` at the last completed policy round
+        self.change_count_at_last_round = 0  # of the directory, at the last completed policy round
         self.push_count = 0
         self.tables_of_crashed_policy: dict[Any, ProxyTables] = {}  # by proxy, until its first new assignment
         self.output = RoundOutput()
@@ -299,21 +299,24 @@
         """Review the commands of a round, and queue the messages that may be sent."""
         if result.changed_entries_by_table or result.ejections_changed:
             self.contents.invalidate_proxy_tables()
-        if self.reviewed_change_count != self.directory.change_count:
+        if self.change_count_at_last_round != self.directory.change_count:
             for number in result.changed_entries_by_table:
                 self.contents.change_causes.setdefault(number, ChangeCause.LIST)
-        self.reviewed_change_count = self.directory.change_count
+        self.change_count_at_last_round = self.directory.change_count
         if result.invalid_weights:
             weights = [list(weight) for weight in result.invalid_weights[:MAX_LOGGED_WEIGHTS]]
             self.log_event("invalid weights ignored", rule="bad weight", lines=weights)
         if result.changed_entries_by_table or result.ejections_changed or result.proxy_assigned:
-            self._withhold(result, now)
+            self._review_commands(result, now)
         if result.nonce is not None:
             self.nonces.on_command(result.nonce, result.entries_by_proxy, now)
         self._enqueue(result.entries_by_proxy, now)
 
-    def _withhold(self, result: RoundResult, now: int) -> None:
-        """Review the changed tables, and drop the messages for those that the safety gate holds back."""
+    def _review_commands(self, result: RoundResult, now: int) -> None:
+        """Review the changed tables, and drop the messages for those that the safety gate holds back.
+
+        Nonces of dropped messages are acknowledged for the proxies that already hold everything sent.
+        """
         if self.safety_review is None:
             return
         self._review(result.changed_entries_by_table, now)
@@ -326,12 +329,16 @@
         for proxy in up_to_date_proxies:
             self.on_acknowledged(proxy, self.nonces.withheld.pop(proxy), now)
 
-    def _review(self, changed: Collection[int], now: int, urgent: Collection[int] = ()) -> None:
-        """Review all tables; queue those whose allowed content changed without a command."""
+    def _review(self, commanded: Collection[int], now: int, urgent: Collection[int] = ()) -> None:
+        """Review all tables; queue those whose allowed content changed without a command.
+
+        `commanded` are the tables that the policy changed or that are republished (pin, rollback, canary);
+        `urgent` are the republished ones.
+        """
         assert self.safety_review is not None
         self.last_review_ns = now
         entries_by_proxy: dict[Any, int] = {}
-        for number in self.safety_review.review(changed, now, urgent):
+        for number in self.safety_review.review(commanded, now, urgent):
             self.contents.change_causes.setdefault(number, ChangeCause.GUARD)
             self.contents.invalidate(number)
             weights, _ = self.safety_review.gate.allowed[number]
--- a/swiftchute/policy/zone_spillover.py
+++ b/swiftchute/policy/zone_spillover.py
@@ -10,23 +10,24 @@
 START_LOAD_RATIO_PER_PRICE = 0.6  # added to the above for a cross-zone price of 1
 FULL_LOAD_RATIO_RANGE = 0.28  # distance from the start of spillover to full spillover
 SPILLOVER_EXPONENT = 1.5  # > 1: little spillover at first, so that under normal load requests stay local
-RISE_STEP = 0.6  # fraction of the distance to a higher target covered per evaluation
-FALL_STEP = 0.05  # the same for a lower target: causes of load tend to persist
+RISE_STEP = 0.6  # fraction of the distance to a higher target, or to 0 if suspended, per evaluation
+FALL_STEP = 0.05  # the same for any other lower target: causes of load tend to persist
 MIN_SPILLOVER_FRACTION = 0.05  # smaller fractions are not worth the table entries
 SATURATED_FRACTION = 0.8  # above it other zones count as having no spare capacity
 MAX_REMOTE_LOAD_MULTIPLE = 1.8  # remote load ratio / zone's load ratio above which a pair is unhealthy
 SUSPENSION_NS = 12 * NS_PER_S  # how long an unhealthy pair carries no spillover
-LOAD_QUANTILE = 0.5  # the median endpoint represents the zone
+LOAD_QUANTILE = 0.5  # the median endpoint, weighted by attempts, represents the zone
 PAIR_QUANTILE = 0.25  # a bad network makes even the better endpoints behind it look bad
 
 
 def evaluate_spillover(state: PolicyState) -> None:
     """Update the load ratio of each zone, and the spillover from it to each other zone."""
     for zone in state.settings.zones:
+        # the zone itself is among them
         endpoint_zones = [other for other in state.settings.zones if not is_suspended(state, zone, other)]
         load_ratio = zone_load_ratio(state, zone, endpoint_zones, LOAD_QUANTILE)
         state.load_ratios[zone] = load_ratio
-        if load_ratio is None:
+        if load_ratio is None:  # too few attempts: spillover stays as it is
             continue
         for key, pair in state.zone_pairs.items():
             if key[0] == zone:
@@ -34,7 +35,7 @@
 
 
 def is_saturated(state: PolicyState, zone: str) -> bool:
-    """Return whether a zone already spills over to every other zone as much as possible."""
+    """Return whether spillover from a zone to each other zone is near its maximum or suspended."""
     return all(
         pair.spillover_fraction > SATURATED_FRACTION or pair.suspended_until_ns > state.now_ns
         for (proxy_zone, _), pair in state.zone_pairs.items()
--- a/swiftchute/safety/violation_log.py
+++ b/swiftchute/safety/violation_log.py
@@ -41,7 +41,7 @@
         """Start without a violation.
 
         Args:
-            enforce: Whether tables are corrected; otherwise violations are logged as warnings.
+            enforce: Whether the gate's corrections take effect; otherwise they are logged as warnings.
             alarm_after_ns: How long a table may be held back before an alarm is raised.
             counts: Number of violations by rule; updated in place.
             events: Log records; appended to in place.
@@ -115,7 +115,8 @@
     def rules_limiting(self, table: int, endpoint: str) -> str:
         """Return the rules that limit an endpoint of a table, joined by commas.
 
-        A slow-start violation is reported for only one of the endpoint's tables, but limits all of them.
+        A violation that names endpoints limits them in all tables: slow start is reported for only one of
+        them. A violation without endpoints concerns its whole table.
         """
         rules = {
             violation.rule
