--- a/swiftchute/platform/egress_ledger.py
+++ b/swiftchute/platform/egress_ledger.py
@@ -1,10 +1,10 @@
 """Accounts for entries written to proxies that may still wait in the egress queue. No I/O, no clock.
 
 The ledger outlives policies and sessions. It counts what was written, not what a policy reserved. The unit is
-entries: a message costs its entries plus a fixed overhead. A message is settled once its proxy acknowledges
-it or a later one. Unacknowledged messages of a session that has ended stay in the queue, so they stay counted
-until a message that was written later is acknowledged (messages leave the queue in the order in which they
-were written), or until even the slowest channel would have sent them.
+entries: a message costs its entries plus a fixed overhead. A message is settled (no longer counted) once its
+proxy acknowledges it or a later one. Unacknowledged messages of an ended session stay in the queue, so they
+stay counted until a message that was written later is acknowledged (messages leave the queue in the order in
+which they were written), or until even the slowest channel would have sent them.
 """
 
 import math
@@ -25,15 +25,15 @@
 
     nonce: int | None
     round_number: int
-    entries: int  # including the message overhead
-    sent_by_ns: int  # when even the slowest channel will have sent it
+    cost_entries: int  # including the message overhead
+    latest_send_ns: int  # when even the slowest channel will have sent it
 
 
 class UnsettledRound(msgspec.Struct):
     """Unacknowledged entries written in one round to sessions that have since ended."""
 
-    entries: int = 0
-    sent_by_ns: int = 0
+    cost_entries: int = 0  # including the message overheads
+    latest_send_ns: int = 0
 
 
 class EgressLedger:
@@ -93,7 +93,7 @@
         """Start a round, whose messages are queued after all earlier ones, and settle overdue messages."""
         self._round_number += 1
         self._round_started_ns = now_ns
-        for number in [number for number, each in self._unsettled.items() if now_ns >= each.sent_by_ns]:
+        for number in [number for number, each in self._unsettled.items() if now_ns >= each.latest_send_ns]:
             self._settle(number)
 
     def record_commands(self, entries: Iterable[int]) -> None:
@@ -113,15 +113,19 @@
         self.in_flight_entries += cost
         self.max_total_entries = max(self.max_total_entries, self.total_entries)
         longest_wait_ns = int(self.total_entries / self._slowest_rate_per_s * NS_PER_S)
+        # the ledger has no clock: the start of the round stands for the time of writing
         message = WrittenMessage(nonce, self._round_number, cost, self._round_started_ns + longest_wait_ns)
         self._messages.setdefault(session, deque()).append(message)
 
     def acknowledge(self, session: ProxySession, nonce: int) -> None:
-        """Settle the message with this pending nonce, and all messages that left the queue before it."""
+        """Settle the message with this nonce, and all messages that left the queue before it.
+
+        The nonce must be pending: for any other, all messages to the session would count as settled.
+        """
         messages = self._messages.get(session)
         while messages:
             message = messages.popleft()
-            self.in_flight_entries -= message.entries
+            self.in_flight_entries -= message.cost_entries
             if message.nonce == nonce:
                 self._settle_before(message.round_number)
                 return
@@ -131,9 +135,9 @@
         messages = self._messages.pop(session, ())
         for message in messages:
             unsettled = self._unsettled.setdefault(message.round_number, UnsettledRound())
-            unsettled.entries += message.entries
-            unsettled.sent_by_ns = max(unsettled.sent_by_ns, message.sent_by_ns)
-        entries = sum(message.entries for message in messages)
+            unsettled.cost_entries += message.cost_entries
+            unsettled.latest_send_ns = max(unsettled.latest_send_ns, message.latest_send_ns)
+        entries = sum(message.cost_entries for message in messages)
         self.in_flight_entries -= entries
         self.ended_entries += entries
         return entries
@@ -147,4 +151,4 @@
             self._settle(number)
 
     def _settle(self, round_number: int) -> None:
-        self.ended_entries -= self._unsettled.pop(round_number).entries
+        self.ended_entries -= self._unsettled.pop(round_number).cost_entries
--- a/swiftchute/proxy/upstream_connection.py
+++ b/swiftchute/proxy/upstream_connection.py
@@ -76,7 +76,7 @@
             self.close()
 
     def check_alive(self, now_ns: int, silence_timeout_ns: int) -> None:
-        """Ping a silent HTTP/2 connection with attempts in flight, and close it if no answer arrives."""
+        """Ping an HTTP/2 connection that awaits responses and receives nothing; close it if that goes on."""
         if not self._attempts or not isinstance(self.framing, Http2Connection):
             return
         action = self._keepalive.check(now_ns, silence_timeout_ns)
@@ -127,13 +127,13 @@
 
     def _handle(self, event: HttpEvent) -> None:
         match event:
-            case HttpMessage():
+            case HttpMessage():  # the caller classifies the response and replaces the outcome
                 self._end(event.stream_id, AttemptOutcome.FAILED, event)
             case StreamReset():
                 self._end(event.stream_id, outcome_of_reset(event.error_code))
             case MessageTooLarge():
                 self._end(event.stream_id, AttemptOutcome.FAILED)
-            case GoAway():
+            case GoAway():  # later streams were not processed, so they are safe to retry
                 for stream_id in [number for number in self._attempts if number > event.last_stream_id]:
                     self._end(stream_id, AttemptOutcome.REFUSED)
 
