--- a/swiftchute/dns/frontend.py
+++ b/swiftchute/dns/frontend.py
@@ -38,10 +38,10 @@
 
 @dataclass(slots=True)
 class _View:
-    """The view of one zone.
+    """The view of one availability zone.
 
     Attributes:
-        zone: The zone.
+        zone: The availability zone.
         contents: The table contents that were pushed to it, by operation.
         nonce: The newest nonce that it has not acknowledged; None if there is none.
         awaits_expiry: Whether it received a push and earlier answers may still be cached.
@@ -56,7 +56,7 @@
 
 
 class DnsFrontend:
-    """The views of all zones, for one incarnation.
+    """The views of all availability zones, for one incarnation.
 
     Attributes:
         controller: The controller.
@@ -128,7 +128,7 @@
             self._connect(proxy, view, fresh=True)
 
     def publish(self, output: RoundOutput, now_ns: int) -> None:
-        """Apply the pushes of a round, and acknowledge versions once all earlier answers have expired."""
+        """Apply a round's pushes; acknowledge versions once earlier answers have expired in all caches."""
         self._published_at_ns = now_ns
         for proxy in output.overflowed_proxies:
             self._reconnect(proxy)
@@ -139,14 +139,14 @@
             self._unavailable = self.controller.unavailable_endpoints
             changed = True
         if now_ns - self._checked_at_ns >= CHECK_INTERVAL_NS:
-            changed |= self._check_ttl(now_ns)
+            changed |= self._update_load_and_ttl(now_ns)
         if changed:
             self._update_answers(now_ns)
         self._acknowledge_expired(now_ns)
 
     @property
     def due_ns(self) -> int:
-        """The latest time for the next call of `publish`."""
+        """When `publish` must be called again at the latest."""
         check_interval_ns = max(CHECK_INTERVAL_NS, self._settings.report_interval_ns // 4)
         times_ns = [self._checked_at_ns + check_interval_ns]
         for view in self._view_by_proxy.values():
@@ -193,8 +193,8 @@
         view.awaits_expiry = True
         return assigned
 
-    def _check_ttl(self, now_ns: int) -> bool:
-        """Measure the query rate and decide the TTL; return whether answers have to change."""
+    def _update_load_and_ttl(self, now_ns: int) -> bool:
+        """Measure the query rate, report load if due, decide the TTL; return whether answers must change."""
         self._measure_query_rate(now_ns)
         if now_ns - self._reported_at_ns >= self._settings.report_interval_ns:
             self._report_load(now_ns)
--- a/swiftchute/drill/invariants.py
+++ b/swiftchute/drill/invariants.py
@@ -148,8 +148,8 @@
 
     # -- invariant 1
 
-    def _warm_endpoint_changes(self) -> list[tuple[int, bool]]:
-        """Return times, and whether any ready and warm endpoint was listed from each of them on."""
+    def _warm_endpoint_timeline(self) -> list[tuple[int, bool]]:
+        """Return times, and whether a ready and warm endpoint was listed from each of them until the next."""
         points = sorted(
             {o.time_ns for o in self.evidence.observations}
             | {o.started_ns + self.settings.max_warmup_ns for o in self.evidence.observations if o.started_ns}
@@ -166,6 +166,7 @@
                     at,
                     any(
                         o.state == "ready"
+                        # without a start time the endpoint has no warm-up
                         and at >= o.started_ns + self.settings.max_warmup_ns * bool(o.started_ns)
                         for o in current
                     ),
@@ -174,11 +175,11 @@
         return changes
 
     def _longest_with_warm_endpoint(
-        self, since: int, until: int, warm_changes: list[tuple[int, bool]]
+        self, since: int, until: int, warm_timeline: list[tuple[int, bool]]
     ) -> int:
         """Return the longest part of a span during which a warm endpoint was listed throughout."""
         longest, at = 0, since
-        for start, any_warm in [*warm_changes, (until, False)]:
+        for start, any_warm in [*warm_timeline, (until, False)]:
             if start <= since:
                 at = since if any_warm else until
                 continue
@@ -196,7 +197,7 @@
             "s",
             f"{len(self.evidence.gateways)} gateways, {len(self.evidence.responses)} responses",
         )
-        warm_changes = self._warm_endpoint_changes()
+        warm_timeline = self._warm_endpoint_timeline()
         for client, responses in self.clients_to_replay():
             spans = self.connections[client.node]
             empty_since: dict[str, int | None] = {}
@@ -216,7 +217,7 @@
                     if began is not None:
                         # The span also ends with its stream: the invariant binds connected proxies only.
                         stop = min([at, *(b for a, b, _ in spans if a <= began < b)])
-                        took = self._longest_with_warm_endpoint(began, stop, warm_changes) / NS_PER_S
+                        took = self._longest_with_warm_endpoint(began, stop, warm_timeline) / NS_PER_S
                         verdict.figure = max(verdict.figure, took)
                         if took > verdict.limit and len(verdict.broken) < 20:
                             verdict.broken.append(
@@ -227,10 +228,10 @@
                         if empty
                         else None
                     )
-        self._check_dns_answers(verdict, warm_changes)
+        self._check_dns_answers(verdict, warm_timeline)
         return verdict
 
-    def _check_dns_answers(self, verdict: Verdict, warm_changes: list[tuple[int, bool]]) -> None:
+    def _check_dns_answers(self, verdict: Verdict, warm_timeline: list[tuple[int, bool]]) -> None:
         """Check DNS clients: they lack an endpoint from an answer without records to the next with some."""
         for client, rows in self.evidence.dns_answers.items():
             empty_since: dict[str, int] = {}
@@ -240,7 +241,7 @@
             ]:
                 began = empty_since.pop(op, None)
                 if began is not None:
-                    took = self._longest_with_warm_endpoint(began, at, warm_changes) / NS_PER_S
+                    took = self._longest_with_warm_endpoint(began, at, warm_timeline) / NS_PER_S
                     verdict.figure = max(verdict.figure, took)
                     if took > verdict.limit and len(verdict.broken) < 20:
                         verdict.broken.append(f"{client} had no DNS records for {op} for {took:.2f} s")
@@ -307,7 +308,7 @@
     def check_overload(self) -> Verdict:
         """4: a warming endpoint's load within the window stays under a multiple of its capacity at the time.
 
-        By the protocol's definition, a violation needs two thirds of the work to come through informed
+        By the definition of this invariant, a violation needs two thirds of the work to come through informed
         proxies: those that received a response after the start was known, or whose instance had known it for
         the drain grace.
         """
--- a/swiftchute/simulator/host.py
+++ b/swiftchute/simulator/host.py
@@ -1,4 +1,4 @@
-"""Answers each line of the simulator's input with one line of output, with isolated instances."""
+"""Answers each line of the simulator's input with one line of output; its instances share no state."""
 
 import json
 import traceback
@@ -73,8 +73,10 @@
                     self._start(instance, start, encoder)
                 elif name == codec.STOP:
                     self.instances.pop(instance, None)
+                    # also discards the actions of earlier events of the batch
                     events, encoder.actions = [], []
                 elif instance not in self.instances and not encoder.ends_with_fault:
+                    # unless its start failed in this batch: such events are dropped
                     raise WireInputError(event_location, f"{name} for an instance that was not started")
                 else:
                     events.append(codec.decode_event(name, fields))
@@ -95,7 +97,7 @@
     def _reconcile(
         self, policy: Policy, now_ns: int, events: list[Event], encoder: codec.ActionEncoder
     ) -> None:
-        """Run one round of a policy; an exception becomes a fault in the reply and is never dropped."""
+        """Run one round of a policy; an exception of it is always reported as a fault in the reply."""
         try:
             policy.reconcile(now_ns, events, encoder)
         except Exception as error:
