--- a/swiftchute/xds/resource_selection.py
+++ b/swiftchute/xds/resource_selection.py
@@ -3,7 +3,7 @@
 from collections.abc import Collection, Iterable, Mapping
 
 from swiftchute.xds import names
-from swiftchute.xds.resources import Resource, Wanted, assignment, cluster
+from swiftchute.xds.resources import Resource, Wanted, cluster, load_assignment
 from swiftchute.xds.subscription import Subscription
 
 
@@ -79,7 +79,7 @@
         entries = tuple(entry for entry in held.entries if entry[0] not in self.unavailable)
         if not entries or len(entries) == len(held.entries):
             return None
-        reduced = assignment(name, entries, held.admission_rate)
+        reduced = load_assignment(name, entries, held.admission_rate)
         rejected = reduced.version in subscription.rejections[name].versions
         return None if rejected else reduced
 
@@ -131,7 +131,7 @@
             for _, cluster_name in route.refs:
                 current_cluster = wanted[names.CDS][cluster_name]
                 current = wanted[names.EDS][current_cluster.refs[0][1]]
-                return assignment(name, current.entries, current.admission_rate)
+                return load_assignment(name, current.entries, current.admission_rate)
         return None
 
     def _substitute(
--- a/swiftchute/xds/resources.py
+++ b/swiftchute/xds/resources.py
@@ -130,7 +130,7 @@
     return message
 
 
-def assignment(name: str, entries: tuple[TableEntry, ...], admission_rate: float) -> Resource:
+def load_assignment(name: str, entries: tuple[TableEntry, ...], admission_rate: float) -> Resource:
     """A table with inline endpoints: one locality per entry."""
     message = ClusterLoadAssignment(cluster_name=name)
     for (endpoint, zone, _), weight in zip(entries, integer_weights(entries), strict=True):
@@ -271,7 +271,7 @@
         if cached is not None and cached[0] is content:
             return cached[1]
         built: dict[str, dict[str, Resource]] = {names.EDS: {}, names.LEDS: {}}
-        make_assignment = collection_assignment if collections else assignment
+        make_assignment = collection_assignment if collections else load_assignment
         for index, (admission_rate, _) in enumerate(content.admission):  # the retry policy is in the routes
             name = self._service_name(table, content, index)
             if name not in built[names.EDS]:
