--- a/swiftchute/admin/client.py
+++ b/swiftchute/admin/client.py
@@ -12,7 +12,7 @@
 RECEIVE_BYTES = 65_536
 
 
-def call(path: str, command: str, timeout_s: float = 5.0, **arguments: Any) -> Any:
+def send_command(path: str, command: str, timeout_s: float = 5.0, **arguments: Any) -> Any:
     """Send one command to the instance that listens at a path and return its result.
 
     Args:
--- a/swiftchute/cli/common.py
+++ b/swiftchute/cli/common.py
@@ -32,13 +32,13 @@
 
 def call_instance(config: str, command: str, **arguments: Any) -> Any:
     """Return the answer of the running instance of a settings file; end if there is none."""
-    from swiftchute.admin.client import call
+    from swiftchute.admin.client import send_command
     from swiftchute.admin.errors import NoReplyError
 
     socket_path = load_or_fail(config).control
     if socket_path is None:
         fail(f"{config}: control.socket: missing: the planner has no control socket")
     try:
-        return call(socket_path, command, **arguments)
+        return send_command(socket_path, command, **arguments)
     except NoReplyError as error:
         fail(str(error))
--- a/swiftchute/drill/operator_actions.py
+++ b/swiftchute/drill/operator_actions.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from swiftchute.admin.client import call
+from swiftchute.admin.client import send_command
 from swiftchute.admin.errors import NoReplyError
 from swiftchute.drill.backend_faults import FaultContext
 from swiftchute.drill.fleet import OVERSTAY_S, Fleet
@@ -120,7 +120,7 @@
             if newest[table]["version"] != entry["version"] and newest[table]["acknowledged"]:
                 arguments: dict[str, Any] = {"table": table, "version": f"#{entry['serial']}"}
                 arguments |= {"seconds": PIN_SECONDS, "levels": levels}
-                await asyncio.to_thread(call, path, "tables.rollback", **arguments)
+                await asyncio.to_thread(send_command, path, "tables.rollback", **arguments)
                 tables += 1
         return tables
 
@@ -172,7 +172,7 @@
 
 
 async def _table_log(path: str) -> list[LogEntry]:
-    return await asyncio.to_thread(call, path, "tables.log", most=MAX_LOG_ENTRIES)
+    return await asyncio.to_thread(send_command, path, "tables.log", most=MAX_LOG_ENTRIES)
 
 
 def _canary_note(row: LogEntry) -> str:
--- a/tests/admin/test_server.py
+++ b/tests/admin/test_server.py
@@ -11,7 +11,7 @@
 from click.testing import CliRunner
 
 from swiftchute.admin import protocol, server
-from swiftchute.admin.client import call
+from swiftchute.admin.client import send_command
 from swiftchute.admin.errors import CommandRejectedError, NoReplyError, RequestError
 from swiftchute.admin.server import AdminServer
 from swiftchute.cli.main import main
@@ -46,7 +46,7 @@
 
 
 def call_in_thread(path, *arguments, **keywords):
-    return asyncio.to_thread(call, path, *arguments, **keywords)
+    return asyncio.to_thread(send_command, path, *arguments, **keywords)
 
 
 @pytest.mark.parametrize("split_at", range(1, 40))
