--- a/swiftchute/controller/endpoint_directory.py
+++ b/swiftchute/controller/endpoint_directory.py
@@ -6,7 +6,7 @@
 from swiftchute.discovery.endpoint_list import EndpointListChange
 from swiftchute.safety.proposal import EndpointStatus
 
-MAX_ENDPOINTS = 200_000  # including removed ones, which are forgotten beyond it
+MAX_ENDPOINTS = 200_000  # if there are more, removed ones are forgotten
 
 
 class EndpointDirectory:
@@ -20,7 +20,7 @@
         self.change_count = 0
 
     def apply(self, change: EndpointListChange) -> None:
-        """Apply a change of the endpoint list."""
+        """Update the statuses and `unavailable` from a change of the endpoint list."""
         self.change_count += 1
         unavailable = set(self.unavailable)
         for record in change.endpoints:
@@ -47,11 +47,11 @@
 
     def warming_up(self, now: int) -> frozenset[str]:
         """Return the ready endpoints that started less than `max_warmup_ns` ago."""
-        earliest_start_ns = now - self.max_warmup_ns
+        latest_warm_start_ns = now - self.max_warmup_ns
         return frozenset(
             name
             for name, status in self.statuses.items()
-            if status.started_ns > earliest_start_ns and status.started_ns and status.state == "ready"
+            if status.started_ns > latest_warm_start_ns and status.started_ns and status.state == "ready"
         )
 
     def zone_of(self, endpoint: str) -> str:
--- a/swiftchute/controller/table_contents.py
+++ b/swiftchute/controller/table_contents.py
@@ -40,7 +40,7 @@
 
     tables_by_operation: tuple[tuple[str, str], ...] = ()  # (operation name, table name)
     contents: dict[str, TableContent] = field(default_factory=dict, compare=False)  # by table name
-    baseline_tables: frozenset[str] = frozenset()  # names of tables whose canary only other proxies have
+    baseline_tables: frozenset[str] = frozenset()  # names of tables of which it holds the baseline
 
 
 class CanaryView(Protocol):
@@ -164,7 +164,7 @@
         return weights, tuple(admission)
 
     def _record_version(self, number: int, table: encoding.Table) -> bytes:
-        """Record a version and its cause in the history; return the version."""
+        """Record the content, if it changed, with its cause in the history; return the newest version."""
         name = self.runner.assignments.table_name(number)
         before, cause = self.history.newest_content(name), self.change_causes.pop(number, None)
         if before is None:
--- a/swiftchute/daemon/commands.py
+++ b/swiftchute/daemon/commands.py
@@ -106,13 +106,13 @@
     def rollback(
         self, table: str, version: str = "~1", seconds: float = DEFAULT_PIN_S, levels: bool = False
     ) -> dict[str, Any]:
-        """Pin a table to an earlier version for a limited time."""
+        """Pin a table to a version, by default the one before the newest (`~1`), for a limited time."""
         return self._pin(table, version, seconds, levels, ChangeCause.ROLLBACK)
 
     def pin(
         self, table: str, version: str = "~0", seconds: float = DEFAULT_PIN_S, levels: bool = False
     ) -> dict[str, Any]:
-        """Pin a table to its current version for a limited time."""
+        """Pin a table to a version, by default the newest (`~0`; `~n` is n before it), for a limited time."""
         return self._pin(table, version, seconds, levels, ChangeCause.PIN)
 
     def release(self, table: str) -> None:
--- a/swiftchute/dns/names.py
+++ b/swiftchute/dns/names.py
@@ -7,7 +7,8 @@
     names.host_name("lot-estimate")              # lot-estimate.lots.example.: address records only
     names.target_name("10.0.0.7:8080")           # ip-10-0-0-7.lots.example.
 
-Owner names of SRV records follow RFC 2782. An operation is a single label, even if it contains dots.
+Zones are availability zones, not DNS zones. Owner names of SRV records follow RFC 2782. An operation is a
+single label, even if it contains dots.
 """
 
 import enum
@@ -114,6 +115,7 @@
         self._target_wire_by_endpoint: dict[str, bytes] = {}
 
     def _check_labels(self) -> None:
+        """Check operations and zones; the limit of operations, which get a "_", holds for zones too."""
         used_labels = set(_RESERVED_LABELS)
         for kind, labels in (("operation", self.operations), ("zone", self.zones)):
             for label in labels:
@@ -148,7 +150,7 @@
         return dns.name.Name((*(label.encode() for label in labels), *self.origin.labels))
 
     def service_name(self, operation: str, zone: str | None = None) -> dns.name.Name:
-        """Return the owner name of the SRV records of an operation; zone None stands for that of the view."""
+        """Return the owner name of an operation's SRV records; without `zone`, in the view's zone."""
         return self._name(f"_{operation}", "_tcp", *((zone,) if zone else ()))
 
     def host_name(self, operation: str, zone: str | None = None) -> dns.name.Name:
--- a/swiftchute/drill/instance_settings.py
+++ b/swiftchute/drill/instance_settings.py
@@ -91,6 +91,7 @@
         )
 
     def _channel(self) -> str:
+        """Return the block of egress rate, queue limit, overhead per message, and message quota."""
         return _block(
             "channel",
             pace=self.scenario.egress_rate,
--- a/swiftchute/drill/scenario.py
+++ b/swiftchute/drill/scenario.py
@@ -31,7 +31,7 @@
     max_no_endpoint: float = 3.0
     egress_rate: float = 1500.0  # entries per second
     egress_queue_limit: float = 3000.0  # entries
-    message_quota: int = 30
+    message_quota: int = 30  # messages to one proxy in 10 s
     policy: str = ""  # package.module:Class in place of the policy, as `serve --decider` takes it
     side_effecting_share: float = 0.06  # share of requests that may take effect only once
     version_settings: dict[str, Any] = field(default_factory=dict)  # the instances' `tables` block
--- a/swiftchute/policy/state.py
+++ b/swiftchute/policy/state.py
@@ -23,8 +23,9 @@
         commands: Receiver of the round's commands.
         endpoints: Endpoints by name, including removed ones.
         proxies: Connected proxies.
-        tables: Tables of each subset: at most one for operations that may cross zones, and one zone-local.
-        subset_counts: Number of subsets by zone, 0 before the zone's first endpoint list.
+        tables: Tables of each subset: one for operations that may cross zones, one zone-local, or only one
+            of them if all operations are of one kind.
+        subset_counts: Number of subsets by zone, 0 until an endpoint of any zone is ready.
         zone_pairs: Spillover for each ordered pair of different zones.
         load_ratios: Cost per success / latency objective by zone at the last evaluation, None if unknown.
         observed_throughput: Successes per second and unit of listed weight at each evaluation, by zone.
--- a/swiftchute/policy/subsetting.py
+++ b/swiftchute/policy/subsetting.py
@@ -25,10 +25,10 @@
 
 
 def form_subsets(state: PolicyState) -> None:
-    """Divide each zone into subsets once it has endpoints, and add each ready endpoint to a subset.
+    """Set the subset count of every zone once any endpoint is ready, and add each ready endpoint to a subset.
 
-    The number of subsets never changes. Each has a table for the operations that may cross zones and one for
-    those that may not.
+    A zone without ready endpoints gets one subset. The counts never change. Each subset has a table for the
+    operations that may cross zones and one for those that may not, if there are any of that kind.
     """
     ready = list(state.ready_endpoints().values())
     if not ready:
--- a/swiftchute/proxy/control_client.py
+++ b/swiftchute/proxy/control_client.py
@@ -23,7 +23,7 @@
 STREAM_ERRORS = (GRPCError, StreamTerminatedError, ConnectionError, OSError, asyncio.TimeoutError)
 CONNECT_TIMEOUT_S = 2.0
 RECONNECT_DELAY_S = (0.1, 0.6)  # range of the random delay
-KEEPALIVE_S = 1.0
+KEEPALIVE_S = 1.0  # interval between pings, and timeout of their acknowledgement
 MIN_REPORT_INTERVAL_S = 0.05
 
 
@@ -34,7 +34,8 @@
         client: the xDS client state.
         servers: host and port of each server.
         connected_to: "host:port" of the server whose stream is open, or None.
-        stream_count: number of connection attempts so far; also the number of the latest stream.
+        stream_count: number of connection attempts so far, including failed ones; also the number of the
+            latest stream.
     """
 
     def __init__(
--- a/swiftchute/proxy/settings.py
+++ b/swiftchute/proxy/settings.py
@@ -61,7 +61,7 @@
         ejection_failures: consecutive failures that eject an endpoint; 0 means never.
         ejection_ns: base duration of an ejection.
         retry_budget_fraction: retries allowed as a fraction of requests.
-        min_retries_per_s: rate of retries allowed in addition to that fraction.
+        min_retries_per_s: retries allowed per second even without requests; added to that fraction.
         admission_draw: how requests are drawn against a table's admission rate.
     """
 
--- a/swiftchute/proxy/table_cache.py
+++ b/swiftchute/proxy/table_cache.py
@@ -32,7 +32,7 @@
 
 
 class TableCache:
-    """A cache file; `last_error` is the error of the last call, empty if it succeeded."""
+    """A cache file; `last_error` is the error of the last read or write, empty if it succeeded."""
 
     def __init__(self, path: str, max_age_ns: int) -> None:
         """Create the cache without any file access.
--- a/swiftchute/safety/order_backoff.py
+++ b/swiftchute/safety/order_backoff.py
@@ -1,7 +1,8 @@
 """Exponential backoff of tables whose orders are rejected repeatedly. No I/O, no clock.
 
-A policy whose order is rejected proposes much the same in the next round. After a few rejected orders in a
-row a table backs off, longer each time; orders for it are not validated until the wait is over.
+A policy whose order is rejected proposes much the same in the next round. After several rejected orders with
+few accepted ones between them a table backs off, longer each time; orders for it are not validated until the
+wait is over.
 """
 
 from collections.abc import Container, Iterable
@@ -18,8 +19,8 @@
 # order among rejected ones must not end the backoff.
 REJECTED_POINTS = 2
 ACCEPTED_POINTS = 1
-POINTS_BEFORE_WAIT = 10  # five rejected orders in a row; a table with more points waits
-MAX_POINTS = POINTS_BEFORE_WAIT + 32
+POINTS_BEFORE_WAIT = 10  # five rejected orders without an accepted one; the next rejected one starts a wait
+MAX_POINTS = POINTS_BEFORE_WAIT + 32  # bounds the number of accepted orders that end the backoff
 
 
 @dataclass(slots=True)
@@ -71,7 +72,7 @@
         if backoff is None:
             return
         backoff.points -= ACCEPTED_POINTS
-        if backoff.points <= 0:
+        if backoff.points <= 0:  # logged as the end of waiting; the wait itself may have ended earlier
             del self._tables[number]
             if backoff.is_logged:
                 self._events.append(LogEvent("table waits", {"table": number, "on": False}))
--- a/swiftchute/xds/resources.py
+++ b/swiftchute/xds/resources.py
@@ -194,7 +194,7 @@
 
 @lru_cache(maxsize=64)
 def ejections(endpoints: frozenset[str]) -> Resource:
-    """The ejected endpoints, each DRAINING, for proxies without tables of this instance: it only removes."""
+    """The ejected endpoints, each DRAINING; proxies without tables of this instance must not use them."""
     message = ClusterLoadAssignment(cluster_name=names.WITHDRAWN)
     message.endpoints.append(
         LocalityLbEndpoints(lb_endpoints=[_lb_endpoint(endpoint, 1, True) for endpoint in sorted(endpoints)])
@@ -247,6 +247,8 @@
         conditions, count = _RETRY_POLICIES[retry_policy]
         if not count:
             return
+        # The setting is a multiple of the latency objective. Policy 1 does not retry attempts that timed out,
+        # as they may have run, so it has no timeout of an attempt.
         timeout_ns = int(self._settings.attempt_timeout_objectives * op.latency_objective_ns)
         action.retry_policy.CopyFrom(
             RetryPolicy(
@@ -297,7 +299,7 @@
 
         Args:
             tables: Tables of the proxy; without any, it gets the ejected endpoints alone.
-            ejected: Endpoints that no proxy may use.
+            ejected: Ejected endpoints; used only if the proxy has no tables.
             collections: Whether entries are resources of their own (LEDS).
         """
         if not tables.tables_by_operation:
--- a/tests/drill/test_scenario.py
+++ b/tests/drill/test_scenario.py
@@ -75,7 +75,12 @@
 
 
 def play(name, kind):
-    """Play one scenario in a process of its own: in a shared event loop, each would slow the others down."""
+    """Play one scenario in a process of its own: in a shared event loop, each would slow the others down.
+
+    Kinds: "sabotage" plays the `Case` that is passed as `name`; "broken" a faulty policy of `UNGUARDED`
+    without the safety gate; "kept" the real policy in the scenario for a rule; "process" a built-in scenario;
+    and "day" the DNS scenario, "dns overlong" with a time to live that is too long.
+    """
     if kind == "sabotage":
         return name.play(7)
     scenario, policy, overrides, safety_mode = SCENARIOS.get(name), None, {}, "enforce"
--- a/tests/support/channel.py
+++ b/tests/support/channel.py
@@ -26,13 +26,13 @@
     """The egress channel of one instance."""
 
     rate_per_s: float
-    limit: float
-    overhead: int
+    limit: float  # entries in the queue
+    overhead: int  # entries that each message costs in addition
     quota: int = 0
     quota_window_ns: int = 10 * S
     waiting: deque = field(default_factory=deque)
-    queued: int = 0
-    largest: int = 0
+    queued: int = 0  # entries
+    largest: int = 0  # most entries queued so far
     over_limit: list = field(default_factory=list)  # (time, queued entries)
     over_quota: list = field(default_factory=list)  # (time, stream)
     messages: int = 0
--- a/tests/support/proxy.py
+++ b/tests/support/proxy.py
@@ -65,6 +65,7 @@
 
 
 def close_after_execution(server, request):
+    """Abort the connection after the request arrived; the proxy cannot know whether it was executed."""
     server.transport.abort()
 
 
@@ -135,12 +136,12 @@
         await self.server.stop()
 
     async def call(self, operation="read", body=b"inv|0|g", timeout=2.0):
-        """Call through its channel; return the status, or "ok"."""
+        """Call through its channel; return the result as `call` does."""
         return await call(self.channel, operation, body, timeout)
 
 
 async def call(channel, operation="read", body=b"inv|0|g", timeout=2.0):
-    """Call through a channel; return the status, or "ok"."""
+    """Call through a channel; return "ok", the gRPC status, "broken" (terminated) or "given up" (timeout)."""
     try:
         async with channel.request(
             SERVICE + operation, Cardinality.UNARY_UNARY, bytes, bytes, timeout=timeout
--- a/tests/support/safety.py
+++ b/tests/support/safety.py
@@ -23,7 +23,11 @@
 
 
 def validate(proposed, statuses, before=None, full=None, now=NOW, known=None, **rules):
-    """Validate tables; an endpoint's kind is its zone, and it answers at most 10 requests per second."""
+    """Validate tables; an endpoint's kind is its zone.
+
+    `full` is `Observations.peak_rate_by_kind`, by default 10 requests per second for each kind; `known` has
+    further fields of `Observations`.
+    """
     validator = Validator(SETTINGS, SafetyRules(**{"slow_start_fraction": 1.0} | rules))
     full = {"east": 10.0, "west": 10.0} if full is None else full
     return validator.validate(proposed, before or {}, statuses, Observations(full, **known or {}), now)
