--- a/swiftchute/controller/version_state.py
+++ b/swiftchute/controller/version_state.py
@@ -17,7 +17,7 @@
 
     max_versions: int = 1000
     max_age_ns: int = 3600 * NS_PER_S
-    rejected_fraction: float = 0.3  # of a table's proxies; rejections by so many roll a version back
+    rejected_fraction: float = 0.3  # fraction of a table's proxies whose rejections roll a version back
     max_rollbacks: int = 3  # within the rollback window; 0: never
     rollback_window_ns: int = 600 * NS_PER_S
     rollback_duration_ns: int = 300 * NS_PER_S  # time that a table stays rolled back
--- a/swiftchute/drill/faulty_policies.py
+++ b/swiftchute/drill/faulty_policies.py
@@ -223,7 +223,7 @@
 class Lures(Skews):
     """Sends nearly all requests to failing endpoints from the first drain on.
 
-    It stands for a policy that prefers these endpoints because a quick failure looks like a short latency.
+    It models a policy that prefers these endpoints because a quick failure looks like a short latency.
     """
 
     failing: frozenset[str] = frozenset()
--- a/swiftchute/drill/invariants.py
+++ b/swiftchute/drill/invariants.py
@@ -308,7 +308,7 @@
     def check_overload(self) -> Verdict:
         """4: a warming endpoint's load within the window stays under a multiple of its capacity at the time.
 
-        By the definition of this invariant, a violation needs two thirds of the work to come through informed
+        By the wire protocol's definition, a violation needs two thirds of the work to come through informed
         proxies: those that received a response after the start was known, or whose instance had known it for
         the drain grace.
         """
--- a/swiftchute/platform/egress_ledger.py
+++ b/swiftchute/platform/egress_ledger.py
@@ -113,7 +113,7 @@
         self.in_flight_entries += cost
         self.max_total_entries = max(self.max_total_entries, self.total_entries)
         longest_wait_ns = int(self.total_entries / self._slowest_rate_per_s * NS_PER_S)
-        # the ledger has no clock: the start of the round stands for the time of writing
+        # the ledger has no clock, so the start of the round is used as the time of writing
         message = WrittenMessage(nonce, self._round_number, cost, self._round_started_ns + longest_wait_ns)
         self._messages.setdefault(session, deque()).append(message)
 
--- a/swiftchute/xds/frontend.py
+++ b/swiftchute/xds/frontend.py
@@ -51,7 +51,7 @@
     """Limits and identity of a frontend."""
 
     incarnation: int  # distinguishes its versions and nonces from earlier incarnations
-    ack_timeout_ns: int  # a stream that leaves a response unanswered for so long is ended
+    ack_timeout_ns: int  # a stream that leaves a response unanswered for longer is ended
     default_request_rate: float  # requests per second of a proxy that states no rate
     max_streams: int
 
